--- a/examples/fleet_days.rs
+++ b/examples/fleet_days.rs
@@ -115,7 +115,7 @@
     let (mut sim, jobs) = Sim::with_full_queue(machines, RunTimes::SHORT);
     let accepted_at = sim.now;
     sim.run((TROUBLE_MS + seed * SEED_MS).saturating_sub(sim.now));
-    let up = sim.workers.len();
+    let up = sim.agents.len();
     (day.trouble)(&mut sim);
     let accepted_done = |sim: &Sim| {
         let mut accepted = sim.jobs.iter().filter(|(_, job)| job.accepted);
--- a/examples/size.rs
+++ b/examples/size.rs
@@ -15,9 +15,9 @@
 use gaugesill::job::{JobRecord, JobSpec, Priority, Shape};
 use gaugesill::plan::{self, Snapshot};
 use gaugesill::replica::{LiveJob, Replica};
-use gaugesill::scheduler::{Effect, ReportOrigin, Scheduler};
+use gaugesill::scheduler::{Effect, Scheduler, StatusOrigin};
 use gaugesill::settings::ClusterSettings;
-use gaugesill::wire::{self, ListedMachine, Report, TaskReport};
+use gaugesill::wire::{self, AgentStatus, ListedMachine, TaskStatus};
 use gaugesill::write_queue::CommitResult;
 
 /// The time of day as the leader begins.
@@ -74,7 +74,7 @@
     scheduler: Scheduler,
     records: HashMap<String, LiveJob>,
     /// The tasks on each machine.
-    tasks: Vec<Vec<TaskReport>>,
+    tasks: Vec<Vec<TaskStatus>>,
     now: u64,
     wall_ms: u64,
 }
@@ -111,17 +111,17 @@
         listed.collect()
     }
 
-    fn report(&self, machine: usize, serial: u64, epoch: u64) -> Report {
-        Report {
+    fn report(&self, machine: usize, serial: u64, epoch: u64) -> AgentStatus {
+        AgentStatus {
             spot: machine % 3 == 0,
             tasks: self.tasks[machine].clone(),
             ..support::report(&format!("m-{machine:06}"), serial, epoch)
         }
     }
 
-    fn check_in(&mut self, report: &Report) -> Vec<wire::Command> {
-        let origin = ReportOrigin::CheckIn;
-        self.scheduler.on_report(report, origin, self.now);
+    fn heartbeat(&mut self, report: &AgentStatus) -> Vec<wire::Command> {
+        let origin = StatusOrigin::Heartbeat;
+        self.scheduler.on_agent_status(report, origin, self.now);
         self.scheduler.answer_commands(report, true, self.now)
     }
 
@@ -178,7 +178,7 @@
         self.scheduler.on_machine_list(&listed, 1, 1);
         for machine in 0..self.machines {
             let report = self.report(machine, 1, 1);
-            self.check_in(&report);
+            self.heartbeat(&report);
         }
         for n in 0..self.machines as u32 / 4 {
             let live = LiveJob {
@@ -196,9 +196,9 @@
 
     /// All tasks that have a place are started.
     fn start_tasks(&mut self) {
-        let reports: Vec<Report> = (0..self.machines).map(|m| self.report(m, 2, 1)).collect();
+        let reports: Vec<AgentStatus> = (0..self.machines).map(|m| self.report(m, 2, 1)).collect();
         let commands = timed("a check-in answered with starts", self.machines, || {
-            let commands = reports.iter().map(|report| self.check_in(report));
+            let commands = reports.iter().map(|report| self.heartbeat(report));
             commands.collect::<Vec<_>>()
         });
         for (machine, commands) in commands.into_iter().enumerate() {
@@ -211,7 +211,7 @@
         println!("{started} tasks started");
         for machine in 0..self.machines {
             let report = self.report(machine, 3, 1);
-            self.check_in(&report);
+            self.heartbeat(&report);
         }
     }
 
@@ -226,11 +226,11 @@
             self.machines,
             || {
                 for body in &bodies {
-                    if let Some(report) = wire::decode::<Report>(body) {
-                        let commands = self.check_in(&report);
+                    if let Some(report) = wire::decode::<AgentStatus>(body) {
+                        let commands = self.heartbeat(&report);
                         black_box(wire::encode(&wire::CommandBatch {
                             epoch: 1,
-                            session: None,
+                            incarnation: None,
                             commands,
                         }));
                     }
@@ -260,10 +260,10 @@
             }
         }
         let left = (0..self.machines).filter(|machine| !Fleet::is_lost(*machine));
-        let reports: Vec<Report> = left.map(|machine| self.report(machine, 5, 1)).collect();
+        let reports: Vec<AgentStatus> = left.map(|machine| self.report(machine, 5, 1)).collect();
         timed("a check-in of those left", reports.len(), || {
             for report in &reports {
-                self.check_in(report);
+                self.heartbeat(report);
             }
         });
         self.pass(14_000);
@@ -308,15 +308,15 @@
             self.scheduler.on_machine_list(&listed, self.now, self.now);
         });
         let left = (0..self.machines).filter(|machine| !Fleet::is_lost(*machine));
-        let reports = left.map(|machine| Report {
+        let reports = left.map(|machine| AgentStatus {
             tasks: vec![],
             ..self.report(machine, 6, 2)
         });
-        let reports: Vec<Report> = reports.collect();
+        let reports: Vec<AgentStatus> = reports.collect();
         timed("a check-in to it", reports.len(), || {
             for report in &reports {
                 self.scheduler
-                    .on_report(report, ReportOrigin::CheckIn, self.now);
+                    .on_agent_status(report, StatusOrigin::Heartbeat, self.now);
             }
         });
         let snapshot = self.snapshot("its first snapshot");
--- a/src/duties/query.rs
+++ b/src/duties/query.rs
@@ -77,7 +77,7 @@
         let limits = ConnectionLimits {
             fd_limit: SOCKETS,
             vital: HashSet::from([address]),
-            worker_idle: TIMEOUT,
+            agent_idle: TIMEOUT,
             reply_max: REPLY_MAX,
         };
         Ok(Query {
--- a/src/fleet_capacity.rs
+++ b/src/fleet_capacity.rs
@@ -5,14 +5,14 @@
 
 use crate::settings::ClusterSettings;
 
-/// Processor time of a check-in on a kept connection, system calls and packets included.
-const CHECKIN_CORE_S: f64 = 100e-6;
+/// Processor time of a heartbeat on a kept connection, system calls and packets included.
+const HEARTBEAT_CORE_S: f64 = 100e-6;
 /// The same for one that brings a connection.
-const CONNECTING_CHECKIN_CORE_S: f64 = 250e-6;
-/// The part of a leader's processor share that check-ins may take; plans, starts, users and
+const CONNECTING_HEARTBEAT_CORE_S: f64 = 250e-6;
+/// The part of a leader's processor share that heartbeats may take; plans, starts, users and
 /// the state service need the rest.
-const CHECKIN_SHARE: f64 = 0.5;
-/// After a takeover all workers have to come within this part of their lease.
+const HEARTBEAT_SHARE: f64 = 0.5;
+/// After a takeover all agents have to come within this part of their lease.
 const TAKEOVER_LEASE_SHARE: f64 = 0.5;
 /// What a leader holds for a machine with its tasks, and the part of its memory for that.
 const MACHINE_BYTES: f64 = 6.0 * 1024.0;
@@ -60,9 +60,9 @@
 /// What each grant suffices for, the least first.
 pub fn grant_capacities(cluster: &ClusterSettings) -> Vec<GrantCapacity> {
     let (workers, limits) = (&cluster.workers, &cluster.limits);
-    let checkins = limits.cpu_share * CHECKIN_SHARE * workers.report_s / CHECKIN_CORE_S;
+    let heartbeats = limits.cpu_share * HEARTBEAT_SHARE * workers.report_s / HEARTBEAT_CORE_S;
     let takeover_s = workers.lease_s * TAKEOVER_LEASE_SHARE;
-    let takeover = limits.cpu_share * takeover_s / CONNECTING_CHECKIN_CORE_S;
+    let takeover = limits.cpu_share * takeover_s / CONNECTING_HEARTBEAT_CORE_S;
     let memory_bytes = limits.memory_part(MACHINES_MEMORY_SHARE) as f64;
     let deletion_s = workers.lease_s * DELETION_LEASE_SHARE;
     let deleted = cluster.cloud.rps * deletion_s * DELETED_AT_ONCE;
@@ -72,7 +72,7 @@
         machines: machines as usize,
     };
     let mut capacities = vec![
-        capacity("cluster.limits.cpu_share", "the check-ins", checkins),
+        capacity("cluster.limits.cpu_share", "the check-ins", heartbeats),
         capacity("cluster.limits.cpu_share", "a takeover", takeover),
         capacity(
             "cluster.limits.ram_mb",
--- a/src/job.rs
+++ b/src/job.rs
@@ -275,7 +275,7 @@
     }
 }
 
-/// A task's name as workers know it, such as `run-000412/3`.
+/// A task's name as agents know it, such as `run-000412/3`.
 pub fn task_name(job: &str, task: u32) -> String {
     format!("{job}/{task}")
 }
--- a/src/leader_lease.rs
+++ b/src/leader_lease.rs
@@ -7,7 +7,7 @@
 use crate::settings::{ClusterSettings, OperatorSettings};
 use crate::time_units::to_ms;
 
-/// Longest life of a grant, as a share of a worker's lease.
+/// Longest life of a grant, as a share of an agent's lease.
 const LIFE_SHARE_MAX: f64 = 0.25;
 /// Shortest life that the state service gives a grant.
 const LIFE_MIN_MS: u64 = 100;
--- a/src/machine.rs
+++ b/src/machine.rs
@@ -1,4 +1,4 @@
-//! A machine as its worker's reports, the cloud's list and the records tell of it.
+//! A machine as its agent's reports, the cloud's list and the records tell of it.
 
 use std::collections::BTreeSet;
 use std::fmt;
@@ -8,7 +8,7 @@
 use crate::job::parse_task_name;
 use crate::plan::{MachineView, Reservation, Resources};
 use crate::time_units::to_ms;
-use crate::wire::{self, MachineType, Report, TaskReport};
+use crate::wire::{self, AgentStatus, MachineType, TaskStatus};
 
 /// The state of a task on its machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -45,7 +45,7 @@
     NoRoom,
     /// Refused: the task is there with another attempt.
     InUse,
-    /// Refused: the worker knows no such task.
+    /// Refused: the agent knows no such task.
     UnknownTask,
 }
 
@@ -64,7 +64,7 @@
 
 /// A task that the records put on a machine.
 #[derive(Debug, Clone)]
-pub struct RecordedTask {
+pub struct BoundTask {
     /// Its job.
     pub job: Arc<str>,
     /// Its number.
@@ -77,16 +77,18 @@
     pub spot: bool,
 }
 
-impl RecordedTask {
-    fn is(&self, reported: &ReportedTask) -> bool {
-        self.task == reported.task && self.attempt == reported.attempt && *self.job == *reported.job
+impl BoundTask {
+    fn is(&self, reported_tasks: &ReportedTask) -> bool {
+        self.task == reported_tasks.task
+            && self.attempt == reported_tasks.attempt
+            && *self.job == *reported_tasks.job
     }
 }
 
-/// What a machine's next check-in shows if the last answer reached it.
+/// What a machine's next heartbeat shows if the last answer reached it.
 #[derive(Debug, Clone, PartialEq)]
 pub enum ExpectedEffect {
-    /// The worker has seen this epoch.
+    /// The agent has seen this epoch.
     Epoch(u64),
     /// A task that it was told to start is there: job, task, attempt.
     Started(Arc<str>, u32, u64),
@@ -97,8 +99,8 @@
 /// The last answer that should show an effect.
 #[derive(Debug, Clone)]
 pub struct SentAnswer {
-    /// The session of the report that it answered.
-    pub session: u64,
+    /// The incarnation of the report that it answered.
+    pub incarnation: u64,
     /// The serial of that report.
     pub serial: u64,
     /// Any of these shows that the answer was taken.
@@ -208,7 +210,7 @@
 pub struct Machine {
     /// Its name.
     pub name: Arc<str>,
-    /// Where its worker takes commands.
+    /// Where its agent takes commands.
     pub address: Option<SocketAddr>,
     /// The name of its type; empty if not known yet.
     pub machine_type: Arc<str>,
@@ -216,21 +218,21 @@
     pub zone: Arc<str>,
     /// Whether it is a spot machine.
     pub spot: bool,
-    /// The session of the last report; 0 before the first.
-    pub session: u64,
+    /// The incarnation of the last report; 0 before the first.
+    pub incarnation: u64,
     /// The serial of the last report.
     pub serial: u64,
-    /// The highest epoch that the worker has seen.
+    /// The highest epoch that the agent has seen.
     pub epoch: u64,
     /// When the last report came.
-    pub last_report_at: Option<u64>,
+    pub last_status_at: Option<u64>,
     /// The tasks of the last report.
-    pub reported: Vec<ReportedTask>,
+    pub reported_tasks: Vec<ReportedTask>,
     /// What the records put here, kept up to date with the jobs' placements.
-    pub recorded: Vec<RecordedTask>,
+    pub bound_tasks: Vec<BoundTask>,
     /// There were no orphans at the last look, and neither list has changed since in a
     /// way that could make one.
-    no_orphans: bool,
+    has_no_orphans: bool,
     /// Room that is held for gangs whose victims are still leaving.
     pub reservations: Vec<Reservation>,
     /// When the cloud takes it back, on the steady clock.
@@ -254,26 +256,26 @@
     /// Until then its deletion is not sent again.
     pub next_delete_at: u64,
     /// When it was last asked for a report.
-    pub probed_at: u64,
+    pub last_probe_at: u64,
     /// When a start last went straight to it of which nothing is known yet.
     pub direct_start_at: Option<u64>,
     /// It can't be connected to: until then nothing goes straight to it.
     pub unreachable_until: u64,
     /// The last answer that should show an effect.
     pub sent_answer: Option<SentAnswer>,
-    /// When a check-in was last answered.
-    pub answered_at: Option<u64>,
-    /// Check-ins in a row that showed no effect of the answer before.
+    /// When a heartbeat was last answered.
+    pub heartbeat_answered_at: Option<u64>,
+    /// heartbeats in a row that showed no effect of the answer before.
     pub ineffective_answers: u32,
-    /// It began a new session although its check-ins were answered. Either it
+    /// It began a new incarnation although its heartbeats were answered. Either it
     /// came back from an end, or the answers don't reach it: until it has
     /// answered a call, it gets no work.
-    pub unverified: bool,
-    /// Since when one of these two suspicions lasts, and in which session.
+    pub reachability_unverified: bool,
+    /// Since when one of these two suspicions lasts, and in which incarnation.
     suspected_since: Option<(u64, u64)>,
     /// When it last came by itself: what answers calls but reaches nobody loses
     /// its lease with all that is on it.
-    pub checked_in_at: Option<u64>,
+    pub last_heartbeat_at: Option<u64>,
     /// Jobs of which a task failed here, since one was last done.
     pub failed_jobs: BTreeSet<Arc<str>>,
     /// What the planner sees of it, as long as nothing has changed.
@@ -289,13 +291,13 @@
             machine_type: machine_type.into(),
             zone: zone.into(),
             spot,
-            session: 0,
+            incarnation: 0,
             serial: 0,
             epoch: 0,
-            last_report_at: None,
-            reported: vec![],
-            recorded: vec![],
-            no_orphans: true,
+            last_status_at: None,
+            reported_tasks: vec![],
+            bound_tasks: vec![],
+            has_no_orphans: true,
             reservations: vec![],
             reclaim_at: None,
             cloud_status: CloudStatus::NotListed,
@@ -307,38 +309,38 @@
             return_reason: None,
             delete_sent_at: None,
             next_delete_at: 0,
-            probed_at: 0,
+            last_probe_at: 0,
             direct_start_at: None,
             unreachable_until: 0,
             sent_answer: None,
-            answered_at: None,
+            heartbeat_answered_at: None,
             ineffective_answers: 0,
-            unverified: false,
+            reachability_unverified: false,
             suspected_since: None,
-            checked_in_at: None,
+            last_heartbeat_at: None,
             failed_jobs: BTreeSet::new(),
             view: None,
         }
     }
 
     /// Takes in a report. False if it is not newer than what is known.
-    pub fn apply_report(&mut self, report: &Report, now: u64) -> bool {
-        if (report.session, report.serial) <= (self.session, self.serial) {
+    pub fn apply_status(&mut self, report: &AgentStatus, now: u64) -> bool {
+        if (report.incarnation, report.serial) <= (self.incarnation, self.serial) {
             return false;
         }
-        self.session = report.session;
+        self.incarnation = report.incarnation;
         self.serial = report.serial;
         self.epoch = report.epoch;
-        self.last_report_at = Some(now);
+        self.last_status_at = Some(now);
         self.up_since.get_or_insert(now);
         if self.address.is_none() || self.view.is_none() {
             self.address = report.endpoint.parse().ok().or(self.address);
         }
         self.set_kind(&report.machine_type, &report.zone, report.spot);
         self.reclaim_at = report.reclaim_in_s.map(|in_s| now + to_ms(in_s));
-        if !self.has_reported_same(report) {
-            self.reported = reported_tasks(report).collect();
-            self.no_orphans = false;
+        if !self.has_same_tasks(report) {
+            self.reported_tasks = parse_reported_tasks(report).collect();
+            self.has_no_orphans = false;
             self.view = None;
         }
         true
@@ -346,9 +348,9 @@
 
     /// Whether a report has the same tasks as the last one: most do, and nothing is copied
     /// to see that.
-    fn has_reported_same(&self, report: &Report) -> bool {
-        let mut last = self.reported.iter();
-        let same = known_tasks(report).all(|(job, number, task)| {
+    fn has_same_tasks(&self, report: &AgentStatus) -> bool {
+        let mut last = self.reported_tasks.iter();
+        let same = parseable_tasks(report).all(|(job, number, task)| {
             last.next().is_some_and(|last| {
                 last.task == number
                     && last.attempt == task.attempt
@@ -371,32 +373,34 @@
     /// Reported tasks that have not exited.
     pub fn live_tasks(&self) -> impl Iterator<Item = &ReportedTask> {
         let exited = |task: &&ReportedTask| matches!(task.phase, TaskPhase::Exited(_));
-        self.reported.iter().filter(move |task| !exited(task))
+        self.reported_tasks.iter().filter(move |task| !exited(task))
     }
 
-    /// Live tasks that the worker has and no record puts here.
+    /// Live tasks that the agent has and no record puts here.
     pub fn orphans(&self) -> impl Iterator<Item = &ReportedTask> {
-        let tasks = (!self.no_orphans).then(|| self.live_tasks());
-        tasks
-            .into_iter()
-            .flatten()
-            .filter(|task| !self.recorded.iter().any(|recorded| recorded.is(task)))
+        let tasks = (!self.has_no_orphans).then(|| self.live_tasks());
+        tasks.into_iter().flatten().filter(|task| {
+            !self
+                .bound_tasks
+                .iter()
+                .any(|bound_tasks| bound_tasks.is(task))
+        })
     }
 
     /// Remembers whether there are orphans: each plan asks for those of all machines.
     pub fn update_orphans(&mut self) {
-        if !self.no_orphans {
+        if !self.has_no_orphans {
             let none = self.orphans().next().is_none();
-            self.no_orphans = none;
+            self.has_no_orphans = none;
         }
     }
 
     /// A record does not put this task here any more; `None`: no task of the job.
-    pub fn remove_recorded(&mut self, job: &str, task: Option<u32>) {
-        self.recorded.retain(|recorded| {
-            *recorded.job != *job || task.is_some_and(|task| task != recorded.task)
+    pub fn unbind(&mut self, job: &str, task: Option<u32>) {
+        self.bound_tasks.retain(|bound_tasks| {
+            *bound_tasks.job != *job || task.is_some_and(|task| task != bound_tasks.task)
         });
-        self.no_orphans = false;
+        self.has_no_orphans = false;
         self.view = None;
     }
 
@@ -412,12 +416,12 @@
 
     /// Whether it should report.
     pub fn is_up(&self) -> bool {
-        self.last_report_at.is_some() || self.cloud_status == CloudStatus::Running
+        self.last_status_at.is_some() || self.cloud_status == CloudStatus::Running
     }
 
     /// Whether anything may be on it, or is to come.
     pub fn is_occupied(&self) -> bool {
-        !self.recorded.is_empty()
+        !self.bound_tasks.is_empty()
             || !self.reservations.is_empty()
             || self.live_tasks().next().is_some()
     }
@@ -432,16 +436,16 @@
         }
     }
 
-    /// Whether a check-in shows any effect of the last answer; counts those that don't.
-    pub fn check_effects(&mut self, report: &Report) {
+    /// Whether a heartbeat shows any effect of the last answer; counts those that don't.
+    pub fn check_effects(&mut self, report: &AgentStatus) {
         let Some(answer) = &self.sent_answer else {
             return;
         };
-        if (report.session, report.serial) <= (answer.session, answer.serial) {
+        if (report.incarnation, report.serial) <= (answer.incarnation, answer.serial) {
             return;
         }
         let has = |job: &str, task: u32, attempt: u64| {
-            self.reported
+            self.reported_tasks
                 .iter()
                 .any(|x| x.task == task && x.attempt == attempt && x.job == job)
         };
@@ -458,21 +462,21 @@
         self.sent_answer = None;
     }
 
-    /// Ends a suspicion that the same session has outlasted for `lasts_ms`: answers do
+    /// Ends a suspicion that the same incarnation has outlasted for `lasts_ms`: answers do
     /// reach it. Without this a machine with long tasks, which is told nothing for
     /// minutes, would get no work for as long.
-    pub fn end_old_suspicion(&mut self, lasts_ms: u64, now: u64) {
-        if self.ineffective_answers == 0 && !self.unverified {
+    pub fn clear_expired_suspicion(&mut self, lasts_ms: u64, now: u64) {
+        if self.ineffective_answers == 0 && !self.reachability_unverified {
             self.suspected_since = None;
             return;
         }
-        let (since, session) = *self.suspected_since.get_or_insert((now, self.session));
-        if session != self.session {
-            self.suspected_since = Some((now, self.session));
+        let (since, incarnation) = *self.suspected_since.get_or_insert((now, self.incarnation));
+        if incarnation != self.incarnation {
+            self.suspected_since = Some((now, self.incarnation));
         } else if now > since + lasts_ms {
             self.suspected_since = None;
             self.ineffective_answers = 0;
-            self.unverified = false;
+            self.reachability_unverified = false;
         }
     }
 
@@ -498,8 +502,8 @@
     }
 }
 
-fn reported_tasks(report: &Report) -> impl Iterator<Item = ReportedTask> + '_ {
-    known_tasks(report).map(|(job, number, task)| ReportedTask {
+fn parse_reported_tasks(report: &AgentStatus) -> impl Iterator<Item = ReportedTask> + '_ {
+    parseable_tasks(report).map(|(job, number, task)| ReportedTask {
         job: job.to_string(),
         task: number,
         attempt: task.attempt,
@@ -508,13 +512,13 @@
 }
 
 /// The tasks of a report whose names can be read: job, number, task.
-fn known_tasks(report: &Report) -> impl Iterator<Item = (&str, u32, &TaskReport)> {
+fn parseable_tasks(report: &AgentStatus) -> impl Iterator<Item = (&str, u32, &TaskStatus)> {
     report.tasks.iter().filter_map(|task| {
         let (job, number) = parse_task_name(&task.task)?;
         Some((job, number, task))
     })
 }
 
-fn phase_of(task: &TaskReport) -> TaskPhase {
+fn phase_of(task: &TaskStatus) -> TaskPhase {
     wire::task_phase(&task.status, task.cause.as_deref(), task.kept)
 }
--- a/src/main.rs
+++ b/src/main.rs
@@ -57,7 +57,7 @@
     #[error("duties: {0}")]
     Query(#[from] QueryError),
     #[error("duties: the report can't be written: {0}")]
-    Report(#[from] serde_json::Error),
+    AgentStatus(#[from] serde_json::Error),
 }
 
 fn log_level() -> Result<LevelFilter, StartError> {
--- a/src/mesh.rs
+++ b/src/mesh.rs
@@ -20,9 +20,9 @@
     /// The epoch of its leadership; 0 if it does not lead.
     #[prost(uint64, tag = "3")]
     pub leading_epoch: u64,
-    /// Workers that it has redirected in the last few report intervals.
+    /// Agents that it has redirected in the last few heartbeat intervals.
     #[prost(uint32, tag = "4")]
-    pub redirected_workers: u32,
+    pub redirected_agents: u32,
     /// How long its process has run.
     #[prost(uint64, tag = "5")]
     pub process_age_ms: u64,
--- a/src/net/connection.rs
+++ b/src/net/connection.rs
@@ -10,8 +10,8 @@
 /// The part of a connection that another side has opened.
 pub(super) struct ServerPart {
     pub listener: Listener,
-    /// It has brought a worker's report.
-    pub worker: bool,
+    /// It has brought an agent's report.
+    pub agent: bool,
     /// A request was passed on and not answered yet.
     pub busy: bool,
     /// It is to be closed after the answer.
@@ -62,7 +62,7 @@
     pub fn accepted(socket: TcpStream, listener: Listener, now: Instant) -> Connection {
         let role = Role::Server(ServerPart {
             listener,
-            worker: false,
+            agent: false,
             busy: false,
             close: false,
             request_began: None,
--- a/src/net/event_loop.rs
+++ b/src/net/event_loop.rs
@@ -20,12 +20,12 @@
 const FIRST_CONNECTION: usize = 16;
 const EVENTS_MAX: usize = 512;
 /// Shares of all sockets: for those who connect to us, and for our calls to
-/// workers. The rest is for calls that must get through, and for the time that
+/// agents. The rest is for calls that must get through, and for the time that
 /// closing takes.
 const SHARES: usize = 16;
 const SERVER_SHARES: usize = 12;
 const CLIENT_SHARES: usize = 3;
-/// The part of the places for those who connect that lasting connections of workers may
+/// The part of the places for those who connect that lasting connections of agents may
 /// take; the rest is for those who come and go.
 const CROWDED_SHARE: (usize, usize) = (7, 8);
 const SERVERS_MIN: usize = 8;
@@ -35,12 +35,12 @@
 /// longer than a leader's grant lasts.
 const BATCH: usize = 24;
 /// Of newcomers so many at least: those who have been served before go first, so
-/// that they stay, and a successor's workers come over one by one. A connection
+/// that they stay, and a successor's agents come over one by one. A connection
 /// that is made anew for each request costs three times as much as one that is
 /// kept, and all of them at once more than a small share of a processor has.
 const NEWCOMER_BATCH: usize = BATCH / 4;
 /// Who has waited longer than the first is read after those who came later; and
-/// after the second, a worker's patience, is closed unread. Were all served
+/// after the second, an agent's patience, is closed unread. Were all served
 /// in order, each would be served too late once the queue is that long, and
 /// would come back with a connection more: nobody would ever be in time again.
 const FAIR_MS: u64 = 1000;
@@ -53,11 +53,11 @@
 pub struct ConnectionLimits {
     /// How many sockets there may be.
     pub fd_limit: usize,
-    /// Whom a call must always reach, however many workers are called: the
+    /// Whom a call must always reach, however many agents are called: the
     /// state service, the cloud and the other controllers.
     pub vital: HashSet<SocketAddr>,
-    /// A worker that has said nothing for so long is gone.
-    pub worker_idle: Duration,
+    /// An agent that has said nothing for so long is gone.
+    pub agent_idle: Duration,
     /// Largest answer to a call: the state service's watch has no limit of its own.
     pub reply_max: usize,
 }
@@ -73,10 +73,10 @@
     pub(super) pool: HashMap<SocketAddr, Vec<usize>>,
     next_id: usize,
     servers: usize,
-    /// Those of them that have brought a worker's report.
-    pub(super) workers: usize,
+    /// Those of them that have brought an agent's report.
+    pub(super) agents: usize,
     servers_max: usize,
-    /// Connections to workers; those to `vital` addresses are few and not
+    /// Connections to agents; those to `vital` addresses are few and not
     /// counted.
     pub(super) clients: usize,
     pub(super) clients_max: usize,
@@ -135,7 +135,7 @@
             pool: HashMap::new(),
             next_id: FIRST_CONNECTION,
             servers: 0,
-            workers: 0,
+            agents: 0,
             servers_max: share(SERVER_SHARES).max(SERVERS_MIN),
             clients: 0,
             clients_max: share(CLIENT_SHARES).max(CLIENTS_MIN),
@@ -345,14 +345,14 @@
     }
 
     /// Makes room for a newcomer: the server connection idle the longest goes,
-    /// a worker's only if there is no other. A user whose connection is closed
-    /// comes back with the next request, a worker tries elsewhere first.
+    /// an agent's only if there is no other. A user whose connection is closed
+    /// comes back with the next request, an agent tries elsewhere first.
     fn close_idlest_server(&mut self) {
         let mut idlest = std::mem::take(&mut self.idlest_servers);
         self.close_idlest(&mut idlest, |connection, _| match &connection.role {
             Role::Server(part) => {
-                let worker_waits = part.worker && connection.waits_since.is_some();
-                (!part.busy && !worker_waits).then_some(part.worker)
+                let agent_waits = part.agent && connection.waits_since.is_some();
+                (!part.busy && !agent_waits).then_some(part.agent)
             }
             Role::Client(_) => None,
         });
@@ -360,7 +360,7 @@
     }
 
     /// Closes the connection idle the longest of those that `closable` allows, which tells
-    /// whether they are workers'.
+    /// whether they are agents'.
     pub(super) fn close_idlest(
         &mut self,
         idlest: &mut IdlestConnections,
@@ -382,7 +382,7 @@
             let all = self.connections.iter();
             let idle = all.filter_map(|(id, connection)| {
                 Some(IdleConnection {
-                    worker: closable(connection, &self.limits)?,
+                    agent: closable(connection, &self.limits)?,
                     used_at: connection.used_at,
                     id: *id,
                 })
@@ -391,13 +391,13 @@
         }
     }
 
-    /// Whether workers have nearly all places for those who connect. One that comes then is
+    /// Whether agents have nearly all places for those who connect. One that comes then is
     /// served on a connection of one request: were it to take the place of the one
     /// idle the longest, with more machines than places each would lose its own just before
     /// its next report, and none would keep a connection.
     pub(super) fn is_crowded(&self) -> bool {
         let (part, whole) = CROWDED_SHARE;
-        self.workers * whole > self.servers_max * part
+        self.agents * whole > self.servers_max * part
     }
 
     pub(super) fn close(&mut self, id: usize) {
@@ -408,7 +408,7 @@
         let part = match connection.role {
             Role::Server(part) => {
                 self.servers -= 1;
-                self.workers -= usize::from(part.worker);
+                self.agents -= usize::from(part.agent);
                 return;
             }
             Role::Client(part) => part,
--- a/src/net/http_client.rs
+++ b/src/net/http_client.rs
@@ -103,7 +103,7 @@
         Some(())
     }
 
-    /// Room for one more call to a worker: the connection idle the longest goes. False if
+    /// Room for one more call to an agent: the connection idle the longest goes. False if
     /// all are in use.
     fn make_room_for_client(&mut self) -> bool {
         if self.clients < self.clients_max {
--- a/src/net/http_server.rs
+++ b/src/net/http_server.rs
@@ -5,7 +5,7 @@
 use super::connection::Role;
 use super::event_loop::EventLoop;
 use super::{Event, Request, BODY_MAX, HEAD_MAX};
-use crate::wire::CHECKIN_PATH;
+use crate::wire::HEARTBEAT_PATH;
 
 const HEADERS_MAX: usize = 48;
 
@@ -50,10 +50,10 @@
         }
         let body = connection.input[head.length..end].to_vec();
         connection.input.drain(..end);
-        let worker = head.path == CHECKIN_PATH;
-        self.workers += usize::from(worker);
-        self.workers -= usize::from(part.worker);
-        part.worker = worker;
+        let agent = head.path == HEARTBEAT_PATH;
+        self.agents += usize::from(agent);
+        self.agents -= usize::from(part.agent);
+        part.agent = agent;
         part.busy = true;
         part.close = head.close;
         part.request_began = None;
@@ -98,7 +98,7 @@
         connection.was_served = true;
         // Whoever is sent elsewhere hangs up: one look less at who has gone.
         part.close |= connection.eof || status == 421;
-        part.close |= crowded && part.worker && is_newcomer;
+        part.close |= crowded && part.agent && is_newcomer;
         let head = response_head(status, retry_after, body.len(), part.close);
         connection.output.extend_from_slice(head.as_bytes());
         connection.output.extend_from_slice(body);
--- a/src/net/idle.rs
+++ b/src/net/idle.rs
@@ -9,7 +9,7 @@
 const REQUEST_MAX: Duration = Duration::from_secs(10);
 /// Longest time without a request.
 const IDLE_MAX: Duration = Duration::from_secs(120);
-/// The same for connections that we have opened: workers are called rarely and are many.
+/// The same for connections that we have opened: agents are called rarely and are many.
 const CLIENT_IDLE_MAX: Duration = Duration::from_secs(5);
 /// How often idle connections, which are many, are looked for.
 const IDLE_SWEEP_INTERVAL: Duration = Duration::from_millis(1000);
@@ -49,8 +49,8 @@
         if let Some(began) = part.request_began {
             return now.duration_since(began) >= REQUEST_MAX;
         }
-        if part.worker {
-            return idle >= self.limits.worker_idle;
+        if part.agent {
+            return idle >= self.limits.agent_idle;
         }
         let max = if connection.output.is_empty() {
             IDLE_MAX
--- a/src/net/idlest.rs
+++ b/src/net/idlest.rs
@@ -14,8 +14,8 @@
 /// A connection that could be closed, as it was when it was looked at.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct IdleConnection {
-    /// Those of workers are closed only if there is no other.
-    pub worker: bool,
+    /// Those of agents are closed only if there is no other.
+    pub agent: bool,
     pub used_at: Instant,
     pub id: usize,
 }
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -12,7 +12,7 @@
 
 pub use event_loop::{ConnectionLimits, EventLoop};
 
-/// Largest body that a user, worker or controller may send.
+/// Largest body that a user, agent or controller may send.
 pub const BODY_MAX: usize = 64 * 1024;
 /// Largest head of a request.
 const HEAD_MAX: usize = 8 * 1024;
@@ -22,7 +22,7 @@
 /// Where a request came in.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Listener {
-    /// For users, workers and health checks.
+    /// For users, agents and health checks.
     Front,
     /// For other controllers.
     Mesh,
--- a/src/node/calls.rs
+++ b/src/node/calls.rs
@@ -12,7 +12,7 @@
 use crate::leader_lease::LeaseRequest;
 use crate::mesh::{ForwardedReply, PeerStatus};
 use crate::net::{Action, Outcome};
-use crate::scheduler::{DirectStart, RentalOutcome, ReportOrigin};
+use crate::scheduler::{DirectStart, RentalOutcome, StatusOrigin};
 use crate::wire;
 
 /// Longest time for a call to the state service that is not told otherwise.
@@ -65,8 +65,8 @@
     Rent { booking: String, epoch: u64 },
     /// A deletion.
     Delete { machines: Vec<String>, epoch: u64 },
-    /// Commands to a worker, or a question.
-    Worker {
+    /// Commands to an agent, or a question.
+    Agent {
         machine: Arc<str>,
         epoch: u64,
         starts: Vec<DirectStart>,
@@ -238,11 +238,11 @@
                     scheduler.on_deleted(&machines, confirmed, now);
                 }
             }
-            PendingCall::Worker {
+            PendingCall::Agent {
                 machine,
                 epoch,
                 starts,
-            } => self.on_worker_outcome(&machine, epoch, &starts, &outcome),
+            } => self.on_agent_outcome(&machine, epoch, &starts, &outcome),
             PendingCall::PeerStatus { member, sent_at } => {
                 self.on_status_outcome(&member, sent_at, &outcome);
             }
@@ -272,7 +272,7 @@
         scheduler.on_rental(booking, rental, now);
     }
 
-    fn on_worker_outcome(
+    fn on_agent_outcome(
         &mut self,
         machine: &str,
         epoch: u64,
@@ -303,7 +303,7 @@
         else {
             return;
         };
-        let Some(report) = wire::decode::<wire::Report>(body) else {
+        let Some(report) = wire::decode::<wire::AgentStatus>(body) else {
             return;
         };
         if *report.machine != *machine {
@@ -312,7 +312,7 @@
         if report.epoch > epoch {
             return self.resign("a worker has seen a higher epoch", 0);
         }
-        scheduler.on_report(&report, ReportOrigin::DirectRequest, now);
+        scheduler.on_agent_status(&report, StatusOrigin::DirectResponse, now);
     }
 
     fn on_status_outcome(&mut self, member: &str, sent_at: u64, outcome: &Outcome) {
--- a/src/node/held_checkins.rs
+++ b/src/node/deferred_heartbeats.rs
@@ -1,31 +1,31 @@
-//! Check-ins whose answers wait a moment for starts.
+//! heartbeats whose answers wait a moment for starts.
 
 use std::collections::{BTreeMap, HashMap};
 
-use crate::wire::Report;
+use crate::wire::AgentStatus;
 
-/// A check-in whose answer waits.
+/// A heartbeat whose answer waits.
 #[derive(Debug)]
-pub(super) struct HeldCheckIn {
+pub(super) struct DeferredHeartbeat {
     pub connection: usize,
-    pub report: Report,
+    pub report: AgentStatus,
     /// When it is answered in any case.
     pub until: u64,
 }
 
-/// The check-ins that wait, in the order in which they came. Whatever happens to one machine
-/// looks at that machine's check-in only.
+/// The heartbeats that wait, in the order in which they came. Whatever happens to one machine
+/// looks at that machine's heartbeat only.
 #[derive(Debug, Default)]
-pub(super) struct HeldCheckIns {
+pub(super) struct DeferredHeartbeats {
     next_number: u64,
-    by_number: BTreeMap<u64, HeldCheckIn>,
+    by_number: BTreeMap<u64, DeferredHeartbeat>,
     number_of: HashMap<String, u64>,
 }
 
-impl HeldCheckIns {
-    /// Adds a check-in. Returns an earlier one of the same machine, for which nobody may
+impl DeferredHeartbeats {
+    /// Adds a heartbeat. Returns an earlier one of the same machine, for which nobody may
     /// wait any more.
-    pub fn insert(&mut self, held: HeldCheckIn) -> Option<HeldCheckIn> {
+    pub fn insert(&mut self, held: DeferredHeartbeat) -> Option<DeferredHeartbeat> {
         let number = self.next_number;
         self.next_number += 1;
         let machine = held.report.machine.clone();
@@ -35,7 +35,10 @@
     }
 
     /// Takes out those of the given machines, in the order in which they came.
-    pub fn take_of<'a>(&mut self, machines: impl Iterator<Item = &'a str>) -> Vec<HeldCheckIn> {
+    pub fn take_of<'a>(
+        &mut self,
+        machines: impl Iterator<Item = &'a str>,
+    ) -> Vec<DeferredHeartbeat> {
         let numbers = machines.filter_map(|machine| self.number_of.remove(machine));
         let mut numbers: Vec<u64> = numbers.collect();
         numbers.sort_unstable();
@@ -46,7 +49,7 @@
     }
 
     /// Takes out those whose time is over. All wait equally long, so these came first.
-    pub fn take_due(&mut self, now: u64) -> Vec<HeldCheckIn> {
+    pub fn take_due(&mut self, now: u64) -> Vec<DeferredHeartbeat> {
         let mut due = Vec::new();
         while let Some(first) = self.by_number.first_entry() {
             if now < first.get().until {
@@ -60,7 +63,7 @@
     }
 
     /// Takes out all.
-    pub fn take_all(&mut self) -> Vec<HeldCheckIn> {
+    pub fn take_all(&mut self) -> Vec<DeferredHeartbeat> {
         self.number_of.clear();
         std::mem::take(&mut self.by_number).into_values().collect()
     }
--- a/src/node/duties/cleaning.rs
+++ b/src/node/duties/cleaning.rs
@@ -11,7 +11,7 @@
 use crate::duties::{OrderKey, OrderPhase, OrderRecord};
 use crate::time_units::to_ms;
 
-/// Workers' leases for which a record has to stay as it is before it is removed.
+/// Agents' leases for which a record has to stay as it is before it is removed.
 const UNCHANGED_LEASES: f64 = 2.0;
 
 /// Since when records have stayed as they are.
--- a/src/node/effects.rs
+++ b/src/node/effects.rs
@@ -9,8 +9,8 @@
 use crate::wire;
 use crate::write_queue::{WriteClass, WriteRequest};
 
-/// Longest times for calls to workers and to the cloud.
-const WORKER_TIMEOUT_MS: u64 = 2000;
+/// Longest times for calls to agents and to the cloud.
+const AGENT_TIMEOUT_MS: u64 = 2000;
 pub(super) const CLOUD_TIMEOUT_MS: u64 = 4000;
 
 impl Node {
@@ -37,31 +37,31 @@
             Effect::Commands {
                 machine,
                 address,
-                session,
+                incarnation,
                 commands,
                 starts,
             } => {
                 trace!("{machine} gets commands {commands:?}");
                 let body = wire::encode(&wire::CommandBatch {
                     epoch,
-                    session: Some(session),
+                    incarnation: Some(incarnation),
                     commands,
                 });
-                let pending = PendingCall::Worker {
+                let pending = PendingCall::Agent {
                     machine,
                     epoch,
                     starts,
                 };
-                let call = HttpCall::post(wire::COMMANDS_PATH, body, WORKER_TIMEOUT_MS);
+                let call = HttpCall::post(wire::COMMANDS_PATH, body, AGENT_TIMEOUT_MS);
                 self.call(pending, address, call);
             }
             Effect::Inspect { machine, address } => {
-                let pending = PendingCall::Worker {
+                let pending = PendingCall::Agent {
                     machine,
                     epoch,
                     starts: vec![],
                 };
-                let call = HttpCall::get(wire::INSPECT_PATH, WORKER_TIMEOUT_MS);
+                let call = HttpCall::get(wire::INSPECT_PATH, AGENT_TIMEOUT_MS);
                 self.call(pending, address, call);
             }
             Effect::Rent {
--- a/src/node/format_version.rs
+++ b/src/node/format_version.rs
@@ -23,11 +23,11 @@
 
 /// The latest format that this version can read.
 const LATEST_FORMAT: u64 = DUTIES_FORMAT;
-/// How often a write that makes a version known is tried, in report intervals.
-const RETRY_REPORTS: f64 = 0.5;
-/// For how many report intervals a refusal for the number of changes counts, while
+/// How often a write that makes a version known is tried, in heartbeat intervals.
+const RETRY_INTERVALS: f64 = 0.5;
+/// For how many heartbeat intervals a refusal for the number of changes counts, while
 /// nothing proves that the lower limit holds.
-const SCARCE_REPORTS: f64 = 4.0;
+const THROTTLED_INTERVALS: f64 = 4.0;
 
 /// What is known of the format beyond the replica.
 #[derive(Debug, Default)]
@@ -105,7 +105,7 @@
         if self.replica.format >= PACKED_FORMAT {
             return self.hand_out_duties();
         }
-        let pause_s = self.settings.cluster.workers.report_s * RETRY_REPORTS;
+        let pause_s = self.settings.cluster.workers.report_s * RETRY_INTERVALS;
         self.format_state.next_write_at = now + to_ms(pause_s);
         let is_known = self.replica.members.contains(&self.settings.member);
         let all_known = is_known && self.do_all_know(PACKED_FORMAT);
@@ -137,7 +137,7 @@
         if !is_ready {
             return;
         }
-        let pause_s = self.settings.cluster.workers.report_s * RETRY_REPORTS;
+        let pause_s = self.settings.cluster.workers.report_s * RETRY_INTERVALS;
         self.format_state.next_write_at = self.now.steady + to_ms(pause_s);
         if !self.replica.is_superseded() {
             return self.resign(
@@ -186,7 +186,7 @@
                 self.raise_format("the state service holds to its lower limits");
             }
             429 if self.format() < PACKED_FORMAT => {
-                let spell_s = self.settings.cluster.workers.report_s * SCARCE_REPORTS;
+                let spell_s = self.settings.cluster.workers.report_s * THROTTLED_INTERVALS;
                 let spell_ms = to_ms(spell_s);
                 self.format_state.scarce_until = self.now.steady + spell_ms;
                 self.on_format_changed();
--- a/src/node/checkins.rs
+++ b/src/node/heartbeats.rs
@@ -1,22 +1,22 @@
-//! Workers' check-ins.
+//! Agents' heartbeats.
 
 use tracing::trace;
 
-use super::held_checkins::HeldCheckIn;
+use super::deferred_heartbeats::DeferredHeartbeat;
 use super::Node;
-use crate::scheduler::ReportOrigin;
+use crate::scheduler::StatusOrigin;
 use crate::time_units::to_ms;
-use crate::wire::{self, Report};
+use crate::wire::{self, AgentStatus};
 
-/// For how long an answer waits for starts, as a share of a report interval.
-const HOLD_REPORT_SHARE: f64 = 0.1;
+/// For how long an answer waits for starts, as a share of a heartbeat interval.
+const DEFER_HEARTBEAT_SHARE: f64 = 0.1;
 /// For this share of the time between a lease and `cancel_s`, reports are answered although
 /// there may be cancellations that this controller does not know of.
 const UNKNOWN_CANCELLATIONS_SHARE: f64 = 0.75;
 
 impl Node {
-    pub(super) fn on_checkin(&mut self, connection: usize, body: &[u8]) {
-        let Some(report) = wire::decode::<Report>(body) else {
+    pub(super) fn on_heartbeat(&mut self, connection: usize, body: &[u8]) {
+        let Some(report) = wire::decode::<AgentStatus>(body) else {
             return self.answer(connection, 400, None, vec![]);
         };
         let Some(scheduler) = &self.scheduler else {
@@ -29,46 +29,46 @@
         if !self.knows_recent_cancellations() {
             return self.answer(connection, 503, Some(1), vec![]);
         }
-        self.take_checkin(connection, report);
+        self.accept_heartbeat(connection, report);
     }
 
-    /// Whether no cancellation can run out that this controller does not know of: a worker
+    /// Whether no cancellation can run out that this controller does not know of: an agent
     /// that hears nothing afterwards ends its tasks before that.
     fn knows_recent_cancellations(&self) -> bool {
-        let workers = &self.settings.cluster.workers;
-        let bound_s = (workers.cancel_s - workers.lease_s) * UNKNOWN_CANCELLATIONS_SHARE;
+        let agents = &self.settings.cluster.workers;
+        let bound_s = (agents.cancel_s - agents.lease_s) * UNKNOWN_CANCELLATIONS_SHARE;
         let bound_ms = to_ms(bound_s);
         let known_at = self.cancellations_known_at();
         known_at.is_some_and(|at| self.now.steady <= at + bound_ms)
     }
 
-    fn take_checkin(&mut self, connection: usize, report: Report) {
+    fn accept_heartbeat(&mut self, connection: usize, report: AgentStatus) {
         let now = self.now.steady;
         let certain = self.lease.is_certain(now);
         let Some(scheduler) = &mut self.scheduler else {
             return;
         };
-        let has_room = scheduler.on_report(&report, ReportOrigin::CheckIn, now);
-        self.worker_answered_at = Some(now);
+        let has_room = scheduler.on_agent_status(&report, StatusOrigin::Heartbeat, now);
+        self.agent_answered_at = Some(now);
         if certain && has_room && !scheduler.is_startable(&report.machine) {
-            let hold_s = self.settings.cluster.workers.report_s * HOLD_REPORT_SHARE;
-            let earlier = self.held_checkins.insert(HeldCheckIn {
+            let hold_s = self.settings.cluster.workers.report_s * DEFER_HEARTBEAT_SHARE;
+            let earlier = self.deferred_heartbeats.insert(DeferredHeartbeat {
                 connection,
                 report,
                 until: now + to_ms(hold_s),
             });
             if let Some(earlier) = earlier {
-                self.answer_checkin(earlier.connection, &earlier.report);
+                self.answer_heartbeat(earlier.connection, &earlier.report);
             }
         } else {
-            self.answer_checkin(connection, &report);
+            self.answer_heartbeat(connection, &report);
         }
     }
 
-    /// Sends a worker to the leader, if that is known.
-    fn redirect(&mut self, connection: usize, report: Report) {
+    /// Sends an agent to the leader, if that is known.
+    fn redirect(&mut self, connection: usize, report: AgentStatus) {
         let now = self.now.steady;
-        self.redirected_workers.insert(report.machine, now);
+        self.redirected_agents.insert(report.machine, now);
         let leader = self.replica.leader().map(|(key, _)| key.member.clone());
         let body = wire::encode(&wire::Redirect {
             reports_to: leader.filter(|member| *member != self.settings.member),
@@ -76,8 +76,8 @@
         self.answer(connection, 421, None, body);
     }
 
-    /// Answers a check-in that was taken in, with what there is to do.
-    fn answer_checkin(&mut self, connection: usize, report: &Report) {
+    /// Answers a heartbeat that was taken in, with what there is to do.
+    fn answer_heartbeat(&mut self, connection: usize, report: &AgentStatus) {
         let now = self.now.steady;
         let may_start = self.may_start();
         let Some(scheduler) = &mut self.scheduler else {
@@ -86,13 +86,13 @@
         };
         let reply = wire::CommandBatch {
             epoch: scheduler.epoch(),
-            session: None,
+            incarnation: None,
             commands: scheduler.answer_commands(report, may_start, now),
         };
         trace!(
             "{} {}/{} reports {:?}, gets {:?}",
             report.machine,
-            report.session,
+            report.incarnation,
             report.serial,
             report.tasks,
             reply.commands
@@ -100,22 +100,22 @@
         self.answer(connection, 200, None, wire::encode(&reply));
     }
 
-    /// Answers check-ins that wait for starts, as soon as those are on record, or without
+    /// Answers heartbeats that wait for starts, as soon as those are on record, or without
     /// them when the time is over.
-    pub(super) fn answer_held_checkins(&mut self) {
+    pub(super) fn answer_deferred_heartbeats(&mut self) {
         let now = self.now.steady;
         let held = match &mut self.scheduler {
             Some(scheduler) => {
                 let startable = scheduler.take_newly_startable();
                 let startable = startable.iter().map(|machine| &**machine);
-                let mut held = self.held_checkins.take_of(startable);
-                held.extend(self.held_checkins.take_due(now));
+                let mut held = self.deferred_heartbeats.take_of(startable);
+                held.extend(self.deferred_heartbeats.take_due(now));
                 held
             }
-            None => self.held_checkins.take_all(),
+            None => self.deferred_heartbeats.take_all(),
         };
         for held in held {
-            self.answer_checkin(held.connection, &held.report);
+            self.answer_heartbeat(held.connection, &held.report);
         }
     }
 }
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -2,13 +2,13 @@
 //! actions come out; no sockets and no clocks here.
 
 mod calls;
-mod checkins;
 mod cloud_sync;
+mod deferred_heartbeats;
 mod dependencies;
 mod duties;
 mod effects;
 mod format_version;
-mod held_checkins;
+mod heartbeats;
 mod leadership;
 mod list_reader;
 mod peers;
@@ -41,10 +41,10 @@
 use crate::write_queue::{CommitResult, WriteQueue};
 
 use calls::PendingCall;
+use deferred_heartbeats::DeferredHeartbeats;
 use dependencies::DependencyLookups;
 use duties::{DutyState, DutyWrite};
 use format_version::FormatState;
-use held_checkins::HeldCheckIns;
 use list_reader::MachineListReader;
 use peers::PeerView;
 use planning::PlanTimer;
@@ -145,11 +145,11 @@
     admission: AdmissionLimit,
     peers: HashMap<String, PeerView>,
     next_status_at: u64,
-    /// Workers that were redirected, and when.
-    redirected_workers: BTreeMap<String, u64>,
-    /// When a worker's report was last answered.
-    worker_answered_at: Option<u64>,
-    held_checkins: HeldCheckIns,
+    /// Agents that were redirected, and when.
+    redirected_agents: BTreeMap<String, u64>,
+    /// When an agent's report was last answered.
+    agent_answered_at: Option<u64>,
+    deferred_heartbeats: DeferredHeartbeats,
     plan_timer: PlanTimer,
     next_tick_at: u64,
     stats_timer: StatsTimer,
@@ -201,9 +201,9 @@
                 .map(|peer| (peer.member.clone(), PeerView::default()))
                 .collect(),
             next_status_at: 0,
-            redirected_workers: BTreeMap::new(),
-            worker_answered_at: None,
-            held_checkins: HeldCheckIns::default(),
+            redirected_agents: BTreeMap::new(),
+            agent_answered_at: None,
+            deferred_heartbeats: DeferredHeartbeats::default(),
             plan_timer: PlanTimer::default(),
             next_tick_at: 0,
             stats_timer: StatsTimer::default(),
@@ -313,13 +313,13 @@
 
     fn scheduler_tick(&mut self) {
         let now = self.now.steady;
-        // Workers may have gone to the one that is not heard.
+        // Agents may have gone to the one that is not heard.
         let redirected = self.redirected_elsewhere();
         let most_heard = redirected.peers_heard * 2 > self.peers.len();
         if let Some(scheduler) = &mut self.scheduler {
             let spare_writes = self.writes.spare_writes(now);
-            let workers = most_heard.then_some(redirected.workers);
-            scheduler.set_redirected_elsewhere(workers);
+            let agents = most_heard.then_some(redirected.agents);
+            scheduler.set_redirected_elsewhere(agents);
             scheduler.tick(now, self.replica.revision, spare_writes);
         }
     }
@@ -335,7 +335,7 @@
         if let Some(scheduler) = &mut self.scheduler {
             scheduler.flush(now, self.replica.revision, 0);
         }
-        self.answer_held_checkins();
+        self.answer_deferred_heartbeats();
         let may_start = self.may_start();
         if let Some(scheduler) = &mut self.scheduler {
             scheduler.send_direct_starts(may_start, now);
@@ -351,7 +351,7 @@
     fn on_request(&mut self, connection: usize, listener: Listener, request: Request) {
         *match (listener, request.path.as_str()) {
             (Listener::Mesh, _) => &mut self.stats.peers,
-            (_, wire::CHECKIN_PATH) => &mut self.stats.checkins,
+            (_, wire::HEARTBEAT_PATH) => &mut self.stats.heartbeats,
             _ => &mut self.stats.users,
         } += 1;
         match listener {
@@ -387,12 +387,12 @@
 
     fn on_front_request(&mut self, connection: usize, request: Request) {
         match (request.method.as_str(), request.path.as_str()) {
-            ("POST", wire::CHECKIN_PATH) => self.on_checkin(connection, &request.body),
+            ("POST", wire::HEARTBEAT_PATH) => self.on_heartbeat(connection, &request.body),
             ("GET", wire::HEALTH_PATH) => {
                 let status = if self.is_healthy() { 200 } else { 503 };
                 self.answer(connection, status, None, vec![]);
             }
-            (_, wire::CHECKIN_PATH | wire::HEALTH_PATH) => {
+            (_, wire::HEARTBEAT_PATH | wire::HEALTH_PATH) => {
                 self.answer(connection, 405, None, vec![]);
             }
             _ => {
--- a/src/node/peers.rs
+++ b/src/node/peers.rs
@@ -20,15 +20,15 @@
 const HEARD_MS: u64 = 2500;
 /// A process' age by its own clock may be too high by one part in so many.
 const AGE_ERROR_PARTS: u64 = 500;
-/// For how long redirected workers are remembered.
+/// For how long redirected agents are remembered.
 const REDIRECTED_MEMORY_MS: u64 = 60_000;
-/// Report intervals for which they are told of.
-const REDIRECTED_REPORTS: f64 = 2.0;
-/// Report intervals within which every worker that can has reported.
-const ROUND_REPORTS: f64 = 1.5;
+/// AgentStatus intervals for which they are told of.
+const REDIRECTED_INTERVALS: f64 = 2.0;
+/// AgentStatus intervals within which every agent that can has reported.
+const ROUND_INTERVALS: f64 = 1.5;
 /// By this multiple of `cancel_s` nothing is left of a cancelled job.
 const CANCELLED_MEMORY: f64 = 2.0;
-/// For how long a leader that no worker reaches lets others lead, as a share of a lease.
+/// For how long a leader that no agent reaches lets others lead, as a share of a lease.
 const STANDBY_LEASE_SHARE: f64 = 0.5;
 
 /// What is known of another controller.
@@ -50,18 +50,18 @@
     process_began_at: u64,
 }
 
-/// Workers that came to other controllers.
+/// Agents that came to other controllers.
 pub(super) struct RedirectedElsewhere {
     /// How many of the others are heard.
     pub peers_heard: usize,
-    /// How many workers these redirected lately.
-    pub workers: u32,
+    /// How many agents these redirected lately.
+    pub agents: u32,
 }
 
 impl Node {
     fn status(&self) -> PeerStatus {
         let now = self.now.steady;
-        let span_s = self.settings.cluster.workers.report_s * REDIRECTED_REPORTS;
+        let span_s = self.settings.cluster.workers.report_s * REDIRECTED_INTERVALS;
         let span_ms = to_ms(span_s);
         let lately = |times: &BTreeMap<String, u64>| {
             times.values().filter(|at| now < **at + span_ms).count()
@@ -70,7 +70,7 @@
             member: self.settings.member.clone(),
             state_reachable: self.is_state_reachable(),
             leading_epoch: self.epoch(),
-            redirected_workers: lately(&self.redirected_workers) as u32,
+            redirected_agents: lately(&self.redirected_agents) as u32,
             process_age_ms: self.began_at.map_or(0, |at| now - at),
             told_cancelled: vec![],
             known_format: self.known_format(),
@@ -145,7 +145,7 @@
             peer.heard_at = Some(now);
             peer.status = status;
         }
-        if self.is_cut_off_from_workers() {
+        if self.is_cut_off_from_agents() {
             let lease_s = self.settings.cluster.workers.lease_s;
             let standby_ms = to_ms(lease_s * STANDBY_LEASE_SHARE);
             let why = "no worker gets through while others turn them away";
@@ -153,9 +153,9 @@
         }
     }
 
-    /// Whether this leader is cut off from every worker while others redirect them:
+    /// Whether this leader is cut off from every agent while others redirect them:
     /// another controller should lead.
-    fn is_cut_off_from_workers(&self) -> bool {
+    fn is_cut_off_from_agents(&self) -> bool {
         let now = self.now.steady;
         let Some(scheduler) = &self.scheduler else {
             return false;
@@ -167,11 +167,11 @@
             return false;
         }
         // Any report, also an old copy, shows that there is a way here.
-        let round_s = self.settings.cluster.workers.report_s * ROUND_REPORTS;
+        let round_s = self.settings.cluster.workers.report_s * ROUND_INTERVALS;
         let round_ms = to_ms(round_s);
-        let answered = self.worker_answered_at;
+        let answered = self.agent_answered_at;
         let reached = answered.is_some_and(|at| now < at + round_ms);
-        self.redirected_elsewhere().workers > 0 && !reached
+        self.redirected_elsewhere().agents > 0 && !reached
     }
 
     pub(super) fn live_peers(&self) -> impl Iterator<Item = &PeerView> {
@@ -180,16 +180,16 @@
         self.peers.values().filter(alive)
     }
 
-    /// How many others are heard, and how many workers they redirected lately.
+    /// How many others are heard, and how many agents they redirected lately.
     pub(super) fn redirected_elsewhere(&self) -> RedirectedElsewhere {
         let mut redirected = RedirectedElsewhere {
             peers_heard: 0,
-            workers: 0,
+            agents: 0,
         };
         for peer in self.live_peers() {
             redirected.peers_heard += 1;
-            let workers = peer.status.redirected_workers;
-            redirected.workers = redirected.workers.saturating_add(workers);
+            let agents = peer.status.redirected_agents;
+            redirected.agents = redirected.agents.saturating_add(agents);
         }
         redirected
     }
@@ -208,7 +208,7 @@
             return;
         }
         self.next_status_at = now + STATUS_INTERVAL_MS;
-        self.redirected_workers
+        self.redirected_agents
             .retain(|_, at| now < *at + REDIRECTED_MEMORY_MS);
         let cancel_s = self.settings.cluster.workers.cancel_s;
         let memory_ms = to_ms(cancel_s * CANCELLED_MEMORY);
--- a/src/node/planning.rs
+++ b/src/node/planning.rs
@@ -45,7 +45,7 @@
         if !scheduler.dirty && now.steady < next_at + IDLE_GAP_MS {
             return None;
         }
-        // Check-ins that wait go first, but not for ever.
+        // heartbeats that wait go first, but not for ever.
         if scheduler.is_overloaded(now.steady) && now.steady < next_at + OVERLOADED_GAP_MS {
             return None;
         }
--- a/src/node/stats.rs
+++ b/src/node/stats.rs
@@ -26,13 +26,13 @@
 /// What came in and went out since the last look.
 #[derive(Debug, Default)]
 pub(super) struct TrafficStats {
-    pub checkins: u64,
+    pub heartbeats: u64,
     pub users: u64,
     pub peers: u64,
     pub replies: u64,
     state_calls: u64,
     cloud_calls: u64,
-    worker_calls: u64,
+    agent_calls: u64,
     mesh_calls: u64,
     pub plans: u64,
     pub plan_ms: u64,
@@ -45,7 +45,7 @@
 impl TrafficStats {
     pub fn count_call(&mut self, call: &PendingCall) {
         let count = match call {
-            PendingCall::Worker { .. } => &mut self.worker_calls,
+            PendingCall::Agent { .. } => &mut self.agent_calls,
             PendingCall::PeerStatus { .. } | PendingCall::Forward { .. } => &mut self.mesh_calls,
             PendingCall::MachineTypes
             | PendingCall::MachineList { .. }
@@ -89,13 +89,13 @@
         let stats = std::mem::take(&mut self.stats);
         info!(
             "in: {} check-ins, {} users, {} peers, {} replies; calls: {} state, {} cloud, {} workers, {} mesh; {} plans in {} ms; late by {} ms, behind by {} ms",
-            stats.checkins,
+            stats.heartbeats,
             stats.users,
             stats.peers,
             stats.replies,
             stats.state_calls,
             stats.cloud_calls,
-            stats.worker_calls,
+            stats.agent_calls,
             stats.mesh_calls,
             stats.plans,
             stats.plan_ms,
--- a/src/scheduler/reports.rs
+++ b/src/scheduler/agent_status.rs
@@ -1,4 +1,4 @@
-//! What workers report.
+//! What agents report.
 
 use std::sync::Arc;
 
@@ -7,9 +7,9 @@
 use super::job_state::StartDelivery;
 use super::{to_ms, Job, Placement, Scheduler};
 use crate::job::{task_name, Shape};
-use crate::machine::{ExitCause, Machine, RecordedTask, ReturnReason, TaskPhase};
+use crate::machine::{BoundTask, ExitCause, Machine, ReturnReason, TaskPhase};
 use crate::plan::Resources;
-use crate::wire::{self, Command, Report};
+use crate::wire::{self, AgentStatus, Command};
 
 /// How often a start on record is sent at most, before the place is given up.
 const SENDS_MAX: u32 = 3;
@@ -21,11 +21,11 @@
 
 /// How a report came.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum ReportOrigin {
-    /// By itself: a check-in.
-    CheckIn,
+pub enum StatusOrigin {
+    /// By itself: a heartbeat.
+    Heartbeat,
     /// In answer to a direct request.
-    DirectRequest,
+    DirectResponse,
 }
 
 /// What a report says of a task on record.
@@ -40,7 +40,7 @@
 
 /// What a report's tasks brought.
 #[derive(Default)]
-struct ReportEffects {
+struct StatusEffects {
     /// Room came free.
     freed_room: bool,
     /// A direct start may still be on its way.
@@ -48,15 +48,20 @@
 }
 
 impl Scheduler {
-    /// Takes in a worker's report. True if it tells of room that waiting tasks could have:
+    /// Takes in an agent's report. True if it tells of room that waiting tasks could have:
     /// an answer that waits a moment can carry their starts, instead of the next one a
-    /// report interval later.
-    pub fn on_report(&mut self, report: &Report, origin: ReportOrigin, now: u64) -> bool {
+    /// heartbeat interval later.
+    pub fn on_agent_status(
+        &mut self,
+        report: &AgentStatus,
+        origin: StatusOrigin,
+        now: u64,
+    ) -> bool {
         if self.deleted_machines.contains_key(&report.machine) {
             // Gone for good: its report comes late.
             return false;
         }
-        let Some(woke) = self.apply_report(report, origin, now) else {
+        let Some(became_schedulable) = self.apply_status(report, origin, now) else {
             return false;
         };
         let Some(machine) = self.machines.get(&report.machine) else {
@@ -66,28 +71,33 @@
         let current = report.epoch >= self.term.epoch;
         let may_start = machine.is_retained() && current;
         let free = !machine.is_occupied()
-            && (woke || machine.idle_since == Some(now) || report.tasks.is_empty());
-        let mut effects = ReportEffects {
+            && (became_schedulable || machine.idle_since == Some(now) || report.tasks.is_empty());
+        let mut effects = StatusEffects {
             freed_room: free,
             start_pending: false,
         };
         // A report without our epoch may be a copy from before an earlier leader cleared a
-        // task and started it again under its attempt, or of a session that is over: what
+        // task and started it again under its attempt, or of an incarnation that is over: what
         // it says of places proves nothing.
         if current {
-            for recorded in machine.recorded.clone() {
+            for recorded in machine.bound_tasks.clone() {
                 self.apply_task(&recorded, report, origin, may_start, &mut effects, now);
             }
         }
-        self.finish_report(&name, effects.start_pending, woke, now);
+        self.complete_status(&name, effects.start_pending, became_schedulable, now);
         effects.freed_room && may_start && self.jobs_wait
     }
 
     /// Takes the report into the machine's state. `None` if it is not new; else whether
     /// the machine may now have work for the first time.
-    fn apply_report(&mut self, report: &Report, origin: ReportOrigin, now: u64) -> Option<bool> {
+    fn apply_status(
+        &mut self,
+        report: &AgentStatus,
+        origin: StatusOrigin,
+        now: u64,
+    ) -> Option<bool> {
         let lease_ms = to_ms(self.cluster.workers.lease_s);
-        let report_ms = to_ms(self.cluster.workers.report_s);
+        let heartbeat_interval_ms = to_ms(self.cluster.workers.report_s);
         let lagging = self.is_lagging(now);
         let machine = self
             .machines
@@ -97,51 +107,51 @@
                 Machine::new(&report.machine, kind.0, kind.1, kind.2, now)
             });
         let had_orphans = machine.orphans().next().is_some();
-        let was_heard = machine.last_report_at.is_some();
-        let (old_epoch, old_session) = (machine.epoch, machine.session);
-        if !machine.apply_report(report, now) {
+        let was_heard = machine.last_status_at.is_some();
+        let (old_epoch, old_incarnation) = (machine.epoch, machine.incarnation);
+        if !machine.apply_status(report, now) {
             return None;
         }
         if had_orphans || machine.orphans().next().is_some() {
             self.team_limits.on_change();
         }
-        self.last_report_at = now;
-        let verifies = origin == ReportOrigin::DirectRequest && machine.unverified;
-        let woke = !was_heard || old_epoch != machine.epoch || verifies;
+        self.last_status_at = now;
+        let verifies = origin == StatusOrigin::DirectResponse && machine.reachability_unverified;
+        let became_schedulable = !was_heard || old_epoch != machine.epoch || verifies;
         if machine.delete_sent_at.is_some() && machine.return_reason.is_none() {
             machine.return_reason = Some(ReturnReason::DeletionSent);
         }
         let (part, whole) = ANSWERED_LEASE_SHARE;
         let answered = machine
-            .answered_at
+            .heartbeat_answered_at
             .is_some_and(|at| now < at + lease_ms * part / whole);
-        if origin == ReportOrigin::CheckIn {
+        if origin == StatusOrigin::Heartbeat {
             if lagging {
                 // Our answer may have come too late to be taken.
                 machine.sent_answer = None;
             } else {
                 machine.check_effects(report);
-                let new_session = was_heard && machine.session > old_session;
-                machine.unverified |= new_session && answered;
+                let is_new_incarnation = was_heard && machine.incarnation > old_incarnation;
+                machine.reachability_unverified |= is_new_incarnation && answered;
             }
         }
-        machine.unverified &= !verifies;
-        if origin == ReportOrigin::CheckIn {
-            machine.checked_in_at = Some(now);
-            // What hears no answer for a lease begins a new session.
-            machine.end_old_suspicion(lease_ms + report_ms, now);
+        machine.reachability_unverified &= !verifies;
+        if origin == StatusOrigin::Heartbeat {
+            machine.last_heartbeat_at = Some(now);
+            // What hears no answer for a lease begins a new incarnation.
+            machine.clear_expired_suspicion(lease_ms + heartbeat_interval_ms, now);
         }
-        Some(woke)
+        Some(became_schedulable)
     }
 
     /// Takes in what a report says of a task on record.
     fn apply_task(
         &mut self,
-        recorded: &RecordedTask,
-        report: &Report,
-        origin: ReportOrigin,
+        recorded: &BoundTask,
+        report: &AgentStatus,
+        origin: StatusOrigin,
         may_start: bool,
-        effects: &mut ReportEffects,
+        effects: &mut StatusEffects,
         now: u64,
     ) {
         let (id, task) = (&recorded.job, recorded.task);
@@ -193,14 +203,17 @@
 
     fn finding(
         &self,
-        recorded: &RecordedTask,
+        recorded: &BoundTask,
         placement: &Placement,
-        report: &Report,
-        origin: ReportOrigin,
+        report: &AgentStatus,
+        origin: StatusOrigin,
     ) -> Finding {
-        let reported = self.machines[&report.machine].reported.iter().find(|t| {
-            t.task == recorded.task && t.attempt == recorded.attempt && *t.job == *recorded.job
-        });
+        let reported = self.machines[&report.machine]
+            .reported_tasks
+            .iter()
+            .find(|t| {
+                t.task == recorded.task && t.attempt == recorded.attempt && *t.job == *recorded.job
+            });
         match reported {
             Some(reported) => Finding::Present(reported.phase),
             None if proves_absence(placement, report, origin) => Finding::ProvenAbsent,
@@ -210,8 +223,8 @@
 
     fn update_phase(
         &mut self,
-        recorded: &RecordedTask,
-        report: &Report,
+        recorded: &BoundTask,
+        report: &AgentStatus,
         phase: TaskPhase,
         now: u64,
     ) {
@@ -241,7 +254,13 @@
     }
 
     /// Stops orphans and brings what follows from the machine's tasks up to date.
-    fn finish_report(&mut self, name: &Arc<str>, start_pending: bool, woke: bool, now: u64) {
+    fn complete_status(
+        &mut self,
+        name: &Arc<str>,
+        start_pending: bool,
+        became_schedulable: bool,
+        now: u64,
+    ) {
         let Some(machine) = self.machines.get_mut(&**name) else {
             return;
         };
@@ -256,7 +275,7 @@
         machine.update_orphans();
         machine.update_idle(self.term.epoch, now);
         self.queue_commands(name.clone(), stops);
-        if woke {
+        if became_schedulable {
             self.retry_backed_off();
         }
     }
@@ -265,7 +284,7 @@
     /// task was stopped to make room, the room was given to another and that recorded,
     /// and the leader ended before it removed the first: then the machine's room or
     /// the team's limit is given out twice.
-    fn has_room_for(&mut self, recorded: &RecordedTask, machine: &str) -> bool {
+    fn has_room_for(&mut self, recorded: &BoundTask, machine: &str) -> bool {
         let machine = self.machines.get(machine);
         let (Some(machine), Some(job)) = (machine, self.jobs.get(&*recorded.job)) else {
             return false;
@@ -351,40 +370,54 @@
 
 /// A second start has the attempt of the first: a report that overtook the answer which
 /// carries it tells of the first one's end.
-fn overtakes_second_start(placement: &Placement, report: &Report, origin: ReportOrigin) -> bool {
-    let Some(StartDelivery::Answer { session, serial }) = placement.delivery else {
+fn overtakes_second_start(
+    placement: &Placement,
+    report: &AgentStatus,
+    origin: StatusOrigin,
+) -> bool {
+    let Some(StartDelivery::Answer {
+        incarnation,
+        serial,
+    }) = placement.delivery
+    else {
         return false;
     };
-    let later_checkin = origin == ReportOrigin::CheckIn && report.serial > serial;
-    placement.restarts && report.session == session && !later_checkin
+    let is_later_heartbeat = origin == StatusOrigin::Heartbeat && report.serial > serial;
+    placement.restarts && report.incarnation == incarnation && !is_later_heartbeat
 }
 
 /// Whether a report that lacks a task proves that its place is empty.
-fn proves_absence(placement: &Placement, report: &Report, origin: ReportOrigin) -> bool {
+fn proves_absence(placement: &Placement, report: &AgentStatus, origin: StatusOrigin) -> bool {
     if placement.phase.is_some() {
         return true;
     }
     match (placement.change, placement.delivery) {
-        // An earlier leader's start can't be taken any more once the worker
+        // An earlier leader's start can't be taken any more once the agent
         // has seen this epoch.
         (0, None) => !placement.restarts,
         (_, None) => false,
-        // A start travels in the answer to a check-in, and the next check-in
+        // A start travels in the answer to a heartbeat, and the next heartbeat
         // comes after it was taken or dropped. Other bodies may overtake the
         // answer.
-        (_, Some(StartDelivery::Answer { session, serial })) => {
-            let later = (report.session, report.serial) > (session, serial);
-            origin == ReportOrigin::CheckIn && later
+        (
+            _,
+            Some(StartDelivery::Answer {
+                incarnation,
+                serial,
+            }),
+        ) => {
+            let later = (report.incarnation, report.serial) > (incarnation, serial);
+            origin == StatusOrigin::Heartbeat && later
         }
-        // One that went straight to the worker may lie in the network until
-        // the session is over.
-        (_, Some(StartDelivery::Direct { session, .. })) => report.session > session,
+        // One that went straight to the agent may lie in the network until
+        // the incarnation is over.
+        (_, Some(StartDelivery::Direct { incarnation, .. })) => report.incarnation > incarnation,
     }
 }
 
-/// Whether a job has completed a task, or run for a report interval.
-fn has_shown_that_it_runs(job: &Job, report_ms: u64, now: u64) -> bool {
-    let long_ago = |since: u64| now > since + report_ms;
+/// Whether a job has completed a task, or run for a heartbeat interval.
+fn has_shown_that_it_runs(job: &Job, heartbeat_interval_ms: u64, now: u64) -> bool {
+    let long_ago = |since: u64| now > since + heartbeat_interval_ms;
     let ran = |p: &Placement| p.running_since.is_some_and(long_ago);
     !job.done.is_empty() || job.placements.iter().any(ran)
 }
--- a/src/scheduler/commands.rs
+++ b/src/scheduler/commands.rs
@@ -1,16 +1,16 @@
-//! The commands that go out in the answer to a check-in.
+//! The commands that go out in the answer to a heartbeat.
 
 use super::job_state::StartDelivery;
 use super::starts::start_command;
 use super::{to_ms, Scheduler, COMMANDS_MAX};
 use crate::job::task_name;
 use crate::machine::{ExitCause, ExpectedEffect, Machine, ReportedTask, SentAnswer, TaskPhase};
-use crate::wire::{self, Command, Report};
+use crate::wire::{self, AgentStatus, Command};
 
 /// A stop is not sent again within this time.
 const STOP_REPEAT_MS: u64 = 500;
 
-/// The commands of an answer, and what the next check-in shows if it was taken.
+/// The commands of an answer, and what the next heartbeat shows if it was taken.
 #[derive(Default)]
 struct Answer {
     commands: Vec<Command>,
@@ -18,16 +18,21 @@
 }
 
 impl Scheduler {
-    /// Commands for a machine whose check-in is being answered.
-    pub fn answer_commands(&mut self, report: &Report, may_start: bool, now: u64) -> Vec<Command> {
+    /// Commands for a machine whose heartbeat is being answered.
+    pub fn answer_commands(
+        &mut self,
+        report: &AgentStatus,
+        may_start: bool,
+        now: u64,
+    ) -> Vec<Command> {
         let Some(machine) = self.machines.get_mut(&report.machine) else {
             return vec![];
         };
-        if (report.session, report.serial) != (machine.session, machine.serial) {
+        if (report.incarnation, report.serial) != (machine.incarnation, machine.serial) {
             // An old report that arrives late: nobody waits for the answer.
             return vec![];
         }
-        machine.answered_at = Some(now);
+        machine.heartbeat_answered_at = Some(now);
         let name = machine.name.clone();
         let mut answer = Answer::default();
         if report.epoch >= self.term.epoch {
@@ -42,7 +47,7 @@
         self.add_stops(&name, &mut answer, now);
         if may_start {
             let delivery = StartDelivery::Answer {
-                session: report.session,
+                incarnation: report.incarnation,
                 serial: report.serial,
             };
             for start in self.take_starts(&name, delivery, now) {
@@ -54,7 +59,7 @@
         if !answer.expected.is_empty() {
             if let Some(machine) = self.machines.get_mut(&*name) {
                 machine.sent_answer = Some(SentAnswer {
-                    session: report.session,
+                    incarnation: report.incarnation,
                     serial: report.serial,
                     expected: answer.expected,
                 });
@@ -65,7 +70,10 @@
 
     /// Clears exited tasks.
     fn add_clears(&self, name: &str, answer: &mut Answer) {
-        let reported = self.machines.get(name).map(|machine| &machine.reported);
+        let reported = self
+            .machines
+            .get(name)
+            .map(|machine| &machine.reported_tasks);
         for task in reported.into_iter().flatten() {
             if !self.may_clear(task) || answer.commands.len() >= COMMANDS_MAX {
                 continue;
@@ -78,7 +86,7 @@
         }
     }
 
-    /// Whether a task has exited; if it is done, that is on record before the worker
+    /// Whether a task has exited; if it is done, that is on record before the agent
     /// forgets it.
     fn may_clear(&self, task: &ReportedTask) -> bool {
         let TaskPhase::Exited(cause) = task.phase else {
@@ -91,7 +99,7 @@
     /// Repeats stops that have shown no effect.
     fn add_stops(&mut self, name: &str, answer: &mut Answer, now: u64) {
         let slack_s = 2.0 * self.cluster.workers.gang_peer_s;
-        let recorded = self.machines.get(name).map(|machine| &machine.recorded);
+        let recorded = self.machines.get(name).map(|machine| &machine.bound_tasks);
         for task in recorded.into_iter().flatten() {
             let job = self.jobs.get_mut(&*task.job);
             let Some(placement) = job.and_then(|job| job.placement_mut(task.task)) else {
@@ -116,7 +124,7 @@
     /// A task was done on a machine and that is not on record yet: if this leader ends
     /// now, the machine's report is all that a successor has of it.
     pub(super) fn has_unrecorded_result(&self, machine: &Machine) -> bool {
-        machine.reported.iter().any(|task| {
+        machine.reported_tasks.iter().any(|task| {
             let unrecorded =
                 |job: &super::Job| !job.cancelled && !job.committed_done.contains(task.task);
             task.phase == TaskPhase::Exited(ExitCause::Done)
--- a/src/scheduler/effects.rs
+++ b/src/scheduler/effects.rs
@@ -7,7 +7,7 @@
 use crate::job::FinalState;
 use crate::wire::{Command, Condition, Write};
 
-/// One start that went straight to a worker.
+/// One start that went straight to an agent.
 #[derive(Debug, Clone, PartialEq)]
 pub struct DirectStart {
     /// The job.
@@ -34,24 +34,24 @@
         /// The changes.
         writes: Vec<Write>,
     },
-    /// Send commands straight to a worker.
+    /// Send commands straight to an agent.
     Commands {
         /// The machine's name.
         machine: Arc<str>,
-        /// The worker's address.
+        /// The agent's address.
         address: SocketAddr,
-        /// The session that the commands are for.
-        session: u64,
+        /// The incarnation that the commands are for.
+        incarnation: u64,
         /// The commands.
         commands: Vec<Command>,
         /// Which of them are starts.
         starts: Vec<DirectStart>,
     },
-    /// Ask a worker for a report.
+    /// Ask an agent for a report.
     Inspect {
         /// The machine's name.
         machine: Arc<str>,
-        /// The worker's address.
+        /// The agent's address.
         address: SocketAddr,
     },
     /// Rent machines.
--- a/src/scheduler/gangs.rs
+++ b/src/scheduler/gangs.rs
@@ -6,9 +6,9 @@
 use crate::machine::{Machine, TaskPhase};
 use crate::plan::fetch_s;
 
-/// How long a gang may take until all of it has its image: report intervals, and times
+/// How long a gang may take until all of it has its image: heartbeat intervals, and times
 /// that the slowest fetch should take.
-const WAIT_REPORTS: f64 = 4.0;
+const GANG_WAIT_INTERVALS: f64 = 4.0;
 const WAIT_FETCHES: f64 = 3.0;
 
 /// What a look at the gangs found.
@@ -37,7 +37,7 @@
         // stopped in the middle of it each time, the gang would never begin.
         let patience = f64::from(1 + job.failed_gatherings);
         let report_s = self.cluster.workers.report_s;
-        to_ms(patience * (WAIT_REPORTS * report_s + WAIT_FETCHES * slowest_fetch_s))
+        to_ms(patience * (GANG_WAIT_INTERVALS * report_s + WAIT_FETCHES * slowest_fetch_s))
     }
 
     /// Whether a gang is still coming together: a task of it that gave up waiting for the
@@ -121,7 +121,7 @@
     fn release_stale_reservations(&mut self, now: u64) {
         let settle_ms = to_ms(2.0 * self.cluster.workers.report_s);
         let has_victims = |machine: &Machine| {
-            machine.recorded.iter().any(|task| {
+            machine.bound_tasks.iter().any(|task| {
                 let placement = self.placement_of(task);
                 placement.is_some_and(|(_, p)| p.stop.is_some())
             })
--- a/src/scheduler/job_state.rs
+++ b/src/scheduler/job_state.rs
@@ -19,12 +19,12 @@
 /// How a start went out.
 #[derive(Debug, Clone, Copy)]
 pub(super) enum StartDelivery {
-    /// In the answer to this check-in. Such an answer is taken at once or
-    /// never, so a later check-in tells.
-    Answer { session: u64, serial: u64 },
-    /// Straight to the worker, once only. Unless the worker says what became
-    /// of it, it may yet be carried out until the worker's session ends.
-    Direct { session: u64, at: u64 },
+    /// In the answer to this heartbeat. Such an answer is taken at once or
+    /// never, so a later heartbeat tells.
+    Answer { incarnation: u64, serial: u64 },
+    /// Straight to the agent, once only. Unless the agent says what became
+    /// of it, it may yet be carried out until the agent's incarnation ends.
+    Direct { incarnation: u64, at: u64 },
 }
 
 /// A task that may be on a machine.
--- a/src/scheduler/machine_list.rs
+++ b/src/scheduler/machine_list.rs
@@ -92,7 +92,7 @@
         let Some(machine) = self.machines.get_mut(name) else {
             return;
         };
-        let recorded = std::mem::take(&mut machine.recorded);
+        let recorded = std::mem::take(&mut machine.bound_tasks);
         let reservations = std::mem::take(&mut machine.reservations);
         for task in recorded {
             self.remove_placement(&task.job, task.task, now);
--- a/src/scheduler/machine_views.rs
+++ b/src/scheduler/machine_views.rs
@@ -18,14 +18,14 @@
     /// that is gone, or come from one that our answers don't reach.
     pub(super) fn is_placeable(&self, machine: &Machine, now: u64) -> bool {
         let quiet_ms = self.quiet_ms();
-        let came_at = machine.checked_in_at.or(machine.up_since).unwrap_or(0);
+        let came_at = machine.last_heartbeat_at.or(machine.up_since).unwrap_or(0);
         machine.is_retained()
             && !machine.is_dead()
             && !self.recorded_returns.contains(&*machine.name)
-            && machine.last_report_at.is_some()
+            && machine.last_status_at.is_some()
             && machine.epoch >= self.term.epoch
             && machine.ineffective_answers == 0
-            && !machine.unverified
+            && !machine.reachability_unverified
             && self.silent_ms(machine, now) <= quiet_ms
             && now.saturating_sub(came_at.max(self.began_at)) <= quiet_ms
     }
@@ -36,7 +36,7 @@
             return Resources::default();
         };
         let mut free = cloud::capacity(machine_type);
-        for task in &machine.recorded {
+        for task in &machine.bound_tasks {
             free.sub(task.resources);
         }
         for orphan in machine.orphans() {
@@ -92,7 +92,7 @@
     ) -> MachineView {
         let seconds_of = |at: u64| now_s - now.saturating_sub(at) as f64 / 1000.0;
         let tasks: Vec<TaskView> = machine
-            .recorded
+            .bound_tasks
             .iter()
             .filter_map(|task| {
                 let (job, placement) = self.placement_of(task)?;
@@ -130,7 +130,7 @@
     pub(super) fn present_images(&self, machine: &Machine) -> Vec<Arc<str>> {
         let cached = machine.images.iter().map(|image| image.name.clone());
         let mut images: Vec<Arc<str>> = cached.collect();
-        for task in &machine.recorded {
+        for task in &machine.bound_tasks {
             if let Some(job) = self.jobs.get(&*task.job) {
                 if !images.iter().any(|image| **image == *job.spec.image) {
                     images.push(job.spec.image.as_str().into());
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -1,6 +1,7 @@
 //! The leader's scheduling state: jobs, machines, what may be running where, and what to
 //! do about it. Takes events and the time, gives effects. Made anew with each term.
 
+mod agent_status;
 mod arrivals;
 mod commands;
 mod decisions;
@@ -16,7 +17,6 @@
 mod purchasing;
 mod records;
 mod rentals;
-mod reports;
 mod reserve;
 mod returns;
 mod snapshots;
@@ -28,10 +28,10 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
 
+pub use agent_status::StatusOrigin;
 pub use effects::{DirectStart, Effect};
 pub use job_state::{Job, Placement};
 pub use rentals::RentalOutcome;
-pub use reports::ReportOrigin;
 pub use upkeep::Reachability;
 
 use crate::machine::Machine;
@@ -48,7 +48,7 @@
 
 /// Commands that one answer or request may carry.
 const COMMANDS_MAX: usize = 300;
-/// Starts that a whole core sends in a second to workers that have no check-in for them to
+/// Starts that a whole core sends in a second to agents that have no heartbeat for them to
 /// go with; a part of a core accordingly fewer. Each is a connection made for it.
 const DIRECT_STARTS_PER_CORE: f64 = 600.0;
 
@@ -100,7 +100,7 @@
     /// The names of machine types and zones, one copy for all machines.
     shared_names: Vec<Arc<str>>,
     rentals: Rentals,
-    /// Commands that are to go straight to workers.
+    /// Commands that are to go straight to agents.
     direct_commands: BTreeMap<Arc<str>, Vec<Command>>,
     /// Machines with starts on record that have not gone out.
     startable: BTreeSet<Arc<str>>,
@@ -123,12 +123,12 @@
     next_upkeep_at: u64,
     /// Machines that can't be reached were returned.
     returned_unreachable: bool,
-    /// Workers that other controllers redirected lately, if most of them are heard.
+    /// Agents that other controllers redirected lately, if most of them are heard.
     redirected_elsewhere: Option<u32>,
     /// Machines that are on record with the holder of that duty to be returned.
     recorded_returns: BTreeSet<String>,
     /// When any machine reported something new.
-    last_report_at: u64,
+    last_status_at: u64,
     /// When this controller was last seconds behind with reading what comes in.
     lagging_at: Option<u64>,
     /// When it was last a noticeable time behind.
@@ -176,7 +176,7 @@
             returned_unreachable: false,
             redirected_elsewhere: None,
             recorded_returns: BTreeSet::new(),
-            last_report_at: 0,
+            last_status_at: 0,
             lagging_at: None,
             overloaded_at: None,
             work: WorkCounts::default(),
@@ -244,7 +244,7 @@
     /// The state in a line, for the log.
     pub fn summary(&self) -> String {
         let placed: usize = self.jobs.values().map(|job| job.placements.len()).sum();
-        let reports = |machine: &&Machine| machine.last_report_at.is_some();
+        let reports = |machine: &&Machine| machine.last_status_at.is_some();
         let up = self.machines.values().filter(reports).count();
         format!(
             "epoch {}: {} jobs, {} tasks placed, {} machines ({} up)",
--- a/src/scheduler/placements.rs
+++ b/src/scheduler/placements.rs
@@ -5,7 +5,7 @@
 use super::job_state::StopRequest;
 use super::{Job, Placement, Scheduler};
 use crate::job::{task_name, Shape};
-use crate::machine::{Machine, RecordedTask};
+use crate::machine::{BoundTask, Machine};
 use crate::plan::Resources;
 use crate::wire;
 
@@ -23,7 +23,7 @@
             .machines
             .entry(name.to_string())
             .or_insert_with(|| Machine::new(name, "", "", false, now));
-        machine.recorded.push(RecordedTask {
+        machine.bound_tasks.push(BoundTask {
             job: job.id.clone(),
             task: placement.task,
             attempt: placement.attempt,
@@ -49,13 +49,13 @@
         self.update_write_slot(id);
         self.team_limits.on_change();
         if let Some(machine) = self.machines.get_mut(&*placement.machine) {
-            machine.remove_recorded(id, Some(task));
+            machine.unbind(id, Some(task));
         }
         self.retry_backed_off();
     }
 
     /// The job and the placement of a task that a machine has on record.
-    pub(super) fn placement_of(&self, recorded: &RecordedTask) -> Option<(&Job, &Placement)> {
+    pub(super) fn placement_of(&self, recorded: &BoundTask) -> Option<(&Job, &Placement)> {
         let job = self.jobs.get(&*recorded.job)?;
         Some((job, job.placement(recorded.task)?))
     }
@@ -158,7 +158,7 @@
         placement.phase = None;
     }
 
-    /// Adds commands that are to go straight to a worker.
+    /// Adds commands that are to go straight to an agent.
     pub(super) fn queue_commands(&mut self, machine: Arc<str>, commands: Vec<wire::Command>) {
         if !commands.is_empty() {
             let queue = self.direct_commands.entry(machine).or_default();
--- a/src/scheduler/probes.rs
+++ b/src/scheduler/probes.rs
@@ -26,13 +26,13 @@
         let first_probe_at = self.began_at + to_ms(peer_s * FIRST_PROBE_SHARE);
         let mut left = self.probes_per_tick();
         for machine in self.machines.values_mut() {
-            let last_report_at = machine.last_report_at.unwrap_or(machine.known_since);
-            let due = now > last_report_at.max(self.began_at) + quiet_ms
-                || machine.unverified
+            let last_status_at = machine.last_status_at.unwrap_or(machine.known_since);
+            let due = now > last_status_at.max(self.began_at) + quiet_ms
+                || machine.reachability_unverified
                 || (machine.epoch < self.term.epoch && now > first_probe_at);
             let expected =
-                machine.last_report_at.is_some() || machine.cloud_status == CloudStatus::Running;
-            if !due || now < machine.probed_at + quiet_ms / 2 || !expected {
+                machine.last_status_at.is_some() || machine.cloud_status == CloudStatus::Running;
+            if !due || now < machine.last_probe_at + quiet_ms / 2 || !expected {
                 continue;
             }
             let Some(address) = machine.address else {
@@ -42,14 +42,14 @@
                 break;
             }
             left -= 1;
-            machine.probed_at = now;
+            machine.last_probe_at = now;
             let name = machine.name.clone();
-            let raises_epoch = machine.session > 0 && machine.epoch < self.term.epoch;
+            let raises_epoch = machine.incarnation > 0 && machine.epoch < self.term.epoch;
             self.effects.push(if raises_epoch {
                 Effect::Commands {
                     machine: name,
                     address,
-                    session: machine.session,
+                    incarnation: machine.incarnation,
                     commands: vec![],
                     starts: vec![],
                 }
@@ -62,7 +62,7 @@
         }
     }
 
-    /// A call that opens a connection costs far more than a check-in, and most machines
+    /// A call that opens a connection costs far more than a heartbeat, and most machines
     /// come by themselves: on a small share of a processor a successor must not spend it
     /// all on asking.
     fn probes_per_tick(&self) -> usize {
--- a/src/scheduler/purchasing.rs
+++ b/src/scheduler/purchasing.rs
@@ -147,7 +147,7 @@
     }
 
     fn is_incoming(&self, machine: &Machine, now: u64) -> bool {
-        let heard = machine.last_report_at.is_some();
+        let heard = machine.last_status_at.is_some();
         if heard && machine.epoch >= self.term.epoch {
             return false;
         }
@@ -156,7 +156,7 @@
         }
         if heard {
             // One that was heard but does not have our epoch yet comes, too.
-            return machine.recorded.is_empty()
+            return machine.bound_tasks.is_empty()
                 && machine.reclaim_at.is_none()
                 && machine.ineffective_answers == 0;
         }
@@ -214,7 +214,7 @@
         let mut by_type: Vec<(&str, u32)> = Vec::new();
         for machine in self.machines.values() {
             if !machine.spot {
-                on_ordinary += machine.recorded.iter().filter(|t| t.spot).count();
+                on_ordinary += machine.bound_tasks.iter().filter(|t| t.spot).count();
             } else if machine.return_reason.is_none() && !machine.is_dead() {
                 let name = &*machine.machine_type;
                 match by_type.iter_mut().find(|(other, _)| *other == name) {
--- a/src/scheduler/records.rs
+++ b/src/scheduler/records.rs
@@ -131,7 +131,7 @@
             self.unwritten.remove(&job.id, job.write_slot);
             for placement in &job.placements {
                 if let Some(machine) = self.machines.get_mut(&*placement.machine) {
-                    machine.remove_recorded(id, None);
+                    machine.unbind(id, None);
                 }
             }
         }
--- a/src/scheduler/reserve.rs
+++ b/src/scheduler/reserve.rs
@@ -67,7 +67,7 @@
         // Each plan asks for all machines: what is quick to see goes first.
         let usable = !machine.spot
             && machine.return_reason.is_none()
-            && machine.recorded.iter().all(|task| task.spot)
+            && machine.bound_tasks.iter().all(|task| task.spot)
             && is_allowed(spec, &machine.machine_type, &machine.zone, false);
         if !usable {
             return None;
--- a/src/scheduler/returns.rs
+++ b/src/scheduler/returns.rs
@@ -10,7 +10,7 @@
 use super::{to_ms, Effect, Scheduler};
 use crate::machine::{CloudStatus, Machine, ReturnGroup, ReturnReason};
 
-/// Check-ins in a row that show no effect of the answers, after which a machine counts as
+/// heartbeats in a row that show no effect of the answers, after which a machine counts as
 /// out of reach.
 const INEFFECTIVE_ANSWERS_MAX: u32 = 2;
 /// Of the silent machines, one in so many that others redirected lately shows that the
@@ -20,8 +20,8 @@
 const CUT_OFF_MACHINES_MIN: usize = 3;
 /// Leases after which a silent machine is returned in any case.
 const OVER_LEASES: f64 = 2.0;
-/// Report intervals after which a machine that is not listed any more counts as silent.
-const NOT_LISTED_REPORTS: f64 = 2.5;
+/// AgentStatus intervals after which a machine that is not listed any more counts as silent.
+const UNLISTED_INTERVALS: f64 = 2.5;
 /// Boot times after which a machine is not expected to come up any more.
 const NEVER_UP_BOOTS: f64 = 3.5;
 /// The boot time of a machine whose type is not known.
@@ -52,8 +52,8 @@
             return false;
         }
         // Of many, one reports at any time.
-        let half_report_ms = to_ms(self.cluster.workers.report_s / 2.0);
-        let heard = now < self.last_report_at + half_report_ms;
+        let half_interval_ms = to_ms(self.cluster.workers.report_s / 2.0);
+        let heard = now < self.last_status_at + half_interval_ms;
         self.redirected_elsewhere
             .map_or(!heard, |n| n as usize * REDIRECTED_PART >= silent)
     }
@@ -151,7 +151,7 @@
         now: u64,
     ) -> Option<ReturnReason> {
         let silent_ms = self.silent_ms(machine, now);
-        let not_listed_ms = to_ms(self.cluster.workers.report_s * NOT_LISTED_REPORTS);
+        let not_listed_ms = to_ms(self.cluster.workers.report_s * UNLISTED_INTERVALS);
         if machine.cloud_status == CloudStatus::Failed {
             return Some(ReturnReason::Failed);
         }
@@ -180,7 +180,7 @@
     fn is_reclaimed(&self, machine: &Machine, now: u64) -> bool {
         let margin_ms = to_ms(self.cluster.workers.gang_peer_s) / 2;
         machine.reclaim_at.is_some_and(|at| {
-            let silent_since = machine.last_report_at.is_none_or(|heard| heard < at);
+            let silent_since = machine.last_status_at.is_none_or(|heard| heard < at);
             now > at + margin_ms && silent_since
         })
     }
@@ -222,7 +222,7 @@
             .idle_since
             .is_some_and(|since| now > since + idle_ms)
             && (machine.wanted_at == 0 || now > machine.wanted_at + peer_ms)
-            && machine.last_report_at.is_some()
+            && machine.last_status_at.is_some()
     }
 
     fn boot_s_of(&self, machine: &Machine) -> f64 {
@@ -231,13 +231,13 @@
     }
 
     /// Whether nothing was heard of a start that went straight to a machine, for longer
-    /// than its next check-ins took.
+    /// than its next heartbeats took.
     fn has_lost_start(&self, machine: &Machine, now: u64) -> bool {
         if machine.direct_start_at.is_none() {
             return false;
         }
         let wait_ms = self.quiet_ms();
-        machine.recorded.iter().any(|task| {
+        machine.bound_tasks.iter().any(|task| {
             self.placement_of(task).is_some_and(|(_, placement)| {
                 let sent_at = match placement.delivery {
                     Some(StartDelivery::Direct { at, .. }) => at,
--- a/src/scheduler/starts.rs
+++ b/src/scheduler/starts.rs
@@ -14,7 +14,7 @@
     }
 
     /// Machines with starts on record that may not be on their way, and that have come up
-    /// since the last call: a check-in of theirs that waits is answered.
+    /// since the last call: a heartbeat of theirs that waits is answered.
     pub fn take_newly_startable(&mut self) -> Vec<Arc<str>> {
         std::mem::take(&mut self.newly_startable)
     }
@@ -25,7 +25,7 @@
         self.startable.insert(machine);
     }
 
-    /// A worker has said that it did not carry out a start that went straight to it, or
+    /// An agent has said that it did not carry out a start that went straight to it, or
     /// the start was never sent: it may go out anew. `refused`: no connection came about.
     pub fn on_start_failed(
         &mut self,
@@ -76,7 +76,7 @@
             return starts;
         }
         let direct = matches!(delivery, StartDelivery::Direct { .. });
-        for recorded in &machine.recorded {
+        for recorded in &machine.bound_tasks {
             let Some(job) = self.jobs.get_mut(&*recorded.job) else {
                 continue;
             };
@@ -104,13 +104,13 @@
         starts
     }
 
-    /// Sends starts that have no check-in to go with straight to the workers that are
+    /// Sends starts that have no heartbeat to go with straight to the agents that are
     /// known to have our epoch.
     pub fn send_direct_starts(&mut self, may_start: bool, now: u64) {
         if !may_start || self.is_overloaded(now) {
             return;
         }
-        // What the limit leaves no room for stays: a check-in may come first.
+        // What the limit leaves no room for stays: a heartbeat may come first.
         while self.direct_start_limit.available(now, 0.0) > 0 {
             let Some(name) = self.startable.pop_first() else {
                 return;
@@ -119,14 +119,20 @@
             let Some(machine) = self.machines.get(&*name) else {
                 continue;
             };
-            let (Some(address), session) = (machine.address, machine.session) else {
+            let (Some(address), incarnation) = (machine.address, machine.incarnation) else {
                 continue;
             };
-            if session == 0 || now < machine.unreachable_until || !self.is_placeable(machine, now) {
-                // Its next check-in takes them.
+            if incarnation == 0
+                || now < machine.unreachable_until
+                || !self.is_placeable(machine, now)
+            {
+                // Its next heartbeat takes them.
                 continue;
             }
-            let delivery = StartDelivery::Direct { session, at: now };
+            let delivery = StartDelivery::Direct {
+                incarnation,
+                at: now,
+            };
             let starts = self.take_starts(&name, delivery, now);
             if starts.is_empty() {
                 continue;
@@ -139,27 +145,27 @@
             self.effects.push(Effect::Commands {
                 machine: name,
                 address,
-                session,
+                incarnation,
                 commands,
                 starts,
             });
         }
     }
 
-    /// Sends commands that are to go straight to workers.
+    /// Sends commands that are to go straight to agents.
     pub(super) fn send_direct_commands(&mut self) {
         for (name, mut commands) in std::mem::take(&mut self.direct_commands) {
             let Some(machine) = self.machines.get(&*name) else {
                 continue;
             };
-            let Some(address) = machine.address.filter(|_| machine.session > 0) else {
+            let Some(address) = machine.address.filter(|_| machine.incarnation > 0) else {
                 continue;
             };
             commands.truncate(super::COMMANDS_MAX);
             self.effects.push(Effect::Commands {
                 machine: Arc::clone(&name),
                 address,
-                session: machine.session,
+                incarnation: machine.incarnation,
                 commands,
                 starts: vec![],
             });
--- a/src/scheduler/upkeep.rs
+++ b/src/scheduler/upkeep.rs
@@ -8,17 +8,17 @@
 pub(super) const UPKEEP_SHARE: f64 = 0.1;
 /// What comes in waits for longer: nothing is asked for that may come by itself.
 const OVERLOADED_MS: u64 = 400;
-/// A worker drops an answer after 4 s: with a wait like this before a check-in is
+/// An agent drops an answer after 4 s: with a wait like this before a heartbeat is
 /// even read, that an answer shows no effect says nothing of the machine.
 const LAGGING_MS: u64 = 1500;
-/// For how many report intervals such a delay counts.
-const LAGGING_REPORTS: f64 = 2.0;
-/// Report intervals after which a machine that should report may be silent.
-const SILENT_REPORTS: f64 = 2.5;
+/// For how many heartbeat intervals such a delay counts.
+const LAGGING_INTERVALS: f64 = 2.0;
+/// AgentStatus intervals after which a machine that should report may be silent.
+const SILENT_INTERVALS: f64 = 2.5;
 /// The same as a share of the time after which it is returned.
 const SILENT_SHARE: f64 = 0.7;
 /// Before a machine is taken back, tasks are stopped this long before they have to be, in
-/// addition to half a report interval.
+/// addition to half a heartbeat interval.
 const RECLAIM_MARGIN_MS: u64 = 500;
 
 /// How many machines should report, and how many of them don't.
@@ -59,16 +59,16 @@
 
     /// For how long a machine has been silent in this term.
     pub(super) fn silent_ms(&self, machine: &Machine, now: u64) -> u64 {
-        let last_report_at = machine.last_report_at.unwrap_or(machine.known_since);
-        now.saturating_sub(last_report_at.max(self.began_at))
+        let last_status_at = machine.last_status_at.unwrap_or(machine.known_since);
+        now.saturating_sub(last_status_at.max(self.began_at))
     }
 
     /// How many machines should report, and how many of them can't be reached.
     pub fn reachability(&self, now: u64) -> Reachability {
         // Sooner than a machine is returned for its silence.
-        let workers = &self.cluster.workers;
-        let lost_s = workers.lease_s * self.operator.lost_lease_share;
-        let silent_s = (workers.report_s * SILENT_REPORTS).min(lost_s * SILENT_SHARE);
+        let agents = &self.cluster.workers;
+        let lost_s = agents.lease_s * self.operator.lost_lease_share;
+        let silent_s = (agents.report_s * SILENT_INTERVALS).min(lost_s * SILENT_SHARE);
         let silent_ms = to_ms(silent_s);
         let mut reachability = Reachability { silent: 0, up: 0 };
         for machine in self.machines.values().filter(|machine| machine.is_up()) {
@@ -94,7 +94,7 @@
 
     /// Whether this controller was seconds behind lately.
     pub(super) fn is_lagging(&self, now: u64) -> bool {
-        let counts_ms = to_ms(self.cluster.workers.report_s * LAGGING_REPORTS);
+        let counts_ms = to_ms(self.cluster.workers.report_s * LAGGING_INTERVALS);
         self.lagging_at.is_some_and(|at| now < at + counts_ms)
     }
 
@@ -105,7 +105,7 @@
             .is_some_and(|at| now < at + 2 * OVERLOADED_MS)
     }
 
-    /// The other controllers tell how many workers came to them lately and were
+    /// The other controllers tell how many agents came to them lately and were
     /// redirected; `None` if too few of them can be heard.
     pub fn set_redirected_elsewhere(&mut self, redirected: Option<u32>) {
         self.redirected_elsewhere = redirected;
@@ -119,7 +119,7 @@
             let Some(reclaim_at) = machine.reclaim_at else {
                 continue;
             };
-            for task in &machine.recorded {
+            for task in &machine.bound_tasks {
                 let Some((job, placement)) = self.placement_of(task) else {
                     continue;
                 };
--- a/src/serve.rs
+++ b/src/serve.rs
@@ -125,7 +125,7 @@
     ConnectionLimits {
         fd_limit: limits.fd_limit,
         vital,
-        worker_idle: Duration::from_secs_f64(settings.cluster.workers.lease_s),
+        agent_idle: Duration::from_secs_f64(settings.cluster.workers.lease_s),
         reply_max: limits.memory_part(REPLY_MEMORY_SHARE).max(REPLY_MIN),
     }
 }
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -78,7 +78,7 @@
     pub member: String,
     /// This controller's zone.
     pub zone: String,
-    /// Where users, workers and health checks connect.
+    /// Where users, agents and health checks connect.
     pub front: SocketAddr,
     /// Where other controllers connect.
     pub mesh_addr: SocketAddr,
@@ -124,8 +124,8 @@
     /// Aims on starting and finishing.
     #[serde(default)]
     pub objectives: Vec<Objective>,
-    /// Times of workers.
-    pub workers: WorkerTimes,
+    /// Times of agents.
+    pub workers: AgentTimings,
     /// Limits of the state service.
     pub state: StateLimits,
     /// Limits of the cloud.
@@ -175,10 +175,10 @@
     pub times: Option<f64>,
 }
 
-/// Times of workers.
+/// Times of agents.
 #[derive(Debug, Clone, Deserialize)]
-pub struct WorkerTimes {
-    /// How often workers report.
+pub struct AgentTimings {
+    /// How often agents report.
     pub report_s: f64,
     /// How long they keep their tasks without an answer.
     pub lease_s: f64,
@@ -265,11 +265,11 @@
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct OperatorSettings {
-    /// Life of the leader's grant, as a share of a worker's lease.
+    /// Life of the leader's grant, as a share of an agent's lease.
     pub leader_life_share: f64,
-    /// A machine this many report intervals silent is asked directly.
+    /// A machine this many heartbeat intervals silent is asked directly.
     pub silent_reports: f64,
-    /// Silent this share of a worker's lease, a machine is returned.
+    /// Silent this share of an agent's lease, a machine is returned.
     pub lost_lease_share: f64,
     /// How long an ordinary machine may lie idle, in boot times.
     pub idle_boots: f64,
--- a/src/settings/duties.rs
+++ b/src/settings/duties.rs
@@ -8,8 +8,8 @@
 use super::{Settings, SettingsError};
 use crate::time_units::to_ms;
 
-/// Longest life of a duty's lease, as a share of a worker's lease: a machine that a holder
-/// was to return must be returned by its successor before the worker gives up.
+/// Longest life of a duty's lease, as a share of an agent's lease: a machine that a holder
+/// was to return must be returned by its successor before the agent gives up.
 const LIFE_SHARE_MAX: f64 = 0.5;
 /// Lives until a successor gives orders, at the most.
 const TAKEOVER_LIVES: f64 = 2.0;
@@ -34,7 +34,7 @@
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct DutySettings {
-    /// Life of a duty's lease, as a share of a worker's lease.
+    /// Life of a duty's lease, as a share of an agent's lease.
     pub life_share: f64,
     /// What keeps a replaced holder from doing harm.
     pub fence: DutyFence,
--- a/src/wire/workers.rs
+++ b/src/wire/agents.rs
@@ -1,24 +1,24 @@
-//! What workers report, and the commands that they get.
+//! What agents report, and the commands that they get.
 
 use serde::{Deserialize, Serialize};
 
 use super::optional_number;
 use crate::machine::{ExitCause, TaskPhase};
 
-/// Where workers report, on the controllers.
-pub const CHECKIN_PATH: &str = "/checkin";
-/// Where workers take commands.
+/// Where agents report, on the controllers.
+pub const HEARTBEAT_PATH: &str = "/checkin";
+/// Where agents take commands.
 pub const COMMANDS_PATH: &str = "/orders";
-/// Where workers are asked for a report.
+/// Where agents are asked for a report.
 pub const INSPECT_PATH: &str = "/inspect";
 
-/// A worker's report.
+/// An agent's report.
 #[derive(Debug, Clone, Deserialize, Serialize)]
-pub struct Report {
+pub struct AgentStatus {
     /// The machine's name.
     #[serde(rename = "host")]
     pub machine: String,
-    /// The address at which the worker takes commands.
+    /// The address at which the agent takes commands.
     pub endpoint: String,
     /// The name of the machine's type.
     #[serde(rename = "flavor")]
@@ -29,12 +29,12 @@
     /// Whether it is a spot machine.
     #[serde(rename = "loaner", default)]
     pub spot: bool,
-    /// The worker's session, which increases each time its lease expires.
+    /// The agent's incarnation, which increases each time its lease expires.
     #[serde(rename = "tenure")]
-    pub session: u64,
-    /// Orders the reports of a session.
+    pub incarnation: u64,
+    /// Orders the reports of an incarnation.
     pub serial: u64,
-    /// The highest epoch that the worker has seen.
+    /// The highest epoch that the agent has seen.
     #[serde(default)]
     pub epoch: u64,
     /// Seconds until the cloud takes the machine back, if it gave notice.
@@ -42,12 +42,12 @@
     pub reclaim_in_s: Option<f64>,
     /// All tasks on the machine.
     #[serde(rename = "pieces", default)]
-    pub tasks: Vec<TaskReport>,
+    pub tasks: Vec<TaskStatus>,
 }
 
 /// A task in a report.
 #[derive(Debug, Clone, Deserialize, Serialize)]
-pub struct TaskReport {
+pub struct TaskStatus {
     /// The task's name, see [`crate::job::task_name`].
     #[serde(rename = "piece")]
     pub task: String,
@@ -64,7 +64,7 @@
     pub kept: Option<bool>,
 }
 
-/// A command to a worker.
+/// A command to an agent.
 #[derive(Debug, Clone, Serialize, Deserialize, PartialEq)]
 pub struct Command {
     /// `start`, `stop` or `clear`.
@@ -85,20 +85,20 @@
     pub grace_s: Option<f64>,
 }
 
-/// Commands that go together, in a direct request or in the answer to a check-in.
+/// Commands that go together, in a direct request or in the answer to a heartbeat.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct CommandBatch {
     /// The leader's fencing token.
     pub epoch: u64,
-    /// The session that the commands are for; only in direct requests.
+    /// The incarnation that the commands are for; only in direct requests.
     #[serde(rename = "tenure", skip_serializing_if = "Option::is_none", default)]
-    pub session: Option<u64>,
+    pub incarnation: Option<u64>,
     /// To be executed in this order.
     #[serde(rename = "orders")]
     pub commands: Vec<Command>,
 }
 
-/// Tells a worker to report to another controller.
+/// Tells an agent to report to another controller.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct Redirect {
     /// The leader, if it is known.
--- a/src/wire/cloud.rs
+++ b/src/wire/cloud.rs
@@ -121,7 +121,7 @@
     /// The machine's name.
     #[serde(rename = "nameId")]
     pub name: String,
-    /// The address at which its worker takes commands.
+    /// The address at which its agent takes commands.
     #[serde(default)]
     pub endpoint: Option<String>,
     /// The name of its type.
--- a/src/wire/mod.rs
+++ b/src/wire/mod.rs
@@ -1,12 +1,16 @@
-//! The names that go over the wire: messages of users, workers, the cloud and the
+//! The names that go over the wire: messages of users, agents, the cloud and the
 //! state service, as `PROTOCOL` has them. The rest of the program uses its own terms.
 
+mod agents;
 mod cloud;
 mod state_service;
 mod submission;
 mod users;
-mod workers;
 
+pub use agents::{
+    clear_command, start_command, stop_command, task_phase, AgentStatus, Command, CommandBatch,
+    Redirect, TaskStatus, COMMANDS_PATH, HEARTBEAT_PATH, INSPECT_PATH,
+};
 pub use cloud::{
     cloud_status, is_no_capacity, DeleteRequest, FencingToken, ListedMachine, MachineList,
     MachineNames, MachineType, MachineTypes, RentRequest, DELETE_PATH, RENT_PATH,
@@ -20,10 +24,6 @@
     reports_cancelled, ErrorReply, JobStatusReply, DONE, HEALTH_PATH, JOBS_PATH, PENDING, RUNNING,
     WITHDRAWN,
 };
-pub use workers::{
-    clear_command, start_command, stop_command, task_phase, Command, CommandBatch, Redirect,
-    Report, TaskReport, CHECKIN_PATH, COMMANDS_PATH, INSPECT_PATH,
-};
 
 use ciborium::Value;
 use serde::de::{self, DeserializeOwned, Deserializer, Visitor};
--- a/tests/combined_failures.rs
+++ b/tests/combined_failures.rs
@@ -29,7 +29,7 @@
 /// Tasks of a job that are on machines.
 fn left(sim: &Sim, id: &str) -> usize {
     let of_job = |n: &str| n.rsplit_once('/').is_some_and(|x| x.0 == id);
-    sim.workers
+    sim.agents
         .values()
         .flat_map(|w| &w.tasks)
         .filter(|t| of_job(&t.name) && t.state != "ended")
@@ -101,7 +101,7 @@
         assert_eq!(l, 0);
         sim.run(200);
         long_outage(&mut sim);
-        let killed: u64 = sim.workers.values().map(|w| w.killed).sum();
+        let killed: u64 = sim.agents.values().map(|w| w.killed).sum();
         if k < 3 {
             assert_eq!(killed, 0, "{}", sim.trace.join("\n"));
             assert_eq!(left(&sim, "run-000002"), 3, "the other goes on");
@@ -192,13 +192,13 @@
         sim.blind.insert(l);
         assert!(sim.until(2000, |sim| left(sim, "run-000001") > 0));
         // A report with a token that nobody gave makes it resign.
-        let body = wire::encode(&wire::Report {
+        let body = wire::encode(&wire::AgentStatus {
             machine: "m-009999".into(),
             endpoint: "10.1.0.1:9".into(),
             machine_type: "f8".into(),
             zone: "a".into(),
             spot: false,
-            session: 1,
+            incarnation: 1,
             serial: 1,
             epoch: 9,
             reclaim_in_s: None,
@@ -350,7 +350,7 @@
 }
 
 /// Copies of reports are kept, and reach every controller just as the next leader
-/// begins, or once it has acted; also reports of earlier sessions and attempts.
+/// begins, or once it has acted; also reports of earlier incarnations and attempts.
 #[test]
 fn old_reports_reach_the_next_leader() {
     for k in 0..16u64 {
@@ -366,9 +366,9 @@
         }
         sim.run(5500 + 650 * k);
         for _ in 0..3 {
-            if let Some(machine) = sim.workers.keys().nth(k as usize % 2).cloned() {
+            if let Some(machine) = sim.agents.keys().nth(k as usize % 2).cloned() {
                 if k % 3 == 0 {
-                    sim.restart_worker(&machine);
+                    sim.restart_agent(&machine);
                 }
             }
             if let Some(l) = sim.leader() {
@@ -480,8 +480,8 @@
         sim.submit(0, &array("run-000003", 4), 5000);
         sim.run(10_000);
         let of = |sim: &Sim, id: &str| -> Vec<String> {
-            let has = |w: &&common::Worker| w.tasks.iter().any(|t| t.name.starts_with(id));
-            sim.workers
+            let has = |w: &&common::Agent| w.tasks.iter().any(|t| t.name.starts_with(id));
+            sim.agents
                 .values()
                 .filter(has)
                 .map(|w| w.machine.clone())
@@ -525,7 +525,7 @@
     {
         let mut sim = Sim::new();
         let l = two_long(&mut sim);
-        let machines: Vec<String> = sim.workers.keys().cloned().collect();
+        let machines: Vec<String> = sim.agents.keys().cloned().collect();
         for machine in machines.iter().take(1 + k % 3) {
             sim.hang(machine, ms);
         }
@@ -548,7 +548,7 @@
     for k in 0..6u64 {
         let mut sim = Sim::new();
         let l = two_long(&mut sim);
-        let machine = sim.workers.keys().next().cloned().expect("a machine");
+        let machine = sim.agents.keys().next().cloned().expect("a machine");
         match k % 3 {
             0 => sim.deaf.insert(machine),
             1 => sim.cut.insert(machine),
@@ -601,9 +601,9 @@
             12_000,
         );
         sim.run(8000 + 500 * k);
-        let machine = sim.workers.keys().nth(k as usize % 3).cloned();
+        let machine = sim.agents.keys().nth(k as usize % 3).cloned();
         if let Some(machine) = machine {
-            sim.workers.remove(&machine);
+            sim.agents.remove(&machine);
             sim.cloud.machines.get_mut(&machine).expect("listed").up_at = u64::MAX;
             sim.note(format!("{machine} dies"));
         }
--- a/tests/common/worker.rs
+++ b/tests/common/agent.rs
@@ -1,11 +1,11 @@
-//! A stand-in of a worker.
+//! A stand-in of an agent.
 
-use gaugesill::wire::{Report, TaskReport};
+use gaugesill::wire::{AgentStatus, TaskStatus};
 
 use super::cloud::*;
 
 #[derive(Clone, Debug)]
-pub struct OnWorker {
+pub struct AgentTask {
     pub name: String,
     pub attempt: u64,
     pub state: &'static str,
@@ -13,12 +13,12 @@
     pub(super) until: u64,
 }
 
-pub struct Worker {
+pub struct Agent {
     pub machine: String,
-    pub session: u64,
+    pub incarnation: u64,
     pub serial: u64,
     pub epoch: u64,
-    pub tasks: Vec<OnWorker>,
+    pub tasks: Vec<AgentTask>,
     pub to: usize,
     pub(super) waiting: Option<(u64, u64)>,
     pub(super) acked: u64,
@@ -27,23 +27,23 @@
     pub killed: u64,
 }
 
-impl Worker {
-    pub(super) fn report(&mut self, r: &Rented) -> Report {
+impl Agent {
+    pub(super) fn report(&mut self, r: &Rented) -> AgentStatus {
         self.serial += 1;
-        Report {
+        AgentStatus {
             machine: self.machine.clone(),
             endpoint: addr_of(&self.machine).to_string(),
             machine_type: r.machine_type.clone(),
             zone: r.zone.clone(),
             spot: r.spot,
-            session: self.session,
+            incarnation: self.incarnation,
             serial: self.serial,
             epoch: self.epoch,
             reclaim_in_s: None,
             tasks: self
                 .tasks
                 .iter()
-                .map(|t| TaskReport {
+                .map(|t| TaskStatus {
                     task: t.name.clone(),
                     attempt: t.attempt,
                     status: t.state.into(),
--- a/tests/common/worker_events.rs
+++ b/tests/common/agent_events.rs
@@ -1,23 +1,23 @@
-//! What workers do, and what they must not be told to do.
+//! What agents do, and what they must not be told to do.
 
 use gaugesill::wire::{self, Command, CommandBatch};
 use prost::Message;
 use std::collections::{BTreeMap, HashMap};
 
+use super::agent::*;
 use super::messages::*;
 use super::sim::*;
-use super::worker::*;
 
 /// Times of the settings that the tests use, see `settings_with`.
 const LEASE_MS: u64 = 36_000;
 const GANG_WAIT_MS: u64 = 35_000;
 const GANG_PEER_MS: u64 = 4000;
 const CANCEL_MS: u64 = 60_000;
-/// How long a worker waits for an answer.
+/// How long an agent waits for an answer.
 const ANSWER_MS: u64 = 4000;
 
 impl Sim {
-    pub(super) fn worker_answer(
+    pub(super) fn agent_answer(
         &mut self,
         machine: &str,
         serial: u64,
@@ -29,7 +29,7 @@
         if self.hung.contains_key(machine) {
             return;
         }
-        let Some(w) = self.workers.get_mut(machine) else {
+        let Some(w) = self.agents.get_mut(machine) else {
             return;
         };
         let Some((s, sent)) = w.waiting else { return };
@@ -69,7 +69,7 @@
 
     pub(super) fn commands(&mut self, machine: &str, o: CommandBatch) {
         let now = self.now;
-        if let Some(w) = self.workers.get_mut(machine) {
+        if let Some(w) = self.agents.get_mut(machine) {
             if o.epoch > w.epoch {
                 w.epoch = o.epoch;
                 w.changed = true;
@@ -85,7 +85,7 @@
             match verb.as_str() {
                 "start" => self.start(machine, &task, attempt),
                 "stop" => {
-                    let Some(w) = self.workers.get_mut(machine) else {
+                    let Some(w) = self.agents.get_mut(machine) else {
                         continue;
                     };
                     for t in w.tasks.iter_mut() {
@@ -101,7 +101,7 @@
                     }
                 }
                 _ => {
-                    if let Some(w) = self.workers.get_mut(machine) {
+                    if let Some(w) = self.agents.get_mut(machine) {
                         w.tasks.retain(|t| {
                             t.name != task || t.attempt != attempt || t.state != "ended"
                         });
@@ -113,7 +113,7 @@
 
     pub(super) fn start(&mut self, machine: &str, task: &str, attempt: u64) {
         let now = self.now;
-        if self.workers[machine]
+        if self.agents[machine]
             .tasks
             .iter()
             .any(|t| t.name == task && t.attempt == attempt)
@@ -123,9 +123,8 @@
         self.note(format!("{task} try {attempt} starts on {machine}"));
         let places = self.places.entry(task.to_string()).or_default();
         for h in places.iter() {
-            let is_there =
-                |w: &Worker| w.tasks.iter().any(|t| t.name == task && t.state != "ended");
-            if self.workers.get(h).is_some_and(is_there) {
+            let is_there = |w: &Agent| w.tasks.iter().any(|t| t.name == task && t.state != "ended");
+            if self.agents.get(h).is_some_and(is_there) {
                 self.broken
                     .push(format!("ran_twice: {task} on {h} and {machine} at {now}"));
             }
@@ -148,10 +147,10 @@
             self.broken.push(format!("too_early: {task} before {n}"));
         }
         let mut zones: BTreeMap<&str, u32> = BTreeMap::new();
-        let workers = self.workers.iter().filter(|_| j.single_zone || j.spread);
-        for (h, w) in workers {
+        let agents = self.agents.iter().filter(|_| j.single_zone || j.spread);
+        for (h, w) in agents {
             let of_job =
-                |t: &&OnWorker| t.state != "ended" && t.name.starts_with(&format!("{id}/"));
+                |t: &&AgentTask| t.state != "ended" && t.name.starts_with(&format!("{id}/"));
             let n = w.tasks.iter().filter(of_job).count() + usize::from(h == machine);
             if let Some(m) = self.cloud.machines.get(h).filter(|_| n > 0) {
                 *zones.entry(&m.zone).or_insert(0) += n as u32;
@@ -166,8 +165,8 @@
             j.begun.get_or_insert(now);
         }
         let pull = self.slow_pull.get(machine).copied().unwrap_or(1000);
-        if let Some(w) = self.workers.get_mut(machine) {
-            w.tasks.push(OnWorker {
+        if let Some(w) = self.agents.get_mut(machine) {
+            w.tasks.push(AgentTask {
                 name: task.into(),
                 attempt,
                 state: "pulling",
@@ -176,7 +175,7 @@
             });
             w.changed = true;
         }
-        let cpus = |w: &Worker| -> f64 {
+        let cpus = |w: &Agent| -> f64 {
             w.tasks
                 .iter()
                 .filter(|t| t.state != "ended")
@@ -185,8 +184,8 @@
                 .sum()
         };
         let limited = self.team_cores > 0.0;
-        let all: f64 = self.workers.values().filter(|_| limited).map(cpus).sum();
-        if cpus(&self.workers[machine]) > 8.0 {
+        let all: f64 = self.agents.values().filter(|_| limited).map(cpus).sum();
+        if cpus(&self.agents[machine]) > 8.0 {
             self.broken.push(format!("too much on {machine}"));
         }
         if limited && all > self.team_cores {
@@ -194,33 +193,33 @@
         }
     }
 
-    pub(super) fn tick_workers(&mut self) {
-        self.start_and_end_workers();
+    pub(super) fn tick_agents(&mut self) {
+        self.start_and_end_agents();
         let waiting = self.gang_tasks_in("gathering");
         self.note_torn_gangs();
-        let names: Vec<String> = self.workers.keys().cloned().collect();
+        let names: Vec<String> = self.agents.keys().cloned().collect();
         let mut out = Vec::new();
         for name in names {
             if self.hung.contains_key(&name) {
-                self.tick_hung_worker(&name);
+                self.tick_hung_agent(&name);
                 continue;
             }
-            self.end_lost_session(&name);
+            self.end_expired_incarnation(&name);
             self.tick_tasks(&name, &waiting);
-            out.extend(self.checkin(&name));
+            out.extend(self.heartbeat(&name));
         }
         for message in out {
             self.send(1, message);
         }
     }
 
-    fn start_and_end_workers(&mut self) {
+    fn start_and_end_agents(&mut self) {
         let now = self.now;
         for (name, machine) in &self.cloud.machines {
-            if now >= machine.up_at && !self.workers.contains_key(name) {
-                let worker = Worker {
+            if now >= machine.up_at && !self.agents.contains_key(name) {
+                let agent = Agent {
                     machine: name.clone(),
-                    session: 1,
+                    incarnation: 1,
                     serial: 0,
                     epoch: 0,
                     tasks: vec![],
@@ -231,18 +230,18 @@
                     changed: false,
                     killed: 0,
                 };
-                self.workers.insert(name.clone(), worker);
+                self.agents.insert(name.clone(), agent);
             }
         }
         let machines = &self.cloud.machines;
-        self.workers.retain(|name, _| machines.contains_key(name));
+        self.agents.retain(|name, _| machines.contains_key(name));
     }
 
     /// How many tasks of each job and attempt are in a state.
     fn gang_tasks_in(&self, state: &str) -> HashMap<(String, u64), u32> {
         let mut counts = HashMap::new();
-        for worker in self.workers.values() {
-            for task in worker.tasks.iter().filter(|t| t.state == state) {
+        for agent in self.agents.values() {
+            for task in agent.tasks.iter().filter(|t| t.state == state) {
                 let id = task.name.rsplit_once('/').expect("name").0.to_string();
                 *counts.entry((id, task.attempt)).or_insert(0) += 1;
             }
@@ -261,13 +260,13 @@
     }
 
     /// The tasks of a hanging machine stand still, too, and count as there.
-    fn tick_hung_worker(&mut self, name: &str) {
+    fn tick_hung_agent(&mut self, name: &str) {
         let now = self.now;
-        let Some(worker) = self.workers.get_mut(name) else {
+        let Some(agent) = self.agents.get_mut(name) else {
             return;
         };
-        for task in worker.tasks.iter_mut().filter(|t| t.state != "ended") {
-            task.until += self.worker_tick_ms;
+        for task in agent.tasks.iter_mut().filter(|t| t.state != "ended") {
+            task.until += self.agent_tick_ms;
             let (id, _) = task.name.rsplit_once('/').expect("name");
             let cancelled_at = self.jobs.get(id).and_then(|job| job.cancelled_at);
             if cancelled_at.is_some_and(|at| now > at + CANCEL_MS) {
@@ -277,29 +276,29 @@
     }
 
     /// Without an answer for a lease all tasks are killed.
-    fn end_lost_session(&mut self, name: &str) {
+    fn end_expired_incarnation(&mut self, name: &str) {
         let now = self.now;
-        let Some(worker) = self.workers.get_mut(name) else {
+        let Some(agent) = self.agents.get_mut(name) else {
             return;
         };
-        if now > worker.acked + LEASE_MS {
-            let live = worker.tasks.iter().filter(|t| t.state != "ended");
-            worker.killed += live.count() as u64;
-            worker.tasks.clear();
-            worker.session += 1;
-            worker.acked = now;
-            worker.changed = true;
-            worker.waiting = None;
+        if now > agent.acked + LEASE_MS {
+            let live = agent.tasks.iter().filter(|t| t.state != "ended");
+            agent.killed += live.count() as u64;
+            agent.tasks.clear();
+            agent.incarnation += 1;
+            agent.acked = now;
+            agent.changed = true;
+            agent.waiting = None;
         }
     }
 
     fn tick_tasks(&mut self, name: &str, waiting: &HashMap<(String, u64), u32>) {
         let now = self.now;
         let fails = self.faulty.contains(name);
-        let Some(worker) = self.workers.get_mut(name) else {
+        let Some(agent) = self.agents.get_mut(name) else {
             return;
         };
-        for task in worker.tasks.iter_mut() {
+        for task in agent.tasks.iter_mut() {
             let (id, number) = task.name.rsplit_once('/').expect("name");
             let Some(job) = self.jobs.get_mut(id) else {
                 continue;
@@ -343,34 +342,34 @@
                 }
                 _ => continue,
             }
-            worker.changed = true;
+            agent.changed = true;
         }
     }
 
-    /// A worker's next check-in, if it is due.
-    fn checkin(&mut self, name: &str) -> Option<Msg> {
+    /// An agent's next heartbeat, if it is due.
+    fn heartbeat(&mut self, name: &str) -> Option<Msg> {
         let now = self.now;
-        let worker = self.workers.get_mut(name)?;
-        if let Some((_, sent_at)) = worker.waiting {
+        let agent = self.agents.get_mut(name)?;
+        if let Some((_, sent_at)) = agent.waiting {
             if now > sent_at + ANSWER_MS {
-                worker.waiting = None;
-                worker.to = (worker.to + 1) % 3;
-                worker.next = now + 1000;
+                agent.waiting = None;
+                agent.to = (agent.to + 1) % 3;
+                agent.next = now + 1000;
             }
         }
-        let early_ms = self.grants.report_ms - 500;
-        let changed = worker.changed && now >= worker.next.saturating_sub(early_ms);
-        if worker.waiting.is_some() || !(changed || now >= worker.next) {
+        let early_ms = self.grants.heartbeat_interval_ms - 500;
+        let changed = agent.changed && now >= agent.next.saturating_sub(early_ms);
+        if agent.waiting.is_some() || !(changed || now >= agent.next) {
             return None;
         }
-        worker.changed = false;
-        worker.next = now + self.grants.report_ms;
-        let report = worker.report(&self.cloud.machines[name]);
-        worker.waiting = Some((report.serial, now));
-        Some(Msg::Checkin {
+        agent.changed = false;
+        agent.next = now + self.grants.heartbeat_interval_ms;
+        let report = agent.report(&self.cloud.machines[name]);
+        agent.waiting = Some((report.serial, now));
+        Some(Msg::Heartbeat {
             machine: name.to_string(),
             serial: report.serial,
-            to: worker.to,
+            to: agent.to,
             body: wire::encode(&report),
             copy: false,
         })
--- a/tests/common/delivery.rs
+++ b/tests/common/delivery.rs
@@ -22,12 +22,12 @@
                 path,
                 body,
             } => self.deliver_to_cloud(ticket, method, path, body),
-            Msg::Worker {
+            Msg::Agent {
                 ticket,
                 machine,
                 path,
                 body,
-            } => self.deliver_to_worker(ticket, machine, path, body),
+            } => self.deliver_to_agent(ticket, machine, path, body),
             Msg::Peer {
                 ticket,
                 to,
@@ -35,20 +35,20 @@
                 body,
             } => self.deliver_to_peer(ticket, to, path, body),
             Msg::Reply { ticket, outcome } => self.reply(ticket, outcome),
-            Msg::Checkin {
+            Msg::Heartbeat {
                 machine,
                 serial,
                 to,
                 body,
                 copy,
-            } => self.deliver_checkin(machine, serial, to, body, copy),
+            } => self.deliver_heartbeat(machine, serial, to, body, copy),
             Msg::Answer {
                 machine,
                 serial,
                 from,
                 status,
                 body,
-            } => self.worker_answer(&machine, serial, from, status, &body),
+            } => self.agent_answer(&machine, serial, from, status, &body),
         }
     }
 
@@ -117,9 +117,9 @@
         }
     }
 
-    fn deliver_to_worker(&mut self, ticket: Ticket, machine: String, path: String, body: Vec<u8>) {
+    fn deliver_to_agent(&mut self, ticket: Ticket, machine: String, path: String, body: Vec<u8>) {
         if self.hung.contains_key(&machine) {
-            self.hung_inbox.push(Msg::Worker {
+            self.hung_inbox.push(Msg::Agent {
                 ticket,
                 machine,
                 path,
@@ -128,24 +128,24 @@
             return;
         }
         let deaf = self.apart(ticket.node, &machine) || self.deaf.contains(&machine);
-        if deaf || !self.workers.contains_key(&machine) {
+        if deaf || !self.agents.contains_key(&machine) {
             return;
         }
         let mut status = 200;
         if path == wire::COMMANDS_PATH {
             let batch: CommandBatch = wire::decode(&body).expect("commands");
-            let worker = &self.workers[&machine];
-            if batch.epoch < worker.epoch || batch.session != Some(worker.session) {
+            let agent = &self.agents[&machine];
+            if batch.epoch < agent.epoch || batch.incarnation != Some(agent.incarnation) {
                 status = 409;
             } else {
                 self.commands(&machine, batch);
             }
         }
-        let worker = self.workers.get_mut(&machine);
-        let (Some(worker), Some(rented)) = (worker, self.cloud.machines.get(&machine)) else {
+        let agent = self.agents.get_mut(&machine);
+        let (Some(agent), Some(rented)) = (agent, self.cloud.machines.get(&machine)) else {
             return;
         };
-        let body = wire::encode(&worker.report(rented));
+        let body = wire::encode(&agent.report(rented));
         let outcome = Outcome::Answer { status, body };
         self.respond(1, ticket, outcome);
     }
@@ -160,7 +160,7 @@
         self.post(to, connection, Listener::Mesh, path, body);
     }
 
-    fn deliver_checkin(
+    fn deliver_heartbeat(
         &mut self,
         machine: String,
         serial: u64,
@@ -169,7 +169,7 @@
         copy: bool,
     ) {
         if self.cut.contains(&machine) && self.inside != Some(to) {
-            self.late.push(Msg::Checkin {
+            self.late.push(Msg::Heartbeat {
                 machine,
                 serial,
                 to,
@@ -182,24 +182,24 @@
             return;
         }
         if !copy {
-            self.copy_checkin(&machine, serial, &body);
+            self.copy_heartbeat(&machine, serial, &body);
         }
         if self.nodes[to].is_none() || self.apart(to, &machine) {
             return;
         }
         let connection = self.new_connection();
         if !copy {
-            let origin = Origin::Worker(machine, serial);
+            let origin = Origin::Agent(machine, serial);
             self.conns.insert(connection, origin);
         }
-        let path = wire::CHECKIN_PATH.to_string();
+        let path = wire::HEARTBEAT_PATH.to_string();
         self.post(to, connection, Listener::Front, path, body);
     }
 
     /// Keeps copies for the next leader, and sends others, to every controller: also to one
     /// that leads by then.
-    fn copy_checkin(&mut self, machine: &str, serial: u64, body: &[u8]) {
-        let copy = |to| Msg::Checkin {
+    fn copy_heartbeat(&mut self, machine: &str, serial: u64, body: &[u8]) {
+        let copy = |to| Msg::Heartbeat {
             machine: machine.to_string(),
             serial,
             to,
--- a/tests/common/duties.rs
+++ b/tests/common/duties.rs
@@ -303,8 +303,8 @@
             .filter(|m| self.cloud.machines.contains_key(*m))
             .collect();
         let runs = |name: &&&String| {
-            let worker = self.workers.get(**name);
-            worker.is_some_and(|w| w.tasks.iter().any(|task| task.state != "ended"))
+            let agent = self.agents.get(**name);
+            agent.is_some_and(|w| w.tasks.iter().any(|task| task.state != "ended"))
         };
         let named = self.machines_on_record();
         let event = DutyEvent::Asked {
--- a/tests/common/faults.rs
+++ b/tests/common/faults.rs
@@ -16,11 +16,11 @@
         self.note(format!("c{node} crashes"));
     }
 
-    /// A worker is back at once, with another session and without its tasks.
-    pub fn restart_worker(&mut self, machine: &str) {
-        if let Some(w) = self.workers.get_mut(machine) {
+    /// An agent is back at once, with another incarnation and without its tasks.
+    pub fn restart_agent(&mut self, machine: &str) {
+        if let Some(w) = self.agents.get_mut(machine) {
             w.tasks.clear();
-            w.session += 1;
+            w.incarnation += 1;
             w.changed = true;
             w.waiting = None;
             w.acked = self.now;
@@ -60,7 +60,7 @@
 
     /// Whether a cut is between a controller and a machine.
     pub(super) fn apart(&self, node: usize, machine: &str) -> bool {
-        self.no_workers.contains(&node)
+        self.no_agents.contains(&node)
             || (self.cut.contains(machine) != (self.inside == Some(node)))
     }
 
@@ -98,7 +98,7 @@
             self.note(format!("{machine} goes on"));
             for m in std::mem::take(&mut self.hung_inbox) {
                 match &m {
-                    Msg::Worker { machine: h, .. } if *h == machine => self.send(1, m),
+                    Msg::Agent { machine: h, .. } if *h == machine => self.send(1, m),
                     _ => self.hung_inbox.push(m),
                 }
             }
--- a/tests/common/fleet.rs
+++ b/tests/common/fleet.rs
@@ -86,7 +86,7 @@
 
     /// Tasks that are on machines and have not ended.
     pub fn live_tasks(&self) -> usize {
-        let tasks = self.workers.values().flat_map(|worker| &worker.tasks);
+        let tasks = self.agents.values().flat_map(|agent| &agent.tasks);
         tasks.filter(|task| task.state != "ended").count()
     }
 
--- a/tests/common/messages.rs
+++ b/tests/common/messages.rs
@@ -33,7 +33,7 @@
         path: String,
         body: Vec<u8>,
     },
-    Worker {
+    Agent {
         ticket: Ticket,
         machine: String,
         path: String,
@@ -49,7 +49,7 @@
         ticket: Ticket,
         outcome: Outcome,
     },
-    Checkin {
+    Heartbeat {
         machine: String,
         serial: u64,
         to: usize,
@@ -77,7 +77,7 @@
 }
 
 pub(super) enum Origin {
-    Worker(String, u64),
+    Agent(String, u64),
     Peer(Ticket),
     User(usize),
 }
--- a/tests/common/meter.rs
+++ b/tests/common/meter.rs
@@ -26,7 +26,7 @@
         match event {
             Event::Request { request, .. } => {
                 let name = match (request.method.as_str(), request.path.as_str()) {
-                    (_, wire::CHECKIN_PATH) => "check-in",
+                    (_, wire::HEARTBEAT_PATH) => "check-in",
                     (_, path) if path.starts_with("/mesh/") => "peer's request",
                     ("GET", _) => "poll",
                     _ => "submission, cancellation",
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,11 +1,13 @@
 //! Stand-ins for the outside world, written after the protocol: the state
-//! service, the cloud and the workers, on a clock of their own. Whole
+//! service, the cloud and the agents, on a clock of their own. Whole
 //! controllers run against them without sockets, so every run repeats.
 
 // Each test file is a program of its own that uses a part of this module.
 #![allow(dead_code, unused_imports)]
 #![allow(clippy::collapsible_match, clippy::collapsible_if)]
 
+mod agent;
+mod agent_events;
 mod checks;
 mod cloud;
 mod delivery;
@@ -20,9 +22,8 @@
 mod sim;
 mod state_service;
 mod users;
-mod worker;
-mod worker_events;
 
+pub use agent::{Agent, AgentTask};
 pub use checks::kept;
 pub use cloud::{addr_of, Cloud, ListFault, Rented, TokenCheck};
 pub use duties::{CloudOrders, DutyEvent};
@@ -33,4 +34,3 @@
 pub use settings::{settings, settings_with, submission, Grants};
 pub use sim::Sim;
 pub use state_service::{Low, Served, StateService};
-pub use worker::{OnWorker, Worker};
--- a/tests/common/settings.rs
+++ b/tests/common/settings.rs
@@ -6,7 +6,7 @@
 /// What the platform grants, where it differs between tests.
 #[derive(Clone, Debug)]
 pub struct Grants {
-    pub report_ms: u64,
+    pub heartbeat_interval_ms: u64,
     pub state_rps: f64,
     pub write_rps: f64,
     pub cloud_rps: f64,
@@ -17,7 +17,7 @@
 impl Default for Grants {
     fn default() -> Grants {
         Grants {
-            report_ms: 3000,
+            heartbeat_interval_ms: 3000,
             state_rps: 200.0,
             write_rps: 50.0,
             cloud_rps: 10.0,
@@ -31,7 +31,7 @@
     /// Those of a deployment with thousands of machines.
     pub fn large() -> Grants {
         Grants {
-            report_ms: 8000,
+            heartbeat_interval_ms: 8000,
             state_rps: 100.0,
             write_rps: 25.0,
             cloud_rps: 5.0,
@@ -64,7 +64,7 @@
         fd_limit,
         ..
     } = grants;
-    let report_s = grants.report_ms as f64 / 1000.0;
+    let report_s = grants.heartbeat_interval_ms as f64 / 1000.0;
     let text = format!(
         r#"{{"member":"c{member}","zone":"a","front":"10.0.0.{n}:80","mesh_addr":"10.0.0.{n}:81",
         "known":[{}],"endpoints":{{"cloud":"10.2.0.2:1","state":"10.2.0.1:1"}},"news_field":1,
--- a/tests/common/sim.rs
+++ b/tests/common/sim.rs
@@ -7,6 +7,7 @@
 use gaugesill::wire::{self};
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 
+use super::agent::*;
 use super::cloud::*;
 use super::digest::MessageDigest;
 use super::duties::*;
@@ -14,7 +15,6 @@
 use super::meter::*;
 use super::settings::*;
 use super::state_service::*;
-use super::worker::*;
 
 /// Three controllers and their world.
 pub struct Sim {
@@ -24,7 +24,7 @@
     pub(super) back_at: Vec<Option<u64>>,
     pub state: StateService,
     pub cloud: Cloud,
-    pub workers: BTreeMap<String, Worker>,
+    pub agents: BTreeMap<String, Agent>,
     pub(super) wire: BTreeMap<(u64, u64), Msg>,
     pub(super) seq: u64,
     pub(super) watches: Vec<Watch>,
@@ -43,11 +43,11 @@
     pub no_state: HashSet<usize>,
     /// What they send it meanwhile arrives when the cut ends.
     pub(super) held_messages: Vec<Msg>,
-    /// Controllers that workers can't reach, nor they the workers.
-    pub no_workers: HashSet<usize>,
+    /// Controllers that agents can't reach, nor they the agents.
+    pub no_agents: HashSet<usize>,
     /// Controllers that the others can't reach, nor they them.
     pub no_peers: HashSet<usize>,
-    /// Machines behind a cut: what their workers send is held back.
+    /// Machines behind a cut: what their agents send is held back.
     pub cut: HashSet<String>,
     /// The controller behind the same cut: it reaches them, and no others.
     pub(super) inside: Option<usize>,
@@ -78,12 +78,12 @@
     pub txns: u64,
     /// Parts in ten thousand by which a controller's steady clock runs fast.
     pub fast: HashMap<usize, u64>,
-    /// A copy of every check-in is kept, and reaches every controller this long
+    /// A copy of every heartbeat is kept, and reaches every controller this long
     /// after the next leader has begun.
     pub copies_for_next: Option<u64>,
     pub(super) kept_copies: Vec<Msg>,
     pub(super) epoch_seen: u64,
-    /// Every check-in arrives again after these times.
+    /// Every heartbeat arrives again after these times.
     pub copies_after: Vec<u64>,
     /// Controllers that stand still, and until when; their clocks run on.
     pub(super) still: HashMap<usize, u64>,
@@ -103,8 +103,8 @@
     pub(super) team: String,
     pub(super) told: HashMap<String, String>,
     pub grants: Grants,
-    /// How often workers are looked at, in milliseconds.
-    pub worker_tick_ms: u64,
+    /// How often agents are looked at, in milliseconds.
+    pub agent_tick_ms: u64,
     /// On which machines each task was ever started, and tasks of each job.
     pub(super) places: HashMap<String, BTreeSet<String>>,
     /// Larger answers of the state service can't be held, and how many there were.
@@ -149,7 +149,7 @@
                 most: 4,
                 ..Cloud::default()
             },
-            workers: BTreeMap::new(),
+            agents: BTreeMap::new(),
             wire: BTreeMap::new(),
             seq: 0,
             watches: vec![],
@@ -164,7 +164,7 @@
             state_out: false,
             no_state: HashSet::new(),
             held_messages: vec![],
-            no_workers: HashSet::new(),
+            no_agents: HashSet::new(),
             no_peers: HashSet::new(),
             cut: HashSet::new(),
             inside: None,
@@ -198,7 +198,7 @@
             team: team.to_string(),
             told: HashMap::new(),
             grants: Grants::default(),
-            worker_tick_ms: 10,
+            agent_tick_ms: 10,
             places: HashMap::new(),
             reply_max: usize::MAX,
             too_large: 0,
@@ -221,7 +221,7 @@
     pub fn large(machines: usize) -> Sim {
         let mut s = Sim::new();
         s.grants = Grants::large();
-        s.worker_tick_ms = 100;
+        s.agent_tick_ms = 100;
         s.cloud.most = machines;
         for node in 0..3 {
             s.crash(node, 1);
@@ -350,7 +350,7 @@
                 retry_after,
                 body,
             } => match self.conns.remove(&connection) {
-                Some(Origin::Worker(machine, serial)) => {
+                Some(Origin::Agent(machine, serial)) => {
                     if !self.apart(node, &machine) && !self.deaf.contains(&machine) {
                         self.send(
                             1,
@@ -399,7 +399,7 @@
                         body,
                     }
                 } else if ip == "10.1.0.1" {
-                    Msg::Worker {
+                    Msg::Agent {
                         ticket,
                         machine: format!("m-{:06}", address.port() - 1000),
                         path,
@@ -501,8 +501,8 @@
                 self.drain(i);
             }
         }
-        if self.now % self.worker_tick_ms == 0 {
-            self.tick_workers();
+        if self.now % self.agent_tick_ms == 0 {
+            self.tick_agents();
         }
     }
 
--- a/tests/duties.rs
+++ b/tests/duties.rs
@@ -339,7 +339,7 @@
         let node = (0..3).find(|node| *node != leader).expect("another");
         sim.submit(node, &long, 40_000);
         sim.run(20_000);
-        let works = |name: &String| sim.workers[name].tasks.iter().any(|t| t.state != "ended");
+        let works = |name: &String| sim.agents[name].tasks.iter().any(|t| t.state != "ended");
         let wrong: Vec<String> = sim.returned_machines().into_iter().filter(works).collect();
         assert!(wrong.is_empty(), "{wrong:?}\n{}", sim.trace.join("\n"));
         sim.orders = CloudOrders::Answered;
@@ -356,7 +356,7 @@
     sim.cloud.most = 1;
     submit(&mut sim, 1, "sweep", 2, 4.0);
     assert!(sim.until(60_000, |sim| sim.live_tasks() > 0));
-    let faulty = sim.workers.keys().next().expect("a machine").clone();
+    let faulty = sim.agents.keys().next().expect("a machine").clone();
     sim.faulty.insert(faulty.clone());
     assert!(sim.until(60_000, |sim| !sim.cloud.machines.contains_key(&faulty)));
     finish(&mut sim, true);
@@ -567,12 +567,12 @@
             20_000,
         );
         let works = |sim: &Sim| {
-            sim.workers
+            sim.agents
                 .values()
                 .any(|w| w.tasks.iter().any(|t| t.state == "running"))
         };
         assert!(sim.until(60_000, works));
-        let machine = sim.workers.keys().next().expect("a machine").clone();
+        let machine = sim.agents.keys().next().expect("a machine").clone();
         let delete = cbor!({"machines" => [machine.as_str()], "if_empty" => true}).expect("value");
         let need = cbor!({"order" => {"delete" => delete}, "phase" => "needed", "since_ms" => 1});
         sim.state
--- a/tests/large_fleet.rs
+++ b/tests/large_fleet.rs
@@ -25,8 +25,8 @@
 #[test]
 fn the_last_good_list_stays_while_pages_are_wrong() {
     let (mut sim, _) = Sim::with_full_queue(5500, RunTimes::ENDLESS);
-    sim.worker_tick_ms = 500;
-    assert!(sim.until(90_000, |sim| sim.workers.len() > 5300));
+    sim.agent_tick_ms = 500;
+    assert!(sim.until(90_000, |sim| sim.agents.len() > 5300));
     let leader = sim.leader().expect("a leader");
     let known = |sim: &Sim| {
         let node = sim.nodes[leader].as_ref().expect("a controller");
--- a/tests/life.rs
+++ b/tests/life.rs
@@ -112,7 +112,7 @@
         sim.run(100);
         assert_eq!(sim.answer(again), Some((200, status)));
         let left = sim
-            .workers
+            .agents
             .values()
             .flat_map(|w| &w.tasks)
             .filter(|t| t.state != "ended")
@@ -166,7 +166,7 @@
 }
 
 /// A cancellation is committed while the leader is cut off from the state
-/// service: it must not go on answering workers so long that the job's tasks
+/// service: it must not go on answering agents so long that the job's tasks
 /// outlive `cancel_s`. What it sent meanwhile arrives late and must fail.
 #[test]
 fn a_leader_cut_from_the_state_service_is_replaced() {
@@ -186,20 +186,20 @@
     }
 }
 
-/// A leader that no worker reaches gives way to one that they reach.
+/// A leader that no agent reaches gives way to one that they reach.
 #[test]
 fn a_leader_cut_from_the_workers_resigns() {
     let mut sim = two_jobs();
     sim.run(9000);
     let l = sim.leader().expect("a leader");
-    sim.no_workers.insert(l);
+    sim.no_agents.insert(l);
     assert!(sim.until(60_000, |sim| sim.leader().is_some_and(|n| n != l)));
     sim.finish(120_000);
     sim.assert_sound();
     kept("deposed-leader", &sim.trace);
 }
 
-/// In an outage that all see, workers keep their tasks, users are told at
+/// In an outage that all see, agents keep their tasks, users are told at
 /// once when to come back, and nobody is taken out of the balancer.
 #[test]
 fn jobs_survive_an_outage_of_the_state_service() {
@@ -233,7 +233,7 @@
         1000,
     );
     sim.finish(120_000);
-    assert_eq!(sim.workers.values().map(|w| w.killed).sum::<u64>(), 0);
+    assert_eq!(sim.agents.values().map(|w| w.killed).sum::<u64>(), 0);
     sim.assert_sound();
 }
 
@@ -283,9 +283,9 @@
     kept("quota", &sim.trace);
 }
 
-/// Found in the reports of a steady day: the answer to the check-in that told
+/// Found in the reports of a steady day: the answer to the heartbeat that told
 /// of a task's end went out before the next start was on record, so each place
-/// lay empty for a report interval between two tasks.
+/// lay empty for a heartbeat interval between two tasks.
 #[test]
 fn the_answer_to_an_exit_carries_the_next_start() {
     let mut sim = Sim::new();
@@ -353,7 +353,7 @@
         20_000,
     );
     sim.run(9000);
-    let machine = sim.workers.keys().next().cloned().expect("a machine");
+    let machine = sim.agents.keys().next().cloned().expect("a machine");
     sim.cut.insert(machine.clone());
     sim.note(format!("{machine} is cut off"));
     assert!(sim.until(60_000, |sim| !sim.cloud.machines.contains_key(&machine)));
@@ -376,9 +376,9 @@
         6000,
     );
     sim.run(8000);
-    let machine = sim.workers.keys().next().cloned().expect("a machine");
-    sim.workers.remove(&machine);
-    // It stays listed, but its worker is gone for good.
+    let machine = sim.agents.keys().next().cloned().expect("a machine");
+    sim.agents.remove(&machine);
+    // It stays listed, but its agent is gone for good.
     sim.cloud.machines.get_mut(&machine).expect("listed").up_at = u64::MAX;
     sim.finish(150_000);
     sim.assert_sound();
@@ -467,7 +467,7 @@
         let run = if busy { 60_000 } else { 1000 };
         sim.submit(0, &submission("run-000001", "sweep", 2, 4.0, "normal"), run);
         sim.run(from);
-        let machine = sim.workers.keys().next().cloned().expect("a machine");
+        let machine = sim.agents.keys().next().cloned().expect("a machine");
         sim.deaf.insert(machine.clone());
         sim.note(format!("{machine} hears nothing any more"));
         sim.submit(
@@ -488,7 +488,7 @@
     }
 }
 
-/// Every check-in arrives again, after seconds and after more than a lease, at
+/// Every heartbeat arrives again, after seconds and after more than a lease, at
 /// every controller, while leaders change and a machine dies: nothing is taken
 /// for newer than it is, and the dead machine gets no work.
 #[test]
@@ -497,11 +497,11 @@
         let mut sim = two_jobs();
         sim.copies_after = vec![700, 9000, 50_000];
         sim.run(6500 + 400 * k);
-        let machine = sim.workers.keys().next().cloned().expect("a machine");
+        let machine = sim.agents.keys().next().cloned().expect("a machine");
         if k % 3 == 0 {
-            sim.restart_worker(&machine);
+            sim.restart_agent(&machine);
         } else {
-            sim.workers.remove(&machine);
+            sim.agents.remove(&machine);
             sim.cloud.machines.get_mut(&machine).expect("listed").up_at = u64::MAX;
             sim.note(format!("{machine} dies"));
         }
@@ -528,7 +528,7 @@
 }
 
 /// A leader loses the state service and the other controllers, but not its
-/// workers: it can't keep them under its token beyond what a cancellation
+/// agents: it can't keep them under its token beyond what a cancellation
 /// leaves it, and nothing runs twice.
 #[test]
 fn a_leader_with_only_its_workers_stops_them_in_time() {
@@ -553,7 +553,7 @@
         assert_eq!(sim.answer(slot).map(|a| a.0), Some(200));
         sim.run(70_000);
         let gone = |sim: &Sim| {
-            let mut all = sim.workers.values().flat_map(|w| &w.tasks);
+            let mut all = sim.agents.values().flat_map(|w| &w.tasks);
             !all.any(|t| t.name.starts_with("run-000001/") && t.state != "ended")
         };
         assert!(gone(&sim), "{}", sim.trace.join("\n"));
@@ -566,7 +566,7 @@
     }
 }
 
-/// Controllers and workers are back within a fraction of a second, also in the
+/// Controllers and agents are back within a fraction of a second, also in the
 /// middle of an election: nothing is taken for its earlier life's.
 #[test]
 fn controllers_back_within_a_second() {
@@ -579,8 +579,8 @@
         for n in 0..3 {
             sim.crash(n, 30 + 40 * ((k + n as u64) % 3));
         }
-        if let Some(machine) = sim.workers.keys().nth(k as usize % 2).cloned() {
-            sim.restart_worker(&machine);
+        if let Some(machine) = sim.agents.keys().nth(k as usize % 2).cloned() {
+            sim.restart_agent(&machine);
         }
         sim.run(150);
         sim.crash((l + 1) % 3, 10);
@@ -629,7 +629,7 @@
     sim.assert_sound();
 }
 
-/// A machine that is back within a moment, with a new session, has lost its
+/// A machine that is back within a moment, with a new incarnation, has lost its
 /// tasks but is sound: it is kept and gets work again.
 #[test]
 fn a_machine_back_within_a_moment_is_kept() {
@@ -642,7 +642,7 @@
         20_000,
     );
     sim.run(14_000);
-    sim.restart_worker("m-000000");
+    sim.restart_agent("m-000000");
     sim.finish(60_000);
     assert_eq!(sim.cloud.next, 1, "no other was rented");
     sim.assert_sound();
@@ -662,8 +662,8 @@
     );
     sim.run(12_000);
     assert_eq!(sim.cloud.next, 3);
-    let machine = sim.workers.keys().next().cloned().expect("a machine");
-    sim.workers.remove(&machine);
+    let machine = sim.agents.keys().next().cloned().expect("a machine");
+    sim.agents.remove(&machine);
     sim.cloud.machines.get_mut(&machine).expect("listed").up_at = u64::MAX;
     sim.note(format!("{machine} dies"));
     sim.finish(100_000);
@@ -709,7 +709,7 @@
 /// the leader in it, another controller, or none. The rules hold on both sides,
 /// also when what was held back arrives.
 ///
-/// Found here: new machines whose workers first asked the controllers behind the
+/// Found here: new machines whose agents first asked the controllers behind the
 /// cut were known from a direct call, did not have the token yet, and were given
 /// back as idle, one after the other.
 #[test]
--- a/tests/message_digests.rs
+++ b/tests/message_digests.rs
@@ -92,12 +92,12 @@
     }
 
     fn random_machine(&mut self) -> Option<String> {
-        let machines = self.sim.workers.len();
+        let machines = self.sim.agents.len();
         if machines == 0 {
             return None;
         }
         let chosen = self.rng.random_range(0..machines);
-        self.sim.workers.keys().nth(chosen).cloned()
+        self.sim.agents.keys().nth(chosen).cloned()
     }
 }
 
@@ -181,7 +181,7 @@
         let cut = run.controller();
         match run.rng.random_range(0..5) {
             0 => run.sim.no_state.extend([cut]),
-            1 => run.sim.no_workers.extend([cut]),
+            1 => run.sim.no_agents.extend([cut]),
             2 => run.sim.no_peers.extend([cut]),
             3 => run.sim.cut_zone("b", Some(cut)),
             _ => run.sim.refused.extend([cut]),
@@ -190,7 +190,7 @@
         run.cancel(&ids[0]);
         run.submit_some(2);
         run.pause(10_000, 50_000);
-        run.sim.no_workers.clear();
+        run.sim.no_agents.clear();
         run.sim.refused.clear();
         run.sim.heal_zone();
     };
@@ -260,7 +260,7 @@
                 continue;
             };
             match run.rng.random_range(0..5) {
-                0 => run.sim.restart_worker(&machine),
+                0 => run.sim.restart_agent(&machine),
                 1 => run.sim.hang(&machine, 9000),
                 2 => run.sim.deaf.extend([machine]),
                 3 => run.sim.mute.extend([machine]),
--- a/tests/parts/duties.rs
+++ b/tests/parts/duties.rs
@@ -5,10 +5,10 @@
 
 use crate::support::*;
 use gaugesill::cloud::MachineKind;
-use gaugesill::scheduler::{RentalOutcome, ReportOrigin, Scheduler};
+use gaugesill::scheduler::{RentalOutcome, Scheduler, StatusOrigin};
 use proptest::prelude::*;
 
-/// What the records of duties tell a leader, and what workers report meanwhile.
+/// What the records of duties tell a leader, and what agents report meanwhile.
 #[derive(Debug, Clone)]
 enum News {
     ReturnRecorded(usize),
@@ -81,7 +81,7 @@
         self.serial += 1;
         let report = report(name, self.serial, 2);
         self.scheduler
-            .on_report(&report, ReportOrigin::CheckIn, self.now);
+            .on_agent_status(&report, StatusOrigin::Heartbeat, self.now);
     }
 
     fn take_in(&mut self, news: News) {
--- a/tests/parts/reports.rs
+++ b/tests/parts/reports.rs
@@ -5,8 +5,8 @@
 use gaugesill::machine::TaskPhase;
 use gaugesill::plan::{self};
 use gaugesill::replica::LiveJob;
-use gaugesill::scheduler::{Effect, ReportOrigin, Scheduler};
-use gaugesill::wire::{self, Report, TaskReport};
+use gaugesill::scheduler::{Effect, Scheduler, StatusOrigin};
+use gaugesill::wire::{self, AgentStatus, TaskStatus};
 use std::sync::Arc;
 
 /// A report that was held back arrives after its machine's deletion: it does
@@ -14,22 +14,22 @@
 #[test]
 fn a_late_report_of_a_deleted_machine_is_ignored() {
     let mut c = control("[]");
-    let report = |serial| wire::Report {
+    let report = |serial| wire::AgentStatus {
         machine: "m-000001".into(),
         endpoint: "10.1.0.1:9".into(),
         machine_type: "small".into(),
         zone: "a".into(),
         spot: false,
-        session: 1,
+        incarnation: 1,
         serial,
         epoch: 2,
         reclaim_in_s: None,
         tasks: vec![],
     };
-    c.on_report(&report(4), ReportOrigin::CheckIn, 2000);
+    c.on_agent_status(&report(4), StatusOrigin::Heartbeat, 2000);
     assert!(c.machines.contains_key("m-000001"));
     c.on_deleted(&["m-000001".to_string()], true, 3000);
-    c.on_report(&report(5), ReportOrigin::CheckIn, 90_000);
+    c.on_agent_status(&report(5), StatusOrigin::Heartbeat, 90_000);
     assert!(c.machines.is_empty());
 }
 
@@ -45,14 +45,14 @@
     let mut fails = |c: &mut Scheduler, id: &str, task: u32| {
         serial += 1;
         let mut r = report(&format!("m-{task}"), serial, 2);
-        r.tasks.push(TaskReport {
+        r.tasks.push(TaskStatus {
             task: format!("{id}/{task}"),
             attempt: 1,
             status: "ended".into(),
             cause: Some("error".into()),
             kept: None,
         });
-        c.on_report(&r, ReportOrigin::CheckIn, 1000 + serial);
+        c.on_agent_status(&r, StatusOrigin::Heartbeat, 1000 + serial);
     };
     let leaves = |c: &Scheduler| -> Vec<bool> {
         let m = |n| c.machines[&format!("m-{n}")].return_reason.is_some();
@@ -92,12 +92,12 @@
 #[test]
 fn no_work_for_a_machine_without_our_epoch() {
     let mut c = control("[]");
-    c.on_report(&report("m-0", 7, 1), ReportOrigin::CheckIn, 1000);
+    c.on_agent_status(&report("m-0", 7, 1), StatusOrigin::Heartbeat, 1000);
     assert!(c.snapshot(1000, 1_000_000).machines.is_empty());
-    c.on_report(&report("m-0", 8, 2), ReportOrigin::CheckIn, 1500);
+    c.on_agent_status(&report("m-0", 8, 2), StatusOrigin::Heartbeat, 1500);
     assert_eq!(c.snapshot(1500, 1_000_500).machines.len(), 1);
     // A copy of an old one changes nothing.
-    c.on_report(&report("m-0", 7, 1), ReportOrigin::CheckIn, 2000);
+    c.on_agent_status(&report("m-0", 7, 1), StatusOrigin::Heartbeat, 2000);
     assert_eq!(c.snapshot(2000, 1_001_000).machines.len(), 1);
 }
 
@@ -114,7 +114,7 @@
         (5, vec![task("run-1/0", 1, "ended", Some("alone"))]),
     ] {
         let r = reports(serial, 1, tasks);
-        c.on_report(&r, ReportOrigin::CheckIn, 1200);
+        c.on_agent_status(&r, StatusOrigin::Heartbeat, 1200);
         assert_eq!(c.jobs["run-1"].placements.len(), 1, "{r:?}");
         assert_eq!(
             c.answer_commands(&r, true, 1200),
@@ -123,14 +123,14 @@
         );
     }
     let r = reports(9, 2, vec![task("run-1/0", 1, "running", None)]);
-    c.on_report(&r, ReportOrigin::CheckIn, 1500);
+    c.on_agent_status(&r, StatusOrigin::Heartbeat, 1500);
     assert_eq!(
         c.jobs["run-1"].placements[0].phase,
         Some(TaskPhase::Running)
     );
     // With our token the end counts.
     let r = reports(10, 2, vec![task("run-1/0", 1, "ended", Some("alone"))]);
-    c.on_report(&r, ReportOrigin::CheckIn, 2500);
+    c.on_agent_status(&r, StatusOrigin::Heartbeat, 2500);
     assert!(c.jobs["run-1"].placements.is_empty());
 }
 
@@ -159,7 +159,7 @@
         }
         let there = task("run-2/0", 1, "running", None);
         let r = reports(1, 2, vec![there.clone()]);
-        c.on_report(&r, ReportOrigin::CheckIn, 1500);
+        c.on_agent_status(&r, StatusOrigin::Heartbeat, 1500);
         assert_eq!(c.jobs["run-1"].placements.len(), kept, "{cpus} {limit}");
         assert_eq!(c.jobs["run-2"].placements.len(), 1);
         let starts = c.answer_commands(&r, true, 1500);
@@ -167,7 +167,7 @@
     }
 }
 
-/// A worker answers a direct question while the answer that clears a task and starts
+/// An agent answers a direct question while the answer that clears a task and starts
 /// it again under its attempt is still on its way to it: what it says of the first
 /// end says nothing of the second start.
 #[test]
@@ -175,7 +175,7 @@
     let mut c = successor(Shape::Gang, 1);
     let alone = || vec![task("run-1/0", 1, "ended", Some("alone"))];
     let r = reports(3, 2, alone());
-    c.on_report(&r, ReportOrigin::CheckIn, 1500);
+    c.on_agent_status(&r, StatusOrigin::Heartbeat, 1500);
     let verbs: Vec<String> = c
         .answer_commands(&r, true, 1500)
         .into_iter()
@@ -183,13 +183,13 @@
         .collect();
     assert_eq!(verbs, ["clear", "start"]);
     // By now the gang's wait is over, so an end would be one.
-    c.on_report(
+    c.on_agent_status(
         &reports(4, 2, alone()),
-        ReportOrigin::DirectRequest,
+        StatusOrigin::DirectResponse,
         400_000,
     );
     assert_eq!(c.jobs["run-1"].placements.len(), 1);
-    c.on_report(&reports(5, 2, alone()), ReportOrigin::CheckIn, 400_100);
+    c.on_agent_status(&reports(5, 2, alone()), StatusOrigin::Heartbeat, 400_100);
     assert!(
         c.jobs["run-1"].placements.is_empty(),
         "a later check-in tells"
@@ -197,7 +197,7 @@
 }
 
 /// An answer showed no effect once, and then there was nothing more to tell: the
-/// doubt ends when the same session has outlasted a lease.
+/// doubt ends when the same incarnation has outlasted a lease.
 #[test]
 fn suspicion_of_a_machine_ends() {
     let mut c = successor(Shape::Array, 1);
@@ -205,18 +205,18 @@
     let mut gone = runs();
     gone.push(task("run-7/0", 1, "ended", Some("stopped")));
     let r = reports(1, 2, gone.clone());
-    c.on_report(&r, ReportOrigin::CheckIn, 2000);
+    c.on_agent_status(&r, StatusOrigin::Heartbeat, 2000);
     assert_eq!(
         c.answer_commands(&r, true, 2000).len(),
         1,
         "told to forget it"
     );
-    c.on_report(&reports(2, 2, gone), ReportOrigin::CheckIn, 5000);
+    c.on_agent_status(&reports(2, 2, gone), StatusOrigin::Heartbeat, 5000);
     let able = |c: &mut Scheduler, now| !c.snapshot(now, 1_000_000 + now).machines.is_empty();
     assert!(!able(&mut c, 5000), "the answer showed no effect");
     for n in 0..16 {
         let now = 8000 + 3000 * n;
-        c.on_report(&reports(3 + n, 2, runs()), ReportOrigin::CheckIn, now);
+        c.on_agent_status(&reports(3 + n, 2, runs()), StatusOrigin::Heartbeat, now);
         assert_eq!(able(&mut c, now), now > 5000 + 39_000, "{now}");
     }
 }
@@ -227,9 +227,9 @@
 fn rests_and_avoided_machines_end() {
     let mut c = control("[]");
     for n in 0..9 {
-        c.on_report(
+        c.on_agent_status(
             &report(&format!("m-{n}"), 1, 2),
-            ReportOrigin::CheckIn,
+            StatusOrigin::Heartbeat,
             1000,
         );
     }
@@ -244,7 +244,11 @@
     let mut now = 1000;
     for n in 0..9u64 {
         let machine = format!("m-{n}");
-        c.on_report(&report(&machine, 3 * n + 2, 2), ReportOrigin::CheckIn, now);
+        c.on_agent_status(
+            &report(&machine, 3 * n + 2, 2),
+            StatusOrigin::Heartbeat,
+            now,
+        );
         let d = plan::Decision {
             placements: vec![plan::PlannedPlacement {
                 job: "run-1".into(),
@@ -255,11 +259,11 @@
         c.apply_decision(d, 0, now, 1_000_000 + now);
         let attempt = c.jobs["run-1"].placements[0].attempt;
         let tasks = vec![task("run-1/0", attempt, "ended", Some("error"))];
-        let r = Report {
+        let r = AgentStatus {
             tasks,
             ..report(&machine, 3 * n + 3, 2)
         };
-        c.on_report(&r, ReportOrigin::CheckIn, now);
+        c.on_agent_status(&r, StatusOrigin::Heartbeat, now);
         let ready = |c: &mut Scheduler, t: u64| !c.snapshot(t, 1_000_000 + t).jobs[0].backing_off;
         assert!(ready(&mut c, now + 36_100), "after {n} failures");
         let s = c.snapshot(now + 73_000, 1_073_000 + now);
@@ -269,7 +273,7 @@
 }
 
 /// Found on lean lenteks, rough: a successor on a small share of a processor
-/// answered check-ins after their workers had given up, took the machines for deaf,
+/// answered heartbeats after their agents had given up, took the machines for deaf,
 /// and gave 150 sound ones back; others it gave up for a silence that was its own.
 #[test]
 fn a_lagging_leader_suspects_no_machine() {
@@ -279,8 +283,8 @@
             let now = 1000 + 3000 * serial;
             c.on_read_delay(behind, now);
             let r = report("m-0", serial, 1);
-            c.on_report(&r, ReportOrigin::CheckIn, now);
-            // The answer brings our token, and the next check-in does not show it.
+            c.on_agent_status(&r, StatusOrigin::Heartbeat, now);
+            // The answer brings our token, and the next heartbeat does not show it.
             c.answer_commands(&r, true, now);
         }
         assert_eq!(
--- a/tests/parts/returns.rs
+++ b/tests/parts/returns.rs
@@ -2,7 +2,7 @@
 
 use crate::support::*;
 use gaugesill::job::Shape;
-use gaugesill::scheduler::{Effect, ReportOrigin, Scheduler};
+use gaugesill::scheduler::{Effect, Scheduler, StatusOrigin};
 use gaugesill::write_queue::CommitResult;
 
 /// Found on a grown day: with reports every 8 s, machines were given up for
@@ -10,7 +10,7 @@
 /// itself cut off wanted to give back all of them.
 #[test]
 fn a_leader_that_is_cut_off_returns_no_machines() {
-    // Nobody else is heard, or the workers came to somebody else.
+    // Nobody else is heard, or the agents came to somebody else.
     for (report_s, elsewhere) in [("3.0", None), ("8.0", None), ("8.0", Some(9))] {
         assert_eq!(gives_back(report_s, elsewhere), None, "{report_s}");
     }
@@ -33,7 +33,7 @@
     assert!(all(&mut c, 9));
     // No other controller is heard, but one machine still is.
     let mut c = busy_machines("8.0");
-    c.on_report(&report("m-0", 2, 2), ReportOrigin::CheckIn, 22_000);
+    c.on_agent_status(&report("m-0", 2, 2), StatusOrigin::Heartbeat, 22_000);
     c.tick(22_200, 1, 0);
     assert!(all(&mut c, 8));
 }
@@ -55,23 +55,27 @@
 fn a_machine_is_kept_until_its_result_is_on_record() {
     let mut c = successor(Shape::Array, 2);
     let runs = |n: u32| task(&format!("run-1/{n}"), 1, "running", None);
-    c.on_report(
+    c.on_agent_status(
         &reports(1, 2, vec![runs(0), runs(1)]),
-        ReportOrigin::CheckIn,
+        StatusOrigin::Heartbeat,
         1500,
     );
     let done = || task("run-1/0", 1, "ended", Some("done"));
     let stopped = task("run-1/1", 1, "ended", Some("stopped"));
-    c.on_report(
+    c.on_agent_status(
         &reports(2, 2, vec![done(), stopped]),
-        ReportOrigin::CheckIn,
+        StatusOrigin::Heartbeat,
         2000,
     );
     // The state service does not answer for a minute.
     let mut writes = Vec::new();
     for n in 0..60 {
         let now = 3000 + 1000 * n;
-        c.on_report(&reports(3 + n, 2, vec![done()]), ReportOrigin::CheckIn, now);
+        c.on_agent_status(
+            &reports(3 + n, 2, vec![done()]),
+            StatusOrigin::Heartbeat,
+            now,
+        );
         c.tick(now, 0, 9);
         for e in c.take_effects() {
             match e {
@@ -89,12 +93,12 @@
         &CommitResult::Committed { revision: 9 },
         63_000,
     );
-    c.on_report(&reports(90, 2, vec![]), ReportOrigin::CheckIn, 63_500);
+    c.on_agent_status(&reports(90, 2, vec![]), StatusOrigin::Heartbeat, 63_500);
     let back = (0..200).any(|n| {
         c.tick(64_000 + 400 * n, 0, 9);
-        c.on_report(
+        c.on_agent_status(
             &reports(91 + n, 2, vec![]),
-            ReportOrigin::CheckIn,
+            StatusOrigin::Heartbeat,
             64_000 + 400 * n,
         );
         let effects = c.take_effects();
--- a/tests/parts/size.rs
+++ b/tests/parts/size.rs
@@ -5,7 +5,7 @@
 use gaugesill::job::{JobRecord, Priority, Shape};
 use gaugesill::plan::{self, JobView, MachineView};
 use gaugesill::replica::LiveJob;
-use gaugesill::scheduler::{Effect, ReportOrigin, Scheduler, WorkCounts};
+use gaugesill::scheduler::{Effect, Scheduler, StatusOrigin, WorkCounts};
 use std::sync::Arc;
 
 /// A leader of so many machines, each with a task of its own, and as many jobs that wait.
@@ -22,7 +22,7 @@
         scheduler.apply_record(&format!("run-{i:06}"), &live, 1000);
         let mut up = report(&format!("m-{i:06}"), 1, 2);
         up.tasks = vec![task(&format!("run-{i:06}/0"), 1, "running", None)];
-        scheduler.on_report(&up, ReportOrigin::CheckIn, 1000);
+        scheduler.on_agent_status(&up, StatusOrigin::Heartbeat, 1000);
         scheduler.answer_commands(&up, true, 1000);
     }
     scheduler.flush(1000, 1, 0);
@@ -30,8 +30,8 @@
     scheduler
 }
 
-/// What a hundred check-ins cost, of which ten tell of a task's end.
-fn cost_of_checkins(machines: usize) -> (WorkCounts, usize) {
+/// What a hundred heartbeats cost, of which ten tell of a task's end.
+fn cost_of_heartbeats(machines: usize) -> (WorkCounts, usize) {
     let mut scheduler = busy_fleet(machines);
     let before = scheduler.work_counts();
     let mut records = 0;
@@ -44,7 +44,7 @@
             ("running", None)
         };
         next.tasks = vec![task(&format!("run-{i:06}/0"), 1, status, cause)];
-        scheduler.on_report(&next, ReportOrigin::CheckIn, 9000);
+        scheduler.on_agent_status(&next, StatusOrigin::Heartbeat, 9000);
         scheduler.answer_commands(&next, true, 9000);
         scheduler.flush(9000, 1, 0);
         scheduler.send_direct_starts(true, 9000);
@@ -68,15 +68,15 @@
     (counts, records)
 }
 
-/// Found at 4,000 machines: each check-in walked all jobs for records to write, and all
-/// machines with starts to send, so that a second's check-ins cost four times as much at
+/// Found at 4,000 machines: each heartbeat walked all jobs for records to write, and all
+/// machines with starts to send, so that a second's heartbeats cost four times as much at
 /// twice the size.
 #[test]
 fn a_checkin_costs_the_same_in_a_fleet_of_any_size() {
-    let small = cost_of_checkins(200);
+    let small = cost_of_heartbeats(200);
     assert_eq!(small.1, 10, "one record for each end");
     assert!(small.0.records_considered <= 20, "{small:?}");
-    assert_eq!(cost_of_checkins(4000), small);
+    assert_eq!(cost_of_heartbeats(4000), small);
 }
 
 fn full_queue(machines: usize) -> (Vec<MachineView>, Vec<JobView>) {
--- a/tests/parts/snapshots.rs
+++ b/tests/parts/snapshots.rs
@@ -4,7 +4,7 @@
 use gaugesill::job::{JobRecord, Priority, Shape, TaskRun};
 use gaugesill::plan::cycle;
 use gaugesill::replica::LiveJob;
-use gaugesill::scheduler::{Effect, ReportOrigin};
+use gaugesill::scheduler::{Effect, StatusOrigin};
 use std::sync::Arc;
 
 /// Found in inc-8ccc: gangs that had missed every aim were overtaken by fresh
@@ -80,7 +80,7 @@
         c.apply_decision(d, 3, now, 1_000_000);
         let effects = c.take_effects();
         let rents = effects.iter().any(|e| matches!(e, Effect::Rent { .. }));
-        c.on_report(&report("m-1", now, 2), ReportOrigin::CheckIn, now);
+        c.on_agent_status(&report("m-1", now, 2), StatusOrigin::Heartbeat, now);
         (placed, rents)
     };
     // Nothing is rented: what is there already can't be known.
@@ -94,18 +94,18 @@
 fn a_snapshot_copies_only_what_changed() {
     let mut c = control("[]");
     for i in 0..3 {
-        c.on_report(
+        c.on_agent_status(
             &report(&format!("m-{i}"), 1, 2),
-            ReportOrigin::CheckIn,
+            StatusOrigin::Heartbeat,
             1000,
         );
     }
     let first = c.snapshot(1000, 1_000_000).machines;
     assert_eq!(first.len(), 3);
-    c.on_report(&report("m-0", 2, 2), ReportOrigin::CheckIn, 1500);
+    c.on_agent_status(&report("m-0", 2, 2), StatusOrigin::Heartbeat, 1500);
     let mut changes = report("m-1", 2, 2);
     changes.spot = true;
-    c.on_report(&changes, ReportOrigin::CheckIn, 1500);
+    c.on_agent_status(&changes, StatusOrigin::Heartbeat, 1500);
     let second = c.snapshot(1500, 1_000_500).machines;
     let shared: Vec<bool> = first
         .iter()
@@ -130,12 +130,12 @@
         version: 1,
     };
     c.apply_record("run-1", &live, 1000);
-    c.on_report(&report("m-1", 1, 2), ReportOrigin::CheckIn, 1500);
+    c.on_agent_status(&report("m-1", 1, 2), StatusOrigin::Heartbeat, 1500);
     assert!(c.snapshot(1500, 1_001_500).jobs.is_empty());
     let runs = |n| task(&format!("run-1/{n}"), 1, "running", None);
-    c.on_report(
+    c.on_agent_status(
         &reports(1, 2, vec![runs(0), runs(1)]),
-        ReportOrigin::CheckIn,
+        StatusOrigin::Heartbeat,
         1600,
     );
     let s = c.snapshot(1600, 1_001_600);
--- a/tests/parts/support.rs
+++ b/tests/parts/support.rs
@@ -8,9 +8,9 @@
     self, JobView, MachineView, Reservation, Resources, Snapshot, TaskView, TeamView,
 };
 use gaugesill::replica::{LiveJob, Replica};
-use gaugesill::scheduler::{ReportOrigin, Scheduler, Term};
+use gaugesill::scheduler::{Scheduler, StatusOrigin, Term};
 use gaugesill::settings::{ClusterSettings, OperatorSettings};
-use gaugesill::wire::{MachineType, Report, TaskReport};
+use gaugesill::wire::{AgentStatus, MachineType, TaskStatus};
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::sync::Arc;
 
@@ -191,14 +191,14 @@
     serde_json::from_str(&text).expect("settings")
 }
 
-pub fn report(machine: &str, serial: u64, epoch: u64) -> Report {
-    Report {
+pub fn report(machine: &str, serial: u64, epoch: u64) -> AgentStatus {
+    AgentStatus {
         machine: machine.into(),
         endpoint: "10.1.0.1:9000".into(),
         machine_type: "large".into(),
         zone: "a".into(),
         spot: false,
-        session: 1,
+        incarnation: 1,
         serial,
         epoch,
         reclaim_in_s: None,
@@ -211,20 +211,20 @@
     for i in 0..9 {
         // Busy, and they reported at different times before the cut.
         let mut r = report(&format!("m-{i}"), 1, 2);
-        r.tasks.push(TaskReport {
+        r.tasks.push(TaskStatus {
             task: format!("run-{i}/0"),
             attempt: 1,
             status: "running".into(),
             cause: None,
             kept: None,
         });
-        c.on_report(&r, ReportOrigin::CheckIn, 1000 + 300 * i);
+        c.on_agent_status(&r, StatusOrigin::Heartbeat, 1000 + 300 * i);
     }
     c
 }
 
-pub fn task(name: &str, attempt: u64, status: &str, cause: Option<&str>) -> TaskReport {
-    TaskReport {
+pub fn task(name: &str, attempt: u64, status: &str, cause: Option<&str>) -> TaskStatus {
+    TaskStatus {
         task: name.into(),
         attempt,
         status: status.into(),
@@ -233,8 +233,8 @@
     }
 }
 
-pub fn reports(serial: u64, epoch: u64, tasks: Vec<TaskReport>) -> Report {
-    Report {
+pub fn reports(serial: u64, epoch: u64, tasks: Vec<TaskStatus>) -> AgentStatus {
+    AgentStatus {
         tasks,
         ..report("m-0", serial, epoch)
     }
--- a/tests/pipelines.rs
+++ b/tests/pipelines.rs
@@ -12,7 +12,7 @@
 use gaugesill::dependencies::{DependencyEvent, DependencyGraph, DependencyState};
 use gaugesill::job::{FinalState, JobRecord, JobSpec, Priority, TaskRun};
 use gaugesill::replica::{LiveJob, Replica};
-use gaugesill::scheduler::{ReportOrigin, Scheduler, Term};
+use gaugesill::scheduler::{Scheduler, StatusOrigin, Term};
 use gaugesill::settings::OperatorSettings;
 use gaugesill::wire;
 
@@ -501,17 +501,17 @@
         spec(&["run-1"], Priority::High, 8.0, Some(60.0)),
     );
     assert_eq!(c.jobs["run-1"].spec.priority, Priority::High);
-    let r = wire::Report {
+    let r = wire::AgentStatus {
         machine: "m-0".into(),
         endpoint: "10.1.0.1:9000".into(),
         machine_type: "f8".into(),
         zone: "a".into(),
         spot: false,
-        session: 1,
+        incarnation: 1,
         serial: 1,
         epoch: 2,
         reclaim_in_s: None,
-        tasks: vec![wire::TaskReport {
+        tasks: vec![wire::TaskStatus {
             task: "run-1/0".into(),
             attempt: 1,
             status: "ended".into(),
@@ -519,7 +519,7 @@
             kept: None,
         }],
     };
-    c.on_report(&r, ReportOrigin::CheckIn, 2000);
+    c.on_agent_status(&r, StatusOrigin::Heartbeat, 2000);
     c.tick(9000, 5, 9);
     let written = c.take_effects().into_iter().find_map(|e| match e {
         gaugesill::scheduler::Effect::Write { writes, .. } => writes[0].value.clone(),
--- a/tests/real/sockets.rs
+++ b/tests/real/sockets.rs
@@ -10,9 +10,9 @@
 use crate::http::{free_port, read_message};
 
 /// Found with a fleet half as large again: after a mass failure the leader's own
-/// calls to workers took every socket that the workers' and users' connections
-/// left. Each has its part: users make room before workers do, and calls to the
-/// state service get through however many workers are called.
+/// calls to agents took every socket that the agents' and users' connections
+/// left. Each has its part: users make room before agents do, and calls to the
+/// state service get through however many agents are called.
 #[test]
 fn sockets_are_shared_out() {
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
@@ -23,7 +23,7 @@
     let limits = ConnectionLimits {
         fd_limit: 32,
         vital: HashSet::from([vital.local_addr().expect("an address")]),
-        worker_idle: Duration::from_secs(3600),
+        agent_idle: Duration::from_secs(3600),
         reply_max: 1 << 20,
     };
     let mut event_loop = EventLoop::new(front, any, limits).expect("it listens");
@@ -54,14 +54,14 @@
         let connect = |_| TcpStream::connect(front).expect("a connection");
         (0..count).map(connect).collect()
     };
-    let mut workers = open(16);
-    assert!(serve(&mut workers, "/checkin"));
+    let mut agents = open(16);
+    assert!(serve(&mut agents, "/checkin"));
     for _ in 0..5 {
         // Eight places are left: later users take those of earlier ones.
         let mut users = open(8);
         assert!(serve(&mut users, "/work"));
     }
-    assert!(serve(&mut workers, "/checkin"), "no worker was turned out");
+    assert!(serve(&mut agents, "/checkin"), "no worker was turned out");
     let mut unsent = 0;
     for tag in 0..20 {
         let to = dead.local_addr().expect("an address");
@@ -90,7 +90,7 @@
     let limits = ConnectionLimits {
         fd_limit: 400,
         vital: HashSet::new(),
-        worker_idle: Duration::from_secs(3600),
+        agent_idle: Duration::from_secs(3600),
         reply_max: 1 << 20,
     };
     let mut event_loop = EventLoop::new(front, any, limits).expect("it listens");
@@ -132,7 +132,7 @@
     let limits = ConnectionLimits {
         fd_limit: 64,
         vital: HashSet::new(),
-        worker_idle: Duration::from_secs(3600),
+        agent_idle: Duration::from_secs(3600),
         reply_max: 1 << 20,
     };
     let mut event_loop = EventLoop::new(front, any, limits).expect("it listens");
@@ -190,7 +190,7 @@
     let limits = ConnectionLimits {
         fd_limit: 64,
         vital: HashSet::from([to]),
-        worker_idle: Duration::from_secs(3600),
+        agent_idle: Duration::from_secs(3600),
         reply_max: bound,
     };
     let front = SocketAddr::from(([127, 0, 0, 1], free_port()));
--- a/tests/real/world.rs
+++ b/tests/real/world.rs
@@ -8,7 +8,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-use gaugesill::wire::{self, CommandBatch, Report, TaskReport};
+use gaugesill::wire::{self, AgentStatus, CommandBatch, TaskStatus};
 
 use crate::common::{submission, Cloud, Served, StateService, TokenCheck};
 use crate::http::{call, free_port, serve, Message};
@@ -112,7 +112,7 @@
             processes: vec![],
         };
         service.processes = (0..3).map(|member| service.spawn(member)).collect();
-        start_workers(service.world.clone(), service.fronts.clone());
+        start_agents(service.world.clone(), service.fronts.clone());
         for front in &service.fronts {
             wait_for("a healthy controller", || {
                 call(*front, "GET", "/up", b"").is_some_and(|answer| answer.0 == 200)
@@ -244,8 +244,8 @@
     world.lock().expect("lock").waiting_orders -= 1;
 }
 
-/// Workers come up as machines are rented.
-fn start_workers(world: Shared, fronts: Vec<SocketAddr>) {
+/// Agents come up as machines are rented.
+fn start_agents(world: Shared, fronts: Vec<SocketAddr>) {
     std::thread::spawn(move || {
         let mut known = HashSet::new();
         loop {
@@ -258,7 +258,7 @@
             for machine in up {
                 if known.insert(machine.clone()) {
                     let (world, fronts) = (world.clone(), fronts.clone());
-                    std::thread::spawn(move || Worker::new(machine, fronts).run(&world));
+                    std::thread::spawn(move || Agent::new(machine, fronts).run(&world));
                 }
             }
             std::thread::sleep(Duration::from_millis(20));
@@ -266,8 +266,8 @@
     });
 }
 
-/// One machine's worker.
-struct Worker {
+/// One machine's agent.
+struct Agent {
     machine: String,
     fronts: Vec<SocketAddr>,
     serial: u64,
@@ -278,9 +278,9 @@
     tasks: Vec<(String, u64, Instant)>,
 }
 
-impl Worker {
-    fn new(machine: String, fronts: Vec<SocketAddr>) -> Worker {
-        Worker {
+impl Agent {
+    fn new(machine: String, fronts: Vec<SocketAddr>) -> Agent {
+        Agent {
             machine,
             fronts,
             serial: 0,
@@ -312,13 +312,13 @@
     }
 
     /// `None` once the machine is gone.
-    fn report(&mut self, world: &Shared) -> Option<Report> {
+    fn report(&mut self, world: &Shared) -> Option<AgentStatus> {
         let world = world.lock().expect("lock");
         let machine = world.cloud.machines.get(&self.machine)?;
         self.serial += 1;
         let tasks = self.tasks.iter().map(|(name, attempt, started)| {
             let done = started.elapsed() > TASK_TIME;
-            TaskReport {
+            TaskStatus {
                 task: name.clone(),
                 attempt: *attempt,
                 status: if done { "ended" } else { "running" }.into(),
@@ -326,13 +326,13 @@
                 kept: None,
             }
         });
-        Some(Report {
+        Some(AgentStatus {
             machine: self.machine.clone(),
             endpoint: "127.0.0.1:1".into(),
             machine_type: machine.machine_type.clone(),
             zone: machine.zone.clone(),
             spot: machine.spot,
-            session: 1,
+            incarnation: 1,
             serial: self.serial,
             epoch: self.epoch,
             reclaim_in_s: None,
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -13,7 +13,7 @@
 use gaugesill::packed_record;
 use gaugesill::plan::{Decision, PlannedPlacement};
 use gaugesill::replica::{LiveJob, Replica};
-use gaugesill::scheduler::{Effect, ReportOrigin, Scheduler, Term};
+use gaugesill::scheduler::{Effect, Scheduler, StatusOrigin, Term};
 use gaugesill::settings::{ClusterSettings, OperatorSettings, Settings};
 use gaugesill::wire::{self, KeyChange};
 use gaugesill::write_queue::CommitResult;
@@ -85,7 +85,7 @@
         status.member,
         status.state_reachable,
         status.leading_epoch,
-        status.redirected_workers,
+        status.redirected_agents,
         status.process_age_ms,
         status.told_cancelled
     );
@@ -659,20 +659,20 @@
     let record = Arc::new(record);
     c.apply_record("run-1", &LiveJob { record, version: 1 }, 1000);
     let machine = |n: u32| format!("m-{:06}", (n * 37) % 1700);
-    let report = |n: u32, serial: u64, tasks: Vec<wire::TaskReport>| wire::Report {
+    let report = |n: u32, serial: u64, tasks: Vec<wire::TaskStatus>| wire::AgentStatus {
         machine: machine(n),
         endpoint: "10.1.0.1:9000".into(),
         machine_type: "vidin-32".into(),
         zone: "a".into(),
         spot: true,
-        session: 1,
+        incarnation: 1,
         serial,
         epoch: 2,
         reclaim_in_s: None,
         tasks,
     };
     for n in 0..900 {
-        c.on_report(&report(n, 1, vec![]), ReportOrigin::CheckIn, 1500);
+        c.on_agent_status(&report(n, 1, vec![]), StatusOrigin::Heartbeat, 1500);
     }
     let placements = vec![PlannedPlacement {
         job: "run-1".into(),
@@ -689,14 +689,14 @@
     let mut now = 2000;
     let mut flown = false;
     for n in (0..placed).rev().step_by(2).chain((0..placed).step_by(2)) {
-        let ended = wire::TaskReport {
+        let ended = wire::TaskStatus {
             task: format!("run-1/{n}"),
             attempt: 1,
             status: "ended".into(),
             cause: Some("done".into()),
             kept: None,
         };
-        c.on_report(&report(n, 2, vec![ended]), ReportOrigin::CheckIn, now);
+        c.on_agent_status(&report(n, 2, vec![ended]), StatusOrigin::Heartbeat, now);
         now += 1100;
         c.tick(now, 9, 9);
         for e in c.take_effects() {
