--- a/crates/duty-lease/src/intent.rs
+++ b/crates/duty-lease/src/intent.rs
@@ -50,7 +50,7 @@
 /// What the planning leader wants done. The leader decides what, the holder of the duty
 /// does it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Need {
+pub struct ScalingRequest {
     /// Its name.
     pub id: String,
     /// What is to be done.
@@ -67,7 +67,7 @@
     /// The order's name.
     pub id: OrderId,
     /// The need that it meets.
-    pub need: String,
+    pub request: String,
     /// The order.
     pub order: Order,
     /// The version of its key.
--- a/crates/duty-lease/src/lib.rs
+++ b/crates/duty-lease/src/lib.rs
@@ -23,7 +23,7 @@
 mod timing;
 
 pub use assignment::{assign, AssignmentRules, LiveMember};
-pub use intent::{Intent, Need, Order, OrderId, OrderResult};
+pub use intent::{Intent, Order, OrderId, OrderResult, ScalingRequest};
 pub use lease::{
     DutyLease, HolderKey, LeaseEvent, LeaseRequest, LeaseResponse, LeaseView, LossReason,
     SuspensionReason,
--- a/crates/duty-lease/src/order_book.rs
+++ b/crates/duty-lease/src/order_book.rs
@@ -12,7 +12,7 @@
 
 use std::collections::BTreeMap;
 
-use crate::intent::{Intent, Need, OrderId, OrderResult};
+use crate::intent::{Intent, OrderId, OrderResult, ScalingRequest};
 use crate::{Duty, LeaseTiming, Order, Token};
 
 /// Most orders in progress at a time.
@@ -34,7 +34,7 @@
         /// The intent.
         intent: Intent,
         /// The need that it meets.
-        need: Need,
+        request: ScalingRequest,
         /// The condition.
         guard: WriteGuard,
     },
@@ -87,7 +87,7 @@
 #[derive(Debug, Clone, PartialEq)]
 enum Step {
     /// The intent is to be recorded.
-    Record { need: Need },
+    Record { request: ScalingRequest },
     /// The order is to be sent.
     Send,
     /// The intent is to be completed.
@@ -176,17 +176,17 @@
 
     /// Takes in what the state service holds for the duty, as of one read: open intents,
     /// of earlier holders too, and needs.
-    pub fn on_view(&mut self, intents: &[Intent], needs: &[Need]) {
+    pub fn on_view(&mut self, intents: &[Intent], requests: &[ScalingRequest]) {
         let Some(tenure) = self.tenure else { return };
         for intent in intents {
             self.take_up(intent);
         }
-        for need in needs {
+        for request in requests {
             if self.entries.len() >= IN_PROGRESS_MAX {
                 break;
             }
-            if !self.is_met(need) {
-                self.begin(need, tenure);
+            if !self.is_being_satisfied(request) {
+                self.begin(request, tenure);
             }
         }
     }
@@ -202,15 +202,15 @@
         entry.intent.version = intent.version;
     }
 
-    fn is_met(&self, need: &Need) -> bool {
+    fn is_being_satisfied(&self, request: &ScalingRequest) -> bool {
         let meets = |entry: &Entry| match &entry.step {
-            Step::Record { need: own } => own.id == need.id,
+            Step::Record { request: own } => own.id == request.id,
             _ => false,
         };
         self.entries.values().any(meets)
     }
 
-    fn begin(&mut self, need: &Need, tenure: Tenure) {
+    fn begin(&mut self, request: &ScalingRequest, tenure: Tenure) {
         let id = OrderId {
             duty: self.duty,
             token: tenure.token,
@@ -219,11 +219,13 @@
         self.next_sequence += 1;
         let intent = Intent {
             id,
-            need: need.id.clone(),
-            order: need.order.clone(),
+            request: request.id.clone(),
+            order: request.order.clone(),
             version: 0,
         };
-        let step = Step::Record { need: need.clone() };
+        let step = Step::Record {
+            request: request.clone(),
+        };
         self.entries.insert(id, Entry::new(intent, step));
     }
 
@@ -240,9 +242,9 @@
                 continue;
             }
             let request = match &entry.step {
-                Step::Record { need } => OrderRequest::Record {
+                Step::Record { request } => OrderRequest::Record {
                     intent: entry.intent.clone(),
-                    need: need.clone(),
+                    request: request.clone(),
                     guard: tenure.guard,
                 },
                 Step::Send if order_token == Some(tenure.token) => OrderRequest::Send {
--- a/crates/duty-lease/tests/properties.rs
+++ b/crates/duty-lease/tests/properties.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeSet;
 
 use duty_lease::{
-    Duty, DutyLease, HolderKey, LeaseRequest, LeaseResponse, LeaseTiming, LeaseView, Need, Order,
-    OrderBook, OrderOutcome, OrderRequest, OrderResult, RecordOutcome, WriteGuard,
+    Duty, DutyLease, HolderKey, LeaseRequest, LeaseResponse, LeaseTiming, LeaseView, Order,
+    OrderBook, OrderOutcome, OrderRequest, OrderResult, RecordOutcome, ScalingRequest, WriteGuard,
 };
 use proptest::prelude::*;
 
@@ -174,7 +174,7 @@
     fn orders_follow_their_intents(outcomes in prop::collection::vec(0..6u8, 0..300)) {
         let mut book = OrderBook::new(Duty::Rent, LeaseTiming::new(LIFE_MS));
         book.on_gained(5, WriteGuard { holder_version: 9 });
-        let needs: Vec<Need> = (0..20).map(need).collect();
+        let requests: Vec<ScalingRequest> = (0..20).map(request).collect();
         let mut recorded = BTreeSet::new();
         let mut done = BTreeSet::new();
         let mut met = BTreeSet::new();
@@ -182,7 +182,7 @@
         let mut outcomes = outcomes.into_iter();
         for _ in 0..60 {
             now += 100;
-            let open: Vec<Need> = needs.iter().filter(|n| !met.contains(&n.id)).cloned().collect();
+            let open: Vec<ScalingRequest> = requests.iter().filter(|n| !met.contains(&n.id)).cloned().collect();
             book.on_view(&[], &open);
             let token = (now % 300 != 0).then_some(5);
             for request in book.tick(token, now) {
@@ -193,11 +193,11 @@
                     _ => RecordOutcome::Unknown,
                 };
                 match request {
-                    OrderRequest::Record { intent, need, guard } => {
+                    OrderRequest::Record { intent, request, guard } => {
                         prop_assert_eq!(guard.holder_version, 9);
                         if matches!(written, RecordOutcome::Written { .. }) {
                             prop_assert!(recorded.insert(intent.id), "a name is used once");
-                            prop_assert!(met.insert(need.id), "a need is met once");
+                            prop_assert!(met.insert(request.id), "a need is met once");
                         }
                         book.on_recorded(intent.id, written, now);
                     }
@@ -223,8 +223,8 @@
     }
 }
 
-fn need(number: u64) -> Need {
-    Need {
+fn request(number: u64) -> ScalingRequest {
+    ScalingRequest {
         id: format!("{number}"),
         order: Order::Rent {
             machine_type: "k".into(),
--- a/crates/duty-lease/tests/simulation/store.rs
+++ b/crates/duty-lease/tests/simulation/store.rs
@@ -2,13 +2,13 @@
 
 use std::collections::BTreeMap;
 
-use duty_lease::{HolderKey, Intent, Need};
+use duty_lease::{HolderKey, Intent, ScalingRequest};
 
 #[derive(Debug, Clone, PartialEq)]
 pub enum Value {
     Holder(HolderKey),
     Number(u64),
-    Need(Need),
+    ScalingRequest(ScalingRequest),
     Intent(Intent),
     /// A machine that somebody owns, or a task on one.
     Mark,
--- a/crates/duty-lease/tests/simulation/world.rs
+++ b/crates/duty-lease/tests/simulation/world.rs
@@ -3,9 +3,9 @@
 use std::collections::BTreeMap;
 
 use duty_lease::{
-    Duty, DutyLease, Intent, LeaseEvent, LeaseRequest, LeaseResponse, LeaseTiming, LeaseView, Need,
-    Order, OrderBook, OrderId, OrderOutcome, OrderRequest, OrderResult, RecordOutcome, Token,
-    WriteGuard,
+    Duty, DutyLease, Intent, LeaseEvent, LeaseRequest, LeaseResponse, LeaseTiming, LeaseView,
+    Order, OrderBook, OrderId, OrderOutcome, OrderRequest, OrderResult, RecordOutcome,
+    ScalingRequest, Token, WriteGuard,
 };
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -45,7 +45,7 @@
     machines: BTreeMap<String, u64>,
     tasks: BTreeMap<String, u64>,
     returning: Vec<String>,
-    needs: Vec<Need>,
+    requests: Vec<ScalingRequest>,
     intents: Vec<Intent>,
 }
 
@@ -58,7 +58,7 @@
     books: BTreeMap<Duty, OrderBook>,
     view: Snapshot,
     next_read_at: u64,
-    needs_written: u64,
+    requests_written: u64,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -171,7 +171,7 @@
                     books: BTreeMap::new(),
                     view: Snapshot::default(),
                     next_read_at: 0,
-                    needs_written: 0,
+                    requests_written: 0,
                 }
             })
             .collect();
@@ -410,20 +410,20 @@
             }
             OrderRequest::Record {
                 intent,
-                need,
+                request,
                 guard,
             } => {
                 let id = intent.id;
-                let need_key = format!("need/{}", need.id);
+                let request_key = format!("need/{}", request.id);
                 let transaction = Transaction {
                     conditions: vec![
                         (key("lease", id.duty), guard.holder_version),
-                        (need_key.clone(), need.version),
+                        (request_key.clone(), request.version),
                         (format!("intent/{id}"), 0),
                     ],
                     writes: vec![
                         Write::Set(format!("intent/{id}"), Value::Intent(intent), None),
-                        Write::Delete(need_key),
+                        Write::Delete(request_key),
                     ],
                 };
                 (Reply::Recorded(id), transaction)
@@ -486,8 +486,8 @@
             return;
         }
         let guard = (key("lease", PLANNER), version);
-        controller.needs_written += 1;
-        let need_id = format!("{token}-{}", controller.needs_written);
+        controller.requests_written += 1;
+        let request_id = format!("{token}-{}", controller.requests_written);
         let unknown = self
             .provider
             .machines
@@ -495,7 +495,7 @@
             .find(|machine| !view.machines.contains_key(*machine));
         let transaction = match unknown {
             Some(machine) => Some(adopt(machine)),
-            None => decide(view, &need_id, self.planning, &mut self.rng),
+            None => decide(view, &request_id, self.planning, &mut self.rng),
         };
         let Some(mut transaction) = transaction else {
             return;
@@ -714,9 +714,9 @@
         }
         for (key, value, version) in self.store.under("") {
             match value {
-                Value::Need(need) => snapshot.needs.push(Need {
+                Value::ScalingRequest(request) => snapshot.requests.push(ScalingRequest {
                     version,
-                    ..need.clone()
+                    ..request.clone()
                 }),
                 Value::Intent(intent) => snapshot.intents.push(Intent {
                     version,
@@ -780,9 +780,10 @@
             };
             let intents = controller.view.intents.iter();
             let intents: Vec<Intent> = intents.filter(|i| i.id.duty == *duty).cloned().collect();
-            let needs = controller.view.needs.iter();
-            let needs: Vec<Need> = needs.filter(|n| is_ours(&n.order)).cloned().collect();
-            book.on_view(&intents, &needs);
+            let requests = controller.view.requests.iter();
+            let requests: Vec<ScalingRequest> =
+                requests.filter(|n| is_ours(&n.order)).cloned().collect();
+            book.on_view(&intents, &requests);
         }
     }
 
@@ -839,16 +840,24 @@
 /// What the planner does next: rent, place a task, end one, or return an idle machine.
 fn decide(
     view: &Snapshot,
-    need_id: &str,
+    request_id: &str,
     changes_fleet: bool,
     rng: &mut StdRng,
 ) -> Option<Transaction> {
-    let is_rental = |order: &Order| matches!(order, Order::Rent { .. });
-    let rentals = view.needs.iter().filter(|n| is_rental(&n.order)).count()
-        + view.intents.iter().filter(|i| is_rental(&i.order)).count();
+    let is_provisioning = |order: &Order| matches!(order, Order::Rent { .. });
+    let rentals = view
+        .requests
+        .iter()
+        .filter(|n| is_provisioning(&n.order))
+        .count()
+        + view
+            .intents
+            .iter()
+            .filter(|i| is_provisioning(&i.order))
+            .count();
     if changes_fleet && view.machines.len() + rentals < MACHINES_WANTED {
-        let need = Need {
-            id: format!("rent-{need_id}"),
+        let request = ScalingRequest {
+            id: format!("rent-{request_id}"),
             order: Order::Rent {
                 machine_type: "k".into(),
                 zone: "a".into(),
@@ -857,10 +866,10 @@
             },
             version: 0,
         };
-        let key = format!("need/{}", need.id);
+        let key = format!("need/{}", request.id);
         return Some(Transaction {
             conditions: vec![(key.clone(), 0)],
-            writes: vec![Write::Set(key, Value::Need(need), None)],
+            writes: vec![Write::Set(key, Value::ScalingRequest(request), None)],
         });
     }
     let usable = |m: &&String| !view.returning.contains(m);
@@ -884,7 +893,7 @@
     ];
     let returns = changes_fleet && rng.random_bool(0.3);
     let writes = if returns {
-        let need = Need {
+        let request = ScalingRequest {
             id: format!("return-{machine}"),
             order: Order::Delete {
                 machines: vec![machine.clone()],
@@ -892,10 +901,10 @@
             },
             version: 0,
         };
-        let need_key = format!("need/{}", need.id);
+        let request_key = format!("need/{}", request.id);
         vec![
             Write::Set(return_key, Value::Mark, None),
-            Write::Set(need_key, Value::Need(need), None),
+            Write::Set(request_key, Value::ScalingRequest(request), None),
         ]
     } else {
         vec![Write::Set(task_key, Value::Mark, None)]
--- a/examples/duties.rs
+++ b/examples/duties.rs
@@ -1,5 +1,5 @@
 //! What it costs that duties have holders of their own, on the tests' stand-ins: how long a
-//! duty has no holder, and from a shortage to the rental that ends it, beside a leader that
+//! duty has no holder, and from a shortage to the provisioning request that ends it, beside a leader that
 //! does everything itself. Simulated.
 //!
 //! `cargo run --release --example duties [RUNS]`
@@ -67,7 +67,7 @@
     }
 }
 
-/// From the moment at which a job is submitted that needs machines to the rental of the
+/// From the moment at which a job is submitted that needs machines to the provisioning request of the
 /// first, and how long the duty had no holder.
 fn measure(mode: Mode, trouble: Trouble, run: u64) -> (u64, u64) {
     let mut sim = service(mode, run);
@@ -76,7 +76,7 @@
     let began_at = sim.now;
     let mut held_again_at = None;
     let node = (0..3).find(|node| *node != before).expect("another");
-    while sim.cloud.bookings.is_empty() && sim.now < began_at + LONGEST_MS {
+    while sim.cloud.idempotency_keys.is_empty() && sim.now < began_at + LONGEST_MS {
         if (sim.now - began_at) % 1000 == 0 {
             let job = submission("run-000001", "sweep", 3, 4.0, "normal");
             sim.submit(node, &job, 3000);
@@ -178,15 +178,15 @@
         (Mode::Holder, Trouble::Pause),
     ];
     for (mode, trouble) in cases {
-        let (mut to_rental, mut without_holder) = (histogram(), histogram());
+        let (mut to_provisioning, mut without_holder) = (histogram(), histogram());
         for run in 0..runs {
             let (rental_ms, free_ms) = measure(mode, trouble, run);
-            to_rental.saturating_record(rental_ms);
+            to_provisioning.saturating_record(rental_ms);
             without_holder.saturating_record(free_ms.max(1));
         }
         println!(
             "{mode:?}, {trouble:?}: shortage to rental {}",
-            in_lives(&to_rental)
+            in_lives(&to_provisioning)
         );
         if mode == Mode::Holder && trouble != Trouble::None {
             println!("  without a holder {}", in_lives(&without_holder));
--- a/examples/size.rs
+++ b/examples/size.rs
@@ -278,14 +278,15 @@
         });
         let effects = self.commit().into_iter();
         let deletions = effects.filter_map(|effect| match effect {
-            Effect::Delete { machines } => Some(machines),
+            Effect::Terminate { machines } => Some(machines),
             _ => None,
         });
         let deletions: Vec<Vec<String>> = deletions.collect();
         println!("{} deletions", deletions.len());
         timed("one of them", deletions.len(), || {
             for machines in &deletions {
-                self.scheduler.on_deleted(machines, true, self.now);
+                self.scheduler
+                    .on_termination_outcome(machines, true, self.now);
             }
         });
         let snapshot = self.snapshot("snapshot after it");
--- a/src/cloud.rs
+++ b/src/cloud.rs
@@ -1,4 +1,4 @@
-//! What to rent: from the tasks without a place to rentals, by price. Pure.
+//! What to rent: from the tasks without a place to provisioning requests, by price. Pure.
 
 use std::sync::Arc;
 
@@ -29,7 +29,7 @@
     pub count: u32,
     /// Where the job's other tasks are.
     pub zones: ZoneCounts,
-    /// Work for spot machines may have an ordinary one that costs at most
+    /// Work for spot machines may have an on-demand one that costs at most
     /// this many times as much a task; 0: none.
     pub ordinary_price_ratio: f64,
 }
@@ -77,49 +77,53 @@
 #[derive(Debug, Clone, Copy)]
 struct MachineGroup {
     /// The index of the offer.
-    offer: usize,
+    offering: usize,
     free: Resources,
     count: u64,
 }
 
 /// What is decided so far.
 #[derive(Clone)]
-struct Purchases {
+struct ScaleOutPlan {
     groups: Vec<MachineGroup>,
     /// Offers with how many machines, in the order of the demands that they are for.
-    bought: Vec<(usize, u64)>,
+    machines: Vec<(usize, u64)>,
     total: u64,
     price: f64,
 }
 
-impl Purchases {
+impl ScaleOutPlan {
     /// Machines that are on their way anyway.
-    fn new(incoming: &[IncomingMachines], offers: &[Offer]) -> Purchases {
+    fn new(incoming: &[IncomingMachines], offerings: &[InstanceOffering]) -> ScaleOutPlan {
         let group = |machines: &IncomingMachines| {
-            let offer = offers.iter().position(|o| o.kind == machines.kind)?;
+            let offering = offerings.iter().position(|o| o.kind == machines.kind)?;
             Some(MachineGroup {
-                offer,
-                free: offers[offer].capacity,
+                offering,
+                free: offerings[offering].capacity,
                 count: machines.count,
             })
         };
-        Purchases {
+        ScaleOutPlan {
             groups: incoming.iter().filter_map(group).collect(),
-            bought: vec![],
+            machines: vec![],
             total: 0,
             price: 0.0,
         }
     }
 
-    fn buy(&mut self, offer: usize, details: &Offer, count: u64) {
+    fn add_machines(&mut self, offering: usize, details: &InstanceOffering, count: u64) {
         self.price += details.price * count as f64;
         self.total += count;
-        match self.bought.iter_mut().find(|(other, _)| *other == offer) {
-            Some((_, bought)) => *bought += count,
-            None => self.bought.push((offer, count)),
+        match self
+            .machines
+            .iter_mut()
+            .find(|(other, _)| *other == offering)
+        {
+            Some((_, machines)) => *machines += count,
+            None => self.machines.push((offering, count)),
         }
         self.groups.push(MachineGroup {
-            offer,
+            offering,
             free: details.capacity,
             count,
         });
@@ -131,12 +135,12 @@
 }
 
 /// A kind of machine that the cloud rents, with its price.
-struct Offer {
+struct InstanceOffering {
     kind: MachineKind,
     capacity: Resources,
     price: f64,
     /// Sold out.
-    blocked: bool,
+    sold_out: bool,
 }
 
 /// A demand that is being met.
@@ -159,7 +163,7 @@
 }
 
 struct Catalog {
-    offers: Vec<Offer>,
+    offerings: Vec<InstanceOffering>,
     /// For each demand and offer, how many tasks of this and later demands the offer
     /// could hold.
     later_tasks: Vec<Vec<u32>>,
@@ -169,18 +173,18 @@
 
 /// Decides what to rent so that every demand has a place on what is coming, at
 /// most `machines_max` machines.
-pub fn plan_purchases(
+pub fn plan_scale_out(
     demands: &[Demand],
     incoming: Vec<IncomingMachines>,
     machine_types: &[MachineType],
-    is_blocked: &dyn Fn(&MachineKind) -> bool,
+    is_sold_out: &dyn Fn(&MachineKind) -> bool,
     machines_max: u64,
 ) -> Vec<(MachineKind, u64)> {
-    let offers = all_offers(machine_types, is_blocked);
-    let mut purchases = Purchases::new(&incoming, &offers);
+    let offerings = all_offerings(machine_types, is_sold_out);
+    let mut plan = ScaleOutPlan::new(&incoming, &offerings);
     let catalog = Catalog {
-        later_tasks: count_later_tasks(demands, &offers),
-        offers,
+        later_tasks: count_later_tasks(demands, &offerings),
+        offerings,
         machines_max,
     };
     let mut zones: Vec<&String> = machine_types.iter().flat_map(|t| &t.zones).collect();
@@ -189,22 +193,22 @@
     for (index, demand) in demands.iter().enumerate() {
         let bound = demand.zones.values().any(|count| *count > 0);
         if demand.spec.single_zone && !bound {
-            catalog.meet_in_best_zone(index, demand, &zones, &mut purchases);
+            catalog.satisfy_in_best_zone(index, demand, &zones, &mut plan);
         } else {
-            catalog.meet(index, demand, &demand.zones, &mut purchases);
+            catalog.satisfy(index, demand, &demand.zones, &mut plan);
         }
     }
-    let bought = purchases.bought.into_iter();
-    bought
-        .map(|(offer, count)| (catalog.offers[offer].kind.clone(), count))
+    let machines = plan.machines.into_iter();
+    machines
+        .map(|(offering, count)| (catalog.offerings[offering].kind.clone(), count))
         .collect()
 }
 
-fn all_offers(
+fn all_offerings(
     machine_types: &[MachineType],
-    is_blocked: &dyn Fn(&MachineKind) -> bool,
-) -> Vec<Offer> {
-    let mut offers = Vec::new();
+    is_sold_out: &dyn Fn(&MachineKind) -> bool,
+) -> Vec<InstanceOffering> {
+    let mut offerings = Vec::new();
     for machine_type in machine_types {
         for zone in &machine_type.zones {
             for spot in [true, false] {
@@ -213,112 +217,119 @@
                     zone: zone.clone(),
                     spot,
                 };
-                offers.push(Offer {
+                offerings.push(InstanceOffering {
                     capacity: capacity(machine_type),
                     price: if spot {
                         machine_type.spot_price
                     } else {
                         machine_type.hourly_price
                     },
-                    blocked: is_blocked(&kind),
+                    sold_out: is_sold_out(&kind),
                     kind,
                 });
             }
         }
     }
-    offers
+    offerings
 }
 
-fn count_later_tasks(demands: &[Demand], offers: &[Offer]) -> Vec<Vec<u32>> {
-    let mut later = vec![vec![0u32; offers.len()]; demands.len() + 1];
+fn count_later_tasks(demands: &[Demand], offerings: &[InstanceOffering]) -> Vec<Vec<u32>> {
+    let mut later = vec![vec![0u32; offerings.len()]; demands.len() + 1];
     for (index, demand) in demands.iter().enumerate().rev() {
-        for (offer, allowed) in allowed_offers(&demand.spec, offers).into_iter().enumerate() {
+        for (offering, allowed) in allowed_offerings(&demand.spec, offerings)
+            .into_iter()
+            .enumerate()
+        {
             let own = if allowed { demand.count } else { 0 };
-            later[index][offer] = later[index + 1][offer].saturating_add(own);
+            later[index][offering] = later[index + 1][offering].saturating_add(own);
         }
     }
     later
 }
 
-fn allowed_offers(spec: &JobSpec, offers: &[Offer]) -> Vec<bool> {
-    let allowed = |offer: &Offer| {
-        let kind = &offer.kind;
+fn allowed_offerings(spec: &JobSpec, offerings: &[InstanceOffering]) -> Vec<bool> {
+    let allowed = |offering: &InstanceOffering| {
+        let kind = &offering.kind;
         is_allowed(spec, &kind.machine_type, &kind.zone, kind.spot)
     };
-    offers.iter().map(allowed).collect()
+    offerings.iter().map(allowed).collect()
 }
 
 impl Catalog {
     /// Meets a demand in the zone where the least is left over, then the cheapest.
-    fn meet_in_best_zone(
+    fn satisfy_in_best_zone(
         &self,
         index: usize,
         demand: &Demand,
         zones: &[&String],
-        purchases: &mut Purchases,
+        plan: &mut ScaleOutPlan,
     ) {
         let best = zones
             .iter()
             .map(|zone| {
-                let mut attempt = purchases.clone();
+                let mut attempt = plan.clone();
                 let only = ZoneCounts::from([(zone.as_str().into(), 1)]);
-                let left = self.meet(index, demand, &only, &mut attempt);
+                let left = self.satisfy(index, demand, &only, &mut attempt);
                 (left, attempt)
             })
             .min_by(|a, b| a.0.cmp(&b.0).then(a.1.price.total_cmp(&b.1.price)));
         if let Some((_, attempt)) = best {
-            *purchases = attempt;
+            *plan = attempt;
         }
     }
 
     /// Finds places for one demand on what is coming, buys for the rest, and
     /// returns how many tasks are left over.
-    fn meet(
+    fn satisfy(
         &self,
         index: usize,
         demand: &Demand,
         zones: &ZoneCounts,
-        purchases: &mut Purchases,
+        plan: &mut ScaleOutPlan,
     ) -> u32 {
         let mut open = OpenDemand {
             demand,
             index,
             per_task: Resources::of(&demand.spec),
-            allowed: allowed_offers(&demand.spec, &self.offers),
+            allowed: allowed_offerings(&demand.spec, &self.offerings),
             left: demand.count,
             zones: zones.clone(),
         };
-        for group in 0..purchases.groups.len() {
+        for group in 0..plan.groups.len() {
             if open.left == 0 {
                 break;
             }
-            let MachineGroup { offer, free, count } = purchases.groups[group];
-            if open.allowed[offer] && count > 0 && free.fits(open.per_task) {
-                self.use_group(group, &mut open, purchases);
+            let MachineGroup {
+                offering,
+                free,
+                count,
+            } = plan.groups[group];
+            if open.allowed[offering] && count > 0 && free.fits(open.per_task) {
+                self.use_group(group, &mut open, plan);
             }
         }
-        purchases.remove_empty_groups();
-        while open.left > 0 && purchases.total < self.machines_max {
-            let Some(offer) = self.cheapest(&open) else {
+        plan.remove_empty_groups();
+        while open.left > 0 && plan.total < self.machines_max {
+            let Some(offering) = self.cheapest(&open) else {
                 break;
             };
-            let details = &self.offers[offer];
+            let details = &self.offerings[offering];
             let each = details.capacity.count_of(open.per_task).max(1);
             let tasks = open.left.min(open.allowed_in_zone(&details.kind.zone));
-            let most = self.machines_max - purchases.total;
+            let most = self.machines_max - plan.total;
             let count = u64::from(tasks / each).clamp(1, most);
-            purchases.buy(offer, details, count);
-            self.use_group(purchases.groups.len() - 1, &mut open, purchases);
-            purchases.remove_empty_groups();
+            plan.add_machines(offering, details, count);
+            self.use_group(plan.groups.len() - 1, &mut open, plan);
+            plan.remove_empty_groups();
         }
         open.left
     }
 
     /// Puts tasks on the machines of a group; those used in part or in full
     /// become groups of their own.
-    fn use_group(&self, index: usize, open: &mut OpenDemand, purchases: &mut Purchases) {
-        let group = purchases.groups[index];
-        let zone = &self.offers[group.offer].kind.zone;
+    fn use_group(&self, index: usize, open: &mut OpenDemand, plan: &mut ScaleOutPlan) {
+        let group = plan.groups[index];
+        let zone = &self.offerings[group.offering].kind.zone;
         let each = group.free.count_of(open.per_task);
         let most = open.left.min(open.allowed_in_zone(zone));
         if each == 0 || most == 0 {
@@ -332,9 +343,9 @@
             for _ in 0..tasks {
                 free.sub(open.per_task);
             }
-            purchases.groups[index].count -= count;
-            purchases.groups.push(MachineGroup {
-                offer: group.offer,
+            plan.groups[index].count -= count;
+            plan.groups.push(MachineGroup {
+                offering: group.offering,
                 free,
                 count,
             });
@@ -346,31 +357,32 @@
 
     /// The offer with the lowest price for each task that would go on it.
     fn cheapest(&self, open: &OpenDemand) -> Option<usize> {
-        let price_of_place =
-            |offer: &Offer| offer.price / f64::from(offer.capacity.count_of(open.per_task));
+        let price_per_task = |offering: &InstanceOffering| {
+            offering.price / f64::from(offering.capacity.count_of(open.per_task))
+        };
         let spot_price = self
-            .offers
+            .offerings
             .iter()
-            .filter(|offer| offer.kind.spot)
-            .map(price_of_place)
+            .filter(|offering| offering.kind.spot)
+            .map(price_per_task)
             .fold(f64::INFINITY, f64::min);
         let price_max = open.demand.ordinary_price_ratio * spot_price;
         let mut best: Option<(f64, usize)> = None;
-        for (index, offer) in self.offers.iter().enumerate() {
-            let fitting = offer.capacity.count_of(open.per_task);
-            let ordinary_for_spot = open.demand.spec.spot && !offer.kind.spot;
+        for (index, offering) in self.offerings.iter().enumerate() {
+            let fitting = offering.capacity.count_of(open.per_task);
+            let on_demand_for_spot = open.demand.spec.spot && !offering.kind.spot;
             if fitting == 0
                 || !open.allowed[index]
-                || offer.blocked
-                || open.allowed_in_zone(&offer.kind.zone) == 0
-                || (ordinary_for_spot && price_of_place(offer) > price_max)
+                || offering.sold_out
+                || open.allowed_in_zone(&offering.kind.zone) == 0
+                || (on_demand_for_spot && price_per_task(offering) > price_max)
             {
                 continue;
             }
             // What later jobs could still put on it counts.
             let later = self.later_tasks[open.index + 1][index];
             let tasks = fitting.min(open.left.saturating_add(later)).max(1);
-            let price = offer.price / f64::from(tasks);
+            let price = offering.price / f64::from(tasks);
             if best.is_none_or(|(lowest, _)| price < lowest - PRICE_EPSILON) {
                 best = Some((price, index));
             }
--- a/src/duties/records.rs
+++ b/src/duties/records.rs
@@ -10,7 +10,9 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 use ciborium::Value;
-use duty_lease::{Duty, HolderKey, Intent, LeaseView, Need, Order, OrderId, OrderResult, Token};
+use duty_lease::{
+    Duty, HolderKey, Intent, LeaseView, Order, OrderId, OrderResult, ScalingRequest, Token,
+};
 use serde::{Deserialize, Serialize};
 use tracing::error;
 
@@ -41,7 +43,7 @@
 
 /// The key of an order.
 pub fn order_key(key: &OrderKey) -> String {
-    format!("{ORDERS_PREFIX}{}/{}", key.duty.name(), key.need)
+    format!("{ORDERS_PREFIX}{}/{}", key.duty.name(), key.request)
 }
 
 /// The value of [`holder_key`].
@@ -73,7 +75,7 @@
     /// The duty that carries it out.
     pub duty: Duty,
     /// The name of the need, unique for ever.
-    pub need: String,
+    pub request: String,
 }
 
 /// How far an order is.
@@ -106,7 +108,7 @@
     }
 
     /// The machines that it returns, if it does.
-    pub fn returned_machines(&self) -> &[String] {
+    pub fn machines_to_terminate(&self) -> &[String] {
         match &self.order {
             Order::Delete { machines, .. } => machines,
             Order::Rent { .. } => &[],
@@ -142,9 +144,9 @@
     orders: BTreeMap<OrderKey, StoredOrder>,
     /// Own removals that the watch has not told of yet, with their revisions.
     removed: BTreeMap<OrderKey, u64>,
-    /// The open orders that return a machine: mostly one, two if the leader learnt late
+    /// The open orders that terminate a machine: mostly one, two if the leader learnt late
     /// that the first was written.
-    returns: HashMap<String, BTreeSet<OrderKey>>,
+    terminations: HashMap<String, BTreeSet<OrderKey>>,
     /// Keys that can't be read, with their versions.
     unreadable: BTreeMap<String, u64>,
     changes: Vec<OrderChange>,
@@ -200,7 +202,7 @@
         let intent = |(key, stored): (&OrderKey, &StoredOrder)| match stored.record.phase {
             OrderPhase::Recorded(id) => Some(Intent {
                 id,
-                need: key.need.clone(),
+                request: key.request.clone(),
                 order: stored.record.order.clone(),
                 version: stored.version,
             }),
@@ -210,13 +212,13 @@
     }
 
     /// A duty's needs that no order was recorded for.
-    pub fn needs(&self, duty: Duty) -> Vec<Need> {
+    pub fn requests(&self, duty: Duty) -> Vec<ScalingRequest> {
         let is_needed = |stored: &StoredOrder| stored.record.phase == OrderPhase::Needed;
         let orders = self.readable_orders(duty);
-        let needs = orders.filter(|(_, stored)| is_needed(stored));
-        needs
-            .map(|(key, stored)| Need {
-                id: key.need.clone(),
+        let requests = orders.filter(|(_, stored)| is_needed(stored));
+        requests
+            .map(|(key, stored)| ScalingRequest {
+                id: key.request.clone(),
                 order: stored.record.order.clone(),
                 version: stored.version,
             })
@@ -229,8 +231,8 @@
     }
 
     /// Whether a machine is on record to be returned.
-    pub fn is_returned(&self, machine: &str) -> bool {
-        self.returns.contains_key(machine)
+    pub fn is_being_terminated(&self, machine: &str) -> bool {
+        self.terminations.contains_key(machine)
     }
 
     /// Keys that can't be read.
@@ -339,7 +341,7 @@
         if known.max(removed) >= version {
             return;
         }
-        self.index_returns(&key, &record);
+        self.index_terminations(&key, &record);
         let stored = StoredOrder {
             record: record.clone(),
             version,
@@ -365,29 +367,29 @@
         }
         let before = self.orders.remove(key);
         if let Some(stored) = &before {
-            self.forget_returns(key, &stored.record);
+            self.remove_terminations(key, &stored.record);
         }
         self.note_change(key.clone(), before, None);
     }
 
-    fn index_returns(&mut self, key: &OrderKey, record: &OrderRecord) {
+    fn index_terminations(&mut self, key: &OrderKey, record: &OrderRecord) {
         if matches!(record.phase, OrderPhase::Completed(_)) {
-            return self.forget_returns(key, record);
+            return self.remove_terminations(key, record);
         }
-        for machine in record.returned_machines() {
-            let orders = self.returns.entry(machine.clone()).or_default();
+        for machine in record.machines_to_terminate() {
+            let orders = self.terminations.entry(machine.clone()).or_default();
             orders.insert(key.clone());
         }
     }
 
-    fn forget_returns(&mut self, key: &OrderKey, record: &OrderRecord) {
-        for machine in record.returned_machines() {
-            let Some(orders) = self.returns.get_mut(machine) else {
+    fn remove_terminations(&mut self, key: &OrderKey, record: &OrderRecord) {
+        for machine in record.machines_to_terminate() {
+            let Some(orders) = self.terminations.get_mut(machine) else {
                 continue;
             };
             orders.remove(key);
             if orders.is_empty() {
-                self.returns.remove(machine);
+                self.terminations.remove(machine);
             }
         }
     }
@@ -432,10 +434,10 @@
             _ => None,
         };
     }
-    let (name, need) = key.strip_prefix(ORDERS_PREFIX)?.split_once('/')?;
+    let (name, request) = key.strip_prefix(ORDERS_PREFIX)?.split_once('/')?;
     Some(DutyKey::Order(OrderKey {
         duty: duty_of(name)?,
-        need: need.to_string(),
+        request: request.to_string(),
     }))
 }
 
--- a/src/duties/report.rs
+++ b/src/duties/report.rs
@@ -67,7 +67,7 @@
         let orders = records.orders();
         let orders = orders.map(|(key, record, _)| OrderStatus {
             duty: key.duty.name(),
-            need: key.need.clone(),
+            need: key.request.clone(),
             phase: phase_name(&record.phase),
             order: match record.phase {
                 OrderPhase::Recorded(id) => Some(id.to_string()),
--- a/src/machine.rs
+++ b/src/machine.rs
@@ -122,13 +122,13 @@
     Gone,
 }
 
-/// Why a machine is returned to the cloud.
+/// Why a machine is terminated.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum ReturnReason {
+pub enum TerminationReason {
     /// The list says that it failed.
     Failed,
     /// The cloud has taken it back after its notice.
-    Reclaimed,
+    SpotInterruption,
     /// It is not listed any more.
     NotListed,
     /// It reports nothing.
@@ -140,18 +140,18 @@
     /// It is on record only, and nobody has seen it.
     Unknown,
     /// It was rented long ago and never came up.
-    NeverUp,
+    NeverBooted,
     /// A task failed on it, and it is drained first.
     TaskFailed,
     /// It reports although its deletion was sent.
-    DeletionSent,
+    TerminationSent,
     /// An earlier leader wanted it returned.
     OnRecord,
 }
 
 /// What has to be looked at before a machine is returned.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum ReturnGroup {
+pub enum TerminationClass {
     /// It has nothing to do: the holder of that duty looks once more.
     Idle,
     /// It was drained, and is returned only if it is empty.
@@ -160,38 +160,38 @@
     Lost,
 }
 
-impl ReturnReason {
+impl TerminationReason {
     /// What has to be looked at before.
-    pub fn group(self) -> ReturnGroup {
+    pub fn group(self) -> TerminationClass {
         match self {
-            ReturnReason::Idle | ReturnReason::OnRecord => ReturnGroup::Idle,
-            ReturnReason::TaskFailed => ReturnGroup::Drained,
-            ReturnReason::Failed
-            | ReturnReason::Reclaimed
-            | ReturnReason::NotListed
-            | ReturnReason::Silent
-            | ReturnReason::Unreachable
-            | ReturnReason::Unknown
-            | ReturnReason::NeverUp
-            | ReturnReason::DeletionSent => ReturnGroup::Lost,
+            TerminationReason::Idle | TerminationReason::OnRecord => TerminationClass::Idle,
+            TerminationReason::TaskFailed => TerminationClass::Drained,
+            TerminationReason::Failed
+            | TerminationReason::SpotInterruption
+            | TerminationReason::NotListed
+            | TerminationReason::Silent
+            | TerminationReason::Unreachable
+            | TerminationReason::Unknown
+            | TerminationReason::NeverBooted
+            | TerminationReason::TerminationSent => TerminationClass::Lost,
         }
     }
 }
 
-impl fmt::Display for ReturnReason {
+impl fmt::Display for TerminationReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            ReturnReason::Failed => "it failed",
-            ReturnReason::Reclaimed => "the cloud took it",
-            ReturnReason::NotListed => "it is not listed any more",
-            ReturnReason::Silent => "it is silent",
-            ReturnReason::Unreachable => "commands do not reach it",
-            ReturnReason::Idle => "it is idle",
-            ReturnReason::Unknown => "nobody knows it",
-            ReturnReason::NeverUp => "it never came up",
-            ReturnReason::TaskFailed => "a task failed on it",
-            ReturnReason::DeletionSent => "its deletion was sent",
-            ReturnReason::OnRecord => "an earlier leader wanted it returned",
+            TerminationReason::Failed => "it failed",
+            TerminationReason::SpotInterruption => "the cloud took it",
+            TerminationReason::NotListed => "it is not listed any more",
+            TerminationReason::Silent => "it is silent",
+            TerminationReason::Unreachable => "commands do not reach it",
+            TerminationReason::Idle => "it is idle",
+            TerminationReason::Unknown => "nobody knows it",
+            TerminationReason::NeverBooted => "it never came up",
+            TerminationReason::TaskFailed => "a task failed on it",
+            TerminationReason::TerminationSent => "its deletion was sent",
+            TerminationReason::OnRecord => "an earlier leader wanted it returned",
         })
     }
 }
@@ -236,7 +236,7 @@
     /// Room that is held for gangs whose victims are still leaving.
     pub reservations: Vec<Reservation>,
     /// When the cloud takes it back, on the steady clock.
-    pub reclaim_at: Option<u64>,
+    pub interruption_deadline: Option<u64>,
     /// Its state in the cloud's list.
     pub cloud_status: CloudStatus,
     /// Since when it has been known.
@@ -250,11 +250,11 @@
     /// Its images, the most recently used last.
     pub images: Vec<CachedImage>,
     /// It gets no new tasks, and is returned once it is empty or silent.
-    pub return_reason: Option<ReturnReason>,
+    pub termination_reason: Option<TerminationReason>,
     /// When its deletion was last sent.
-    pub delete_sent_at: Option<u64>,
+    pub termination_sent_at: Option<u64>,
     /// Until then its deletion is not sent again.
-    pub next_delete_at: u64,
+    pub next_termination_at: u64,
     /// When it was last asked for a report.
     pub last_probe_at: u64,
     /// When a start last went straight to it of which nothing is known yet.
@@ -265,7 +265,7 @@
     pub sent_answer: Option<SentAnswer>,
     /// When a heartbeat was last answered.
     pub heartbeat_answered_at: Option<u64>,
-    /// heartbeats in a row that showed no effect of the answer before.
+    /// Heartbeats in a row that showed no effect of the answer before.
     pub ineffective_answers: u32,
     /// It began a new incarnation although its heartbeats were answered. Either it
     /// came back from an end, or the answers don't reach it: until it has
@@ -299,16 +299,16 @@
             bound_tasks: vec![],
             has_no_orphans: true,
             reservations: vec![],
-            reclaim_at: None,
+            interruption_deadline: None,
             cloud_status: CloudStatus::NotListed,
             known_since: now,
             up_since: None,
             idle_since: None,
             wanted_at: 0,
             images: vec![],
-            return_reason: None,
-            delete_sent_at: None,
-            next_delete_at: 0,
+            termination_reason: None,
+            termination_sent_at: None,
+            next_termination_at: 0,
             last_probe_at: 0,
             direct_start_at: None,
             unreachable_until: 0,
@@ -337,7 +337,7 @@
             self.address = report.endpoint.parse().ok().or(self.address);
         }
         self.set_kind(&report.machine_type, &report.zone, report.spot);
-        self.reclaim_at = report.reclaim_in_s.map(|in_s| now + to_ms(in_s));
+        self.interruption_deadline = report.interruption_in_s.map(|in_s| now + to_ms(in_s));
         if !self.has_same_tasks(report) {
             self.reported_tasks = parse_reported_tasks(report).collect();
             self.has_no_orphans = false;
@@ -406,7 +406,7 @@
 
     /// Whether it is neither being returned nor about to be taken back.
     pub fn is_retained(&self) -> bool {
-        self.return_reason.is_none() && self.reclaim_at.is_none()
+        self.termination_reason.is_none() && self.interruption_deadline.is_none()
     }
 
     /// Whether the cloud says that it is no more.
--- a/src/net/event_loop.rs
+++ b/src/net/event_loop.rs
@@ -20,7 +20,7 @@
 const FIRST_CONNECTION: usize = 16;
 const EVENTS_MAX: usize = 512;
 /// Shares of all sockets: for those who connect to us, and for our calls to
-/// agents. The rest is for calls that must get through, and for the time that
+/// Agents. The rest is for calls that must get through, and for the time that
 /// closing takes.
 const SHARES: usize = 16;
 const SERVER_SHARES: usize = 12;
--- a/src/node/calls.rs
+++ b/src/node/calls.rs
@@ -12,7 +12,7 @@
 use crate::leader_lease::LeaseRequest;
 use crate::mesh::{ForwardedReply, PeerStatus};
 use crate::net::{Action, Outcome};
-use crate::scheduler::{DirectStart, RentalOutcome, StatusOrigin};
+use crate::scheduler::{DirectStart, ProvisioningOutcome, StatusOrigin};
 use crate::wire;
 
 /// Longest time for a call to the state service that is not told otherwise.
@@ -61,10 +61,10 @@
     MachineTypes,
     /// A page of the cloud's list.
     MachineList { started_at: u64, epoch: u64 },
-    /// A rental.
-    Rent { booking: String, epoch: u64 },
+    /// A provisioning request.
+    Provision { idempotency_key: String, epoch: u64 },
     /// A deletion.
-    Delete { machines: Vec<String>, epoch: u64 },
+    Terminate { machines: Vec<String>, epoch: u64 },
     /// Commands to an agent, or a question.
     Agent {
         machine: Arc<str>,
@@ -230,12 +230,15 @@
             PendingCall::MachineList { started_at, epoch } => {
                 self.on_machine_list_page(started_at, epoch, &outcome);
             }
-            PendingCall::Rent { booking, epoch } => self.on_rental(&booking, epoch, &outcome),
-            PendingCall::Delete { machines, epoch } => {
+            PendingCall::Provision {
+                idempotency_key,
+                epoch,
+            } => self.on_provisioning_outcome(&idempotency_key, epoch, &outcome),
+            PendingCall::Terminate { machines, epoch } => {
                 let now = self.now.steady;
                 let confirmed = matches!(outcome, Outcome::Answer { status: 200, .. });
                 if let Some(scheduler) = self.scheduler_of(epoch) {
-                    scheduler.on_deleted(&machines, confirmed, now);
+                    scheduler.on_termination_outcome(&machines, confirmed, now);
                 }
             }
             PendingCall::Agent {
@@ -250,7 +253,7 @@
         }
     }
 
-    fn on_rental(&mut self, booking: &str, epoch: u64, outcome: &Outcome) {
+    fn on_provisioning_outcome(&mut self, idempotency_key: &str, epoch: u64, outcome: &Outcome) {
         let now = self.now.steady;
         let Some(scheduler) = self.scheduler_of(epoch) else {
             return;
@@ -258,18 +261,20 @@
         let rental = match outcome {
             Outcome::Answer { status: 200, body } => {
                 let machines = wire::decode::<wire::MachineNames>(body);
-                machines.map_or(RentalOutcome::Failed, |m| RentalOutcome::Rented(m.names))
+                machines.map_or(ProvisioningOutcome::Failed, |m| {
+                    ProvisioningOutcome::Provisioned(m.names)
+                })
             }
             Outcome::Answer { status: 503, body } if wire::is_no_capacity(body) => {
-                RentalOutcome::Refused
+                ProvisioningOutcome::Unavailable
             }
             Outcome::Answer { status: 400, .. } => {
-                warn!("the cloud refuses {booking} as malformed");
-                RentalOutcome::Refused
+                warn!("the cloud refuses {idempotency_key} as malformed");
+                ProvisioningOutcome::Unavailable
             }
-            _ => RentalOutcome::Failed,
+            _ => ProvisioningOutcome::Failed,
         };
-        scheduler.on_rental(booking, rental, now);
+        scheduler.on_provisioning_outcome(idempotency_key, rental, now);
     }
 
     fn on_agent_outcome(
--- a/src/node/deferred_heartbeats.rs
+++ b/src/node/deferred_heartbeats.rs
@@ -1,4 +1,4 @@
-//! heartbeats whose answers wait a moment for starts.
+//! Heartbeats whose answers wait a moment for starts.
 
 use std::collections::{BTreeMap, HashMap};
 
--- a/src/node/duties/cleaning.rs
+++ b/src/node/duties/cleaning.rs
@@ -1,5 +1,5 @@
 //! Removing records that nobody takes in, as the holder of cleaning: results whose leader
-//! has ended, and rentals that were needed long ago. What may have been sent, what returns
+//! has ended, and provisioning requests that were needed long ago. What may have been sent, what returns
 //! a machine and what can't be read stays.
 
 use std::collections::BTreeMap;
@@ -85,11 +85,11 @@
         let Some((key, version)) = due else { return };
         control.cleaning.next_at = now + control.cleaning.interval_ms;
         control.cleaning.handled.insert(key.clone(), version);
-        let (duty, need) = (key.duty.name(), key.need.as_str());
+        let (duty, request) = (key.duty.name(), key.request.as_str());
         if dry_run {
-            return info!(duty, need, "would be removed: nobody takes it in");
+            return info!(duty, request, "would be removed: nobody takes it in");
         }
-        info!(duty, need, "removed: nobody takes it in");
+        info!(duty, request, "removed: nobody takes it in");
         let write = DutyWrite {
             purpose: WritePurpose::Clean,
             changes: vec![(key, None)],
@@ -108,7 +108,7 @@
 }
 
 /// Whether nobody can need a record any more once it has stayed as it is for long. A
-/// rental that was only needed was never sent, and each leader plans anew.
+/// provisioning request that was only needed was never sent, and each leader plans anew.
 fn is_removable(record: &OrderRecord) -> bool {
     match record.phase {
         OrderPhase::Completed(_) => true,
--- a/src/node/duties/mod.rs
+++ b/src/node/duties/mod.rs
@@ -1,5 +1,5 @@
 //! Duties under fenced leases: which this controller holds, and the orders that it gives as
-//! their holder. The planning leader decides what is to be done (`needs`), the holder of a
+//! their holder. The planning leader decides what is to be done (`requests`), the holder of a
 //! duty does it (`orders`, `reclaim`, `cleaning`).
 //!
 //! Nothing of this happens before all controllers have said that they can do it, and the
@@ -7,10 +7,10 @@
 
 mod cleaning;
 mod leases;
-mod needs;
 mod orders;
 mod placement;
-mod reclaim;
+mod request_review;
+mod scaling_requests;
 
 use std::collections::BTreeMap;
 
@@ -25,12 +25,12 @@
 use crate::write_queue::{CommitResult, WriteClass, WriteRequest};
 
 use cleaning::Cleaning;
-use needs::LeaderNeeds;
 pub(super) use orders::SentOrder;
 use placement::Placement;
+use scaling_requests::LeaderRequests;
 
 /// Shares of the limit of calls to the cloud, once orders and the list are asked for by
-/// different controllers: the holder's of rentals or returns, and the leader's. Their
+/// different controllers: the holder's of provisioning requests or returns, and the leader's. Their
 /// bursts rarely meet.
 const HOLDER_CLOUD_SHARE: f64 = 0.6;
 const LEADER_CLOUD_SHARE: f64 = 0.4;
@@ -51,7 +51,7 @@
         let purpose = &self.purpose;
         matches!(
             purpose,
-            WritePurpose::Need { .. } | WritePurpose::ResultTaken
+            WritePurpose::ScalingRequest { .. } | WritePurpose::ResultProcessed
         )
     }
 }
@@ -60,9 +60,9 @@
 #[derive(Debug, Clone)]
 enum WritePurpose {
     /// The leader, which needs something.
-    Need { epoch: u64 },
+    ScalingRequest { epoch: u64 },
     /// The leader, which has taken in a result.
-    ResultTaken,
+    ResultProcessed,
     /// The order book: an order is recorded.
     Record(OrderId),
     /// The order book: an order is completed.
@@ -105,7 +105,7 @@
     /// Its own part; `None` if operators have not switched it on.
     control: Option<DutyControl>,
     /// The leader's part.
-    needs: LeaderNeeds,
+    requests: LeaderRequests,
 }
 
 impl DutyState {
@@ -136,7 +136,7 @@
         });
         DutyState {
             control,
-            needs: LeaderNeeds::default(),
+            requests: LeaderRequests::default(),
         }
     }
 
@@ -167,7 +167,7 @@
         }
         self.place_duties();
         self.warn_of_missing_holders();
-        self.remove_taken_results();
+        self.remove_processed_results();
         self.clean_records();
         self.set_cloud_share();
     }
@@ -180,7 +180,7 @@
         self.pass_order_changes();
         for duty in Duty::ALL {
             self.run_lease(duty);
-            self.decide_needs(duty);
+            self.review_scaling_requests(duty);
             self.run_orders(duty);
         }
     }
@@ -255,12 +255,14 @@
             debug!("failed on {failed:?}: {write:?}");
         }
         match write.purpose {
-            WritePurpose::Need { epoch } => self.on_need_written(epoch, &write.changes, result),
+            WritePurpose::ScalingRequest { epoch } => {
+                self.on_request_written(epoch, &write.changes, result)
+            }
             WritePurpose::Record(id) => self.on_order_recorded(id, result),
             WritePurpose::Complete(id) => self.on_order_completed(id, result),
             WritePurpose::Decided => self.on_decided(&write.changes),
             WritePurpose::Clean => self.on_cleaned(&write.changes),
-            WritePurpose::ResultTaken => self.on_result_taken(&write.changes),
+            WritePurpose::ResultProcessed => self.on_result_removed(&write.changes),
             WritePurpose::Refusal => {}
         }
     }
--- a/src/node/duties/orders.rs
+++ b/src/node/duties/orders.rs
@@ -7,7 +7,7 @@
 };
 use tracing::{error, info, warn};
 
-use super::reclaim::is_conditional;
+use super::request_review::is_conditional;
 use super::{DutyWrite, Node, WritePurpose};
 use crate::duties::{refusal_key, OrderKey, OrderPhase, OrderRecord, RefusalRecord};
 use crate::net::Outcome;
@@ -15,12 +15,12 @@
 use crate::node::effects::CLOUD_TIMEOUT_MS;
 use crate::node::WriteOwner;
 use crate::settings::DutyFence;
-use crate::wire::{self, DeleteRequest, FencingToken, RentRequest, Write};
+use crate::wire::{self, FencingToken, ProvisionRequest, TerminateRequest, Write};
 use crate::write_queue::{CommitResult, WriteClass, WriteRequest};
 
-/// The name under which an order goes to the cloud. It never equals a leader's rental,
+/// The name under which an order goes to the cloud. It never equals a leader's provisioning request,
 /// which ends in a dash and a number.
-fn booking(id: OrderId) -> String {
+fn idempotency_key(id: OrderId) -> String {
     format!("{}.{}.{}", id.duty.name(), id.token, id.sequence)
 }
 
@@ -30,7 +30,7 @@
     id: OrderId,
     /// The sender's token.
     token: Token,
-    is_rental: bool,
+    is_provisioning: bool,
 }
 
 impl Node {
@@ -61,29 +61,34 @@
         }
         part.orders_generation = Some(generation);
         let intents = self.replica.duties.intents(duty);
-        let mut needs = self.replica.duties.needs(duty);
-        let all = needs.len();
-        let occupied = if needs.iter().any(|need| is_conditional(&need.order)) {
+        let mut requests = self.replica.duties.requests(duty);
+        let all = requests.len();
+        let occupied = if requests
+            .iter()
+            .any(|request| is_conditional(&request.order))
+        {
             self.occupied_machines()
         } else {
             HashSet::new()
         };
-        needs.retain(|need| self.may_meet(need, &occupied));
+        requests.retain(|request| self.may_satisfy(request, &occupied));
         if let Some(part) = self.duties.part(duty) {
-            if needs.len() < all {
+            if requests.len() < all {
                 // What was left out is looked at again, even if nothing else changes.
                 part.orders_generation = None;
             }
-            part.orders.on_view(&intents, &needs);
+            part.orders.on_view(&intents, &requests);
         }
     }
 
     fn carry_out_order_request(&mut self, duty: Duty, request: OrderRequest) {
         match request {
-            OrderRequest::Record { intent, need, .. } => {
+            OrderRequest::Record {
+                intent, request, ..
+            } => {
                 let key = OrderKey {
                     duty,
-                    need: need.id,
+                    request: request.id,
                 };
                 let phase = OrderPhase::Recorded(intent.id);
                 self.write_phase(WritePurpose::Record(intent.id), key, phase);
@@ -92,7 +97,7 @@
             OrderRequest::Complete { intent, result, .. } => {
                 let key = OrderKey {
                     duty,
-                    need: intent.need,
+                    request: intent.request,
                 };
                 let purpose = WritePurpose::Complete(intent.id);
                 // Of these nothing but the end is to be told.
@@ -148,39 +153,43 @@
                 count,
             } => {
                 info!(order = %id, token, "renting {count} {machine_type} in {zone}, spot {spot}");
-                let body = wire::encode(&RentRequest {
-                    booking: &booking(id),
+                let body = wire::encode(&ProvisionRequest {
+                    booking: &idempotency_key(id),
                     machine_type,
                     zone,
                     spot: *spot,
                     count: u64::from(*count),
                     fencing,
                 });
-                HttpCall::post(wire::RENT_PATH, body, CLOUD_TIMEOUT_MS)
+                HttpCall::post(wire::PROVISION_PATH, body, CLOUD_TIMEOUT_MS)
             }
             Order::Delete { machines, .. } => {
                 info!(order = %id, token, "returning {machines:?}");
-                let body = wire::encode(&DeleteRequest {
+                let body = wire::encode(&TerminateRequest {
                     names: machines,
                     fencing,
                 });
-                HttpCall::post(wire::DELETE_PATH, body, CLOUD_TIMEOUT_MS)
+                HttpCall::post(wire::TERMINATE_PATH, body, CLOUD_TIMEOUT_MS)
             }
         };
-        let is_rental = matches!(order, Order::Rent { .. });
+        let is_provisioning = matches!(order, Order::Rent { .. });
         let sent = SentOrder {
             id,
             token,
-            is_rental,
+            is_provisioning,
         };
         self.call_cloud(PendingCall::DutyOrder(sent), call);
     }
 
     /// The cloud has answered an order, or there was no answer.
     pub(in crate::node) fn on_duty_order_reply(&mut self, sent: SentOrder, outcome: &Outcome) {
-        let SentOrder { id, is_rental, .. } = sent;
+        let SentOrder {
+            id,
+            is_provisioning,
+            ..
+        } = sent;
         let order_outcome = match outcome {
-            Outcome::Answer { status: 200, body } if is_rental => {
+            Outcome::Answer { status: 200, body } if is_provisioning => {
                 let machines = wire::decode::<wire::MachineNames>(body);
                 machines.map_or(OrderOutcome::Unknown, |machines| {
                     OrderOutcome::Done(OrderResult::Rented(machines.names))
--- a/src/node/duties/placement.rs
+++ b/src/node/duties/placement.rs
@@ -95,7 +95,11 @@
         for duty in Duty::ALL {
             let is_held = self.replica.duties.holder(duty).is_some();
             let waiting = self.replica.duties.orders_of(duty).count();
-            if let Some(free_ms) = self.duties.needs.missing_for(duty, is_held, bound_ms, now) {
+            if let Some(free_ms) = self
+                .duties
+                .requests
+                .newly_unheld_for(duty, is_held, bound_ms, now)
+            {
                 warn!(
                     duty = duty.name(),
                     "no controller has held the duty for {free_ms} ms: {waiting} orders wait"
--- a/src/node/duties/reclaim.rs
+++ b/src/node/duties/request_review.rs
@@ -3,7 +3,7 @@
 
 use std::collections::HashSet;
 
-use duty_lease::{Duty, Need, Order, OrderResult};
+use duty_lease::{Duty, Order, OrderResult, ScalingRequest};
 use tracing::{error, info};
 
 use super::{DutyWrite, Node, WritePurpose};
@@ -13,7 +13,7 @@
     /// Looks at needs to return empty machines, as the holder of a duty. A machine that has
     /// a task on record is not returned, whoever needed that. Idle machines that pass are
     /// handed to the duty that returns machines.
-    pub(super) fn decide_needs(&mut self, duty: Duty) {
+    pub(super) fn review_scaling_requests(&mut self, duty: Duty) {
         if !matches!(duty, Duty::ReclaimIdle | Duty::Return) || !self.holds(duty) {
             return;
         }
@@ -25,30 +25,30 @@
             return;
         }
         // Only what the records are as recent as: own changes may be ahead of them.
-        let mut needs = self.replica.duties.needs(duty);
-        needs.retain(|need| {
-            let is_on_record = need.version <= revision;
-            is_conditional(&need.order) && is_on_record && self.is_undecided(duty, need)
+        let mut requests = self.replica.duties.requests(duty);
+        requests.retain(|request| {
+            let is_on_record = request.version <= revision;
+            is_conditional(&request.order) && is_on_record && self.is_undecided(duty, request)
         });
-        if !needs.is_empty() && !self.may_order(duty) {
+        if !requests.is_empty() && !self.may_order(duty) {
             return;
         }
         if let Some(part) = self.duties.part(duty) {
             part.looked_at = Some(looked_at);
         }
-        if needs.is_empty() {
+        if requests.is_empty() {
             return;
         }
         let occupied = self.occupied_machines();
-        for need in needs {
-            self.decide_need(duty, &need, &occupied);
+        for request in requests {
+            self.review_scaling_request(duty, &request, &occupied);
         }
     }
 
-    fn is_undecided(&self, duty: Duty, need: &Need) -> bool {
+    fn is_undecided(&self, duty: Duty, request: &ScalingRequest) -> bool {
         let control = self.duties.control.as_ref();
         let part = control.and_then(|control| control.parts.get(&duty));
-        part.is_some_and(|part| !part.deciding.iter().any(|key| key.need == need.id))
+        part.is_some_and(|part| !part.deciding.iter().any(|key| key.request == request.id))
     }
 
     /// Machines that have a task on record.
@@ -60,25 +60,30 @@
 
     /// Whether a need may be met: the records that it was checked against hold all that was
     /// placed before it was written, and none of them is in its way.
-    pub(super) fn may_meet(&self, need: &Need, occupied: &HashSet<String>) -> bool {
-        let Order::Delete { machines, .. } = &need.order else {
+    pub(super) fn may_satisfy(&self, request: &ScalingRequest, occupied: &HashSet<String>) -> bool {
+        let Order::Delete { machines, .. } = &request.order else {
             return true;
         };
         let is_empty = || !machines.iter().any(|machine| occupied.contains(machine));
-        !is_conditional(&need.order) || (need.version <= self.replica.revision && is_empty())
+        !is_conditional(&request.order) || (request.version <= self.replica.revision && is_empty())
     }
 
-    fn decide_need(&mut self, duty: Duty, need: &Need, occupied: &HashSet<String>) {
+    fn review_scaling_request(
+        &mut self,
+        duty: Duty,
+        request: &ScalingRequest,
+        occupied: &HashSet<String>,
+    ) {
         let Order::Delete {
             machines,
             if_empty: true,
-        } = &need.order
+        } = &request.order
         else {
             return;
         };
         let key = OrderKey {
             duty,
-            need: need.id.clone(),
+            request: request.id.clone(),
         };
         let is_occupied = |machine: &String| occupied.contains(machine);
         let (busy, empty): (Vec<String>, Vec<String>) =
@@ -86,14 +91,18 @@
         if !busy.is_empty() {
             error!(
                 duty = duty.name(),
-                need = need.id,
+                request = request.id,
                 "{busy:?} are not returned: they have tasks on record"
             );
             return self.decide(key, OrderPhase::Completed(OrderResult::Rejected));
         }
         if duty == Duty::ReclaimIdle {
-            info!(duty = duty.name(), need = need.id, "{empty:?} are idle");
-            self.pass_on_to_return(key, empty);
+            info!(
+                duty = duty.name(),
+                request = request.id,
+                "{empty:?} are idle"
+            );
+            self.forward_to_termination(key, empty);
         }
     }
 
@@ -105,7 +114,7 @@
     }
 
     /// Idle machines become a need of the duty that returns machines, in one transaction.
-    fn pass_on_to_return(&mut self, key: OrderKey, machines: Vec<String>) {
+    fn forward_to_termination(&mut self, key: OrderKey, machines: Vec<String>) {
         let Some((record, _)) = self.replica.duties.order(&key) else {
             return;
         };
@@ -119,7 +128,7 @@
         };
         let return_key = OrderKey {
             duty: Duty::Return,
-            need: key.need.clone(),
+            request: key.request.clone(),
         };
         if let Some(part) = self.duties.part(key.duty) {
             part.deciding.push(key.clone());
--- a/src/node/duties/needs.rs
+++ b/src/node/duties/scaling_requests.rs
@@ -7,39 +7,39 @@
 use super::{DutyWrite, Node, WritePurpose};
 use crate::cloud::MachineKind;
 use crate::duties::{OrderChange, OrderKey, OrderPhase, OrderRecord};
-use crate::machine::{ReturnGroup, ReturnReason};
-use crate::scheduler::{RentalOutcome, Scheduler};
+use crate::machine::{TerminationClass, TerminationReason};
+use crate::scheduler::{ProvisioningOutcome, Scheduler};
 use crate::write_queue::CommitResult;
 
 /// Most machines of one need, as of one deletion.
-const RETURN_MAX: usize = 100;
+const TERMINATION_BATCH_MAX: usize = 100;
 /// The part of a value that the names of machines may take, and what each takes beside its
 /// own length.
 const NAMES_PART: usize = 2;
 const NAME_MARKS: usize = 4;
-/// Rentals that may wait for the holder before the leader asks for no more.
-const WAITING_RENTALS_MAX: usize = 16;
+/// Provisioning requests that may wait for the holder before the leader asks for no more.
+const WAITING_SCALE_OUT_MAX: usize = 16;
 
 /// The leader's needs that are on their way to the state service.
 #[derive(Debug, Default)]
-pub(super) struct LeaderNeeds {
+pub(super) struct LeaderRequests {
     /// Machines whose return is being written.
-    pending_returns: HashSet<String>,
+    pending_terminations: HashSet<String>,
     /// Machines of needs without an answer, which may yet be written: they get no work under
     /// this leader, whatever becomes of other needs for them.
-    unanswered_returns: HashSet<String>,
+    unanswered_terminations: HashSet<String>,
     /// Results whose removal is being written.
-    taken: HashSet<OrderKey>,
+    processed: HashSet<OrderKey>,
     /// Return needs written in this process, for their names.
-    return_count: u64,
+    termination_count: u64,
     /// Duties without a holder: since when, and whether that was said.
-    missing_since: BTreeMap<Duty, (u64, bool)>,
+    unheld_since: BTreeMap<Duty, (u64, bool)>,
 }
 
-impl LeaderNeeds {
+impl LeaderRequests {
     /// For how long a duty has had no holder, if that is longer than `bound_ms` and was not
     /// said yet.
-    pub fn missing_for(
+    pub fn newly_unheld_for(
         &mut self,
         duty: Duty,
         is_held: bool,
@@ -47,10 +47,10 @@
         now: u64,
     ) -> Option<u64> {
         if is_held {
-            self.missing_since.remove(&duty);
+            self.unheld_since.remove(&duty);
             return None;
         }
-        let (since, said) = self.missing_since.entry(duty).or_insert((now, false));
+        let (since, said) = self.unheld_since.entry(duty).or_insert((now, false));
         let free_ms = now.saturating_sub(*since);
         let says = free_ms > bound_ms && !*said;
         *said |= says;
@@ -60,10 +60,15 @@
 
 impl Node {
     /// The leader needs machines.
-    pub(in crate::node) fn need_rental(&mut self, booking: String, kind: &MachineKind, count: u64) {
+    pub(in crate::node) fn request_scale_out(
+        &mut self,
+        idempotency_key: String,
+        kind: &MachineKind,
+        count: u64,
+    ) {
         let key = OrderKey {
             duty: Duty::Rent,
-            need: booking,
+            request: idempotency_key,
         };
         let order = Order::Rent {
             machine_type: kind.machine_type.clone(),
@@ -71,26 +76,29 @@
             spot: kind.spot,
             count: count as u32,
         };
-        self.write_need(key, order);
+        self.write_scaling_request(key, order);
     }
 
     /// The leader wants machines returned, those that are not on record for it yet.
-    pub(in crate::node) fn need_returns(&mut self, machines: Vec<String>) {
+    pub(in crate::node) fn request_scale_in(&mut self, machines: Vec<String>) {
         let named = machines.into_iter().filter_map(|name| {
-            let group = self.new_return(&name)?;
+            let group = self.new_termination(&name)?;
             Some((name, group))
         });
-        let named: Vec<(String, ReturnGroup)> = named.collect();
-        let mut groups: BTreeMap<ReturnGroup, Vec<String>> = BTreeMap::new();
+        let named: Vec<(String, TerminationClass)> = named.collect();
+        let mut groups: BTreeMap<TerminationClass, Vec<String>> = BTreeMap::new();
         let mut not_yet = Vec::new();
-        let occupied = if named.iter().any(|(_, group)| *group != ReturnGroup::Lost) {
+        let occupied = if named
+            .iter()
+            .any(|(_, group)| *group != TerminationClass::Lost)
+        {
             self.occupied_machines()
         } else {
             HashSet::new()
         };
         for (name, group) in named {
             // That its last task has ended is written soon: its holder goes by the records.
-            if group != ReturnGroup::Lost && occupied.contains(&name) {
+            if group != TerminationClass::Lost && occupied.contains(&name) {
                 not_yet.push(name);
             } else {
                 groups.entry(group).or_default().push(name);
@@ -98,53 +106,55 @@
         }
         let now = self.now.steady;
         if let Some(scheduler) = &mut self.scheduler {
-            scheduler.on_deletion_postponed(&not_yet, now);
+            scheduler.on_termination_postponed(&not_yet, now);
         }
         for (group, names) in groups {
-            let part_max = self.return_part_max(&names);
+            let part_max = self.terminations_per_request_max(&names);
             for part in names.chunks(part_max) {
-                self.need_return(group, part.to_vec());
+                self.write_scale_in_request(group, part.to_vec());
             }
         }
     }
 
     /// What has to be looked at before a machine is returned; `None` if that is on record.
-    fn new_return(&self, name: &str) -> Option<ReturnGroup> {
-        let is_pending = self.duties.needs.pending_returns.contains(name);
-        if is_pending || self.replica.duties.is_returned(name) {
+    fn new_termination(&self, name: &str) -> Option<TerminationClass> {
+        let is_pending = self.duties.requests.pending_terminations.contains(name);
+        if is_pending || self.replica.duties.is_being_terminated(name) {
             return None;
         }
         let machine = self.scheduler.as_ref()?.machines.get(name)?;
-        machine.return_reason.map(ReturnReason::group)
+        machine.termination_reason.map(TerminationReason::group)
     }
 
     /// How many machines a need may name.
-    fn return_part_max(&self, names: &[String]) -> usize {
+    fn terminations_per_request_max(&self, names: &[String]) -> usize {
         let value_bytes = (self.state_limits().lowered().value_kb * 1024.0) as usize;
         let longest = names.iter().map(String::len).max().unwrap_or(0);
         let fitting = value_bytes / NAMES_PART / (longest + NAME_MARKS);
-        fitting.clamp(1, RETURN_MAX)
+        fitting.clamp(1, TERMINATION_BATCH_MAX)
     }
 
-    fn need_return(&mut self, group: ReturnGroup, machines: Vec<String>) {
+    fn write_scale_in_request(&mut self, group: TerminationClass, machines: Vec<String>) {
         let (duty, if_empty) = match group {
-            ReturnGroup::Idle => (Duty::ReclaimIdle, true),
-            ReturnGroup::Drained => (Duty::Return, true),
-            ReturnGroup::Lost => (Duty::Return, false),
+            TerminationClass::Idle => (Duty::ReclaimIdle, true),
+            TerminationClass::Drained => (Duty::Return, true),
+            TerminationClass::Lost => (Duty::Return, false),
         };
-        let needs = &mut self.duties.needs;
-        needs.return_count += 1;
-        let number = needs.return_count;
-        needs.pending_returns.extend(machines.iter().cloned());
+        let requests = &mut self.duties.requests;
+        requests.termination_count += 1;
+        let number = requests.termination_count;
+        requests
+            .pending_terminations
+            .extend(machines.iter().cloned());
         // The count starts anew with a process, as its epoch does not.
-        let need = format!("{}-{}-return-{number}", self.settings.member, self.epoch());
+        let request = format!("{}-{}-return-{number}", self.settings.member, self.epoch());
         let order = Order::Delete { machines, if_empty };
-        self.write_need(OrderKey { duty, need }, order);
+        self.write_scaling_request(OrderKey { duty, request }, order);
     }
 
     /// Writes a need in one transaction, which is sent once: a second one could create it
     /// anew after it was met.
-    fn write_need(&mut self, key: OrderKey, order: Order) {
+    fn write_scaling_request(&mut self, key: OrderKey, order: Order) {
         let epoch = self.epoch();
         let record = OrderRecord {
             order,
@@ -152,7 +162,7 @@
             since_ms: self.now.wall,
         };
         let write = DutyWrite {
-            purpose: WritePurpose::Need { epoch },
+            purpose: WritePurpose::ScalingRequest { epoch },
             changes: vec![(key, Some(record))],
         };
         self.write_as_leader(write);
@@ -165,7 +175,7 @@
         }
     }
 
-    pub(super) fn on_need_written(
+    pub(super) fn on_request_written(
         &mut self,
         epoch: u64,
         changes: &[(OrderKey, Option<OrderRecord>)],
@@ -173,11 +183,11 @@
     ) {
         let now = self.now.steady;
         for (key, record) in changes {
-            let needs = &mut self.duties.needs;
-            for machine in record.iter().flat_map(OrderRecord::returned_machines) {
-                needs.pending_returns.remove(machine);
+            let requests = &mut self.duties.requests;
+            for machine in record.iter().flat_map(OrderRecord::machines_to_terminate) {
+                requests.pending_terminations.remove(machine);
                 if *result == CommitResult::Unknown {
-                    needs.unanswered_returns.insert(machine.clone());
+                    requests.unanswered_terminations.insert(machine.clone());
                 }
             }
             let is_written = matches!(result, CommitResult::Committed { .. })
@@ -185,7 +195,11 @@
             // Without an answer it may yet be written; it is taken in then.
             if let Some(scheduler) = self.scheduler_of(epoch).filter(|_| !is_written) {
                 if key.duty == Duty::Rent {
-                    scheduler.on_rental(&key.need, RentalOutcome::Withdrawn, now);
+                    scheduler.on_provisioning_outcome(
+                        &key.request,
+                        ProvisioningOutcome::Cancelled,
+                        now,
+                    );
                 }
             }
         }
@@ -195,10 +209,10 @@
     }
 
     /// The leader has begun a term: what is on record is taken in as it stands.
-    pub(in crate::node) fn take_in_orders(&mut self) {
-        self.duties.needs.pending_returns.clear();
-        self.duties.needs.unanswered_returns.clear();
-        self.duties.needs.taken.clear();
+    pub(in crate::node) fn apply_recorded_orders(&mut self) {
+        self.duties.requests.pending_terminations.clear();
+        self.duties.requests.unanswered_terminations.clear();
+        self.duties.requests.processed.clear();
         if !self.are_duties_active() {
             return;
         }
@@ -208,7 +222,7 @@
             .map(|(key, record, _)| (key.clone(), record.clone()))
             .collect();
         for (key, record) in orders {
-            self.take_in_order(&key, &record);
+            self.apply_order_record(&key, &record);
         }
     }
 
@@ -220,13 +234,13 @@
         }
         for change in changes {
             match &change.after {
-                Some(record) => self.take_in_order(&change.key, record),
+                Some(record) => self.apply_order_record(&change.key, record),
                 None => self.on_order_removed(&change),
             }
         }
     }
 
-    fn take_in_order(&mut self, key: &OrderKey, record: &OrderRecord) {
+    fn apply_order_record(&mut self, key: &OrderKey, record: &OrderRecord) {
         let now = self.now.steady;
         let Some(scheduler) = &mut self.scheduler else {
             return;
@@ -235,45 +249,49 @@
             (_, OrderPhase::Completed(result)) => {
                 match result {
                     OrderResult::Rented(names) => {
-                        adopt_rental(scheduler, key, record, now);
-                        let rented = RentalOutcome::Rented(names.clone());
-                        scheduler.on_rental(&key.need, rented, now);
+                        adopt_provisioning(scheduler, key, record, now);
+                        let rented = ProvisioningOutcome::Provisioned(names.clone());
+                        scheduler.on_provisioning_outcome(&key.request, rented, now);
                     }
                     OrderResult::NoCapacity | OrderResult::Rejected => {
-                        scheduler.on_rental(&key.need, RentalOutcome::Refused, now);
-                        self.keep_machines(record.returned_machines());
+                        scheduler.on_provisioning_outcome(
+                            &key.request,
+                            ProvisioningOutcome::Unavailable,
+                            now,
+                        );
+                        self.retain_machines(record.machines_to_terminate());
                     }
                     OrderResult::Deleted => {
-                        scheduler.on_deleted(record.returned_machines(), true, now);
+                        scheduler.on_termination_outcome(record.machines_to_terminate(), true, now);
                     }
                 }
-                self.remove_taken(key.clone());
+                self.remove_processed_result(key.clone());
             }
-            (Order::Rent { .. }, _) => adopt_rental(scheduler, key, record, now),
-            (Order::Delete { machines, .. }, _) => scheduler.on_return_recorded(machines),
+            (Order::Rent { .. }, _) => adopt_provisioning(scheduler, key, record, now),
+            (Order::Delete { machines, .. }, _) => scheduler.on_termination_recorded(machines),
         }
     }
 
     /// Removes the record of an order whose result was taken in.
-    fn remove_taken(&mut self, key: OrderKey) {
-        if !self.duties.needs.taken.insert(key.clone()) {
+    fn remove_processed_result(&mut self, key: OrderKey) {
+        if !self.duties.requests.processed.insert(key.clone()) {
             return;
         }
         let write = DutyWrite {
-            purpose: WritePurpose::ResultTaken,
+            purpose: WritePurpose::ResultProcessed,
             changes: vec![(key, None)],
         };
         self.write_as_leader(write);
     }
 
-    pub(super) fn on_result_taken(&mut self, changes: &[(OrderKey, Option<OrderRecord>)]) {
+    pub(super) fn on_result_removed(&mut self, changes: &[(OrderKey, Option<OrderRecord>)]) {
         for (key, _) in changes {
-            self.duties.needs.taken.remove(key);
+            self.duties.requests.processed.remove(key);
         }
     }
 
     /// Removes what was taken in and is still on record: a removal may have failed.
-    pub(super) fn remove_taken_results(&mut self) {
+    pub(super) fn remove_processed_results(&mut self) {
         if self.scheduler.is_none() {
             return;
         }
@@ -282,7 +300,7 @@
         let completed = orders.filter(|(_, record, _)| is_completed(record));
         let completed: Vec<OrderKey> = completed.map(|(key, ..)| key.clone()).collect();
         for key in completed {
-            self.remove_taken(key);
+            self.remove_processed_result(key);
         }
     }
 
@@ -291,17 +309,25 @@
         let (Some(scheduler), Some(before)) = (&mut self.scheduler, &change.before) else {
             return;
         };
-        let machines = before.returned_machines();
+        let machines = before.machines_to_terminate();
         match before.phase {
             // A recorded order is removed by its completion only: a deletion was carried
-            // out, and of a rental there was none to be had.
+            // out, and of a provisioning request there was none to be had.
             OrderPhase::Recorded(_) => {
-                scheduler.on_rental(&change.key.need, RentalOutcome::Refused, now);
-                scheduler.on_deleted(machines, true, now);
+                scheduler.on_provisioning_outcome(
+                    &change.key.request,
+                    ProvisioningOutcome::Unavailable,
+                    now,
+                );
+                scheduler.on_termination_outcome(machines, true, now);
             }
             OrderPhase::Needed => {
-                scheduler.on_rental(&change.key.need, RentalOutcome::Withdrawn, now);
-                self.keep_machines(machines);
+                scheduler.on_provisioning_outcome(
+                    &change.key.request,
+                    ProvisioningOutcome::Cancelled,
+                    now,
+                );
+                self.retain_machines(machines);
             }
             OrderPhase::Completed(_) => {}
         }
@@ -309,27 +335,28 @@
 
     /// Machines are not returned after all, unless another need for them is on record or may
     /// yet be.
-    fn keep_machines(&mut self, machines: &[String]) {
-        let unanswered = &self.duties.needs.unanswered_returns;
-        let is_open =
-            |name: &&String| self.replica.duties.is_returned(name) || unanswered.contains(*name);
+    fn retain_machines(&mut self, machines: &[String]) {
+        let unanswered = &self.duties.requests.unanswered_terminations;
+        let is_open = |name: &&String| {
+            self.replica.duties.is_being_terminated(name) || unanswered.contains(*name)
+        };
         let kept: Vec<String> = machines.iter().filter(|m| !is_open(m)).cloned().collect();
         if let Some(scheduler) = &mut self.scheduler {
-            scheduler.on_return_refused(&kept);
+            scheduler.on_termination_rejected(&kept);
         }
     }
 
-    /// How many more rentals the leader may ask for.
-    pub(in crate::node) fn rentals_allowed(&self) -> usize {
+    /// How many more provisioning requests the leader may ask for.
+    pub(in crate::node) fn scale_out_budget(&self) -> usize {
         let orders = self.replica.duties.orders_of(Duty::Rent);
         let open = |record: &OrderRecord| !matches!(record.phase, OrderPhase::Completed(_));
         let waiting = orders.filter(|(_, record, _)| open(record)).count();
-        WAITING_RENTALS_MAX.saturating_sub(waiting)
+        WAITING_SCALE_OUT_MAX.saturating_sub(waiting)
     }
 }
 
-/// An open rental that this leader may not know, as another one needed it.
-fn adopt_rental(scheduler: &mut Scheduler, key: &OrderKey, record: &OrderRecord, now: u64) {
+/// An open provisioning request that this leader may not know, as another one needed it.
+fn adopt_provisioning(scheduler: &mut Scheduler, key: &OrderKey, record: &OrderRecord, now: u64) {
     if let Order::Rent {
         machine_type,
         zone,
@@ -342,6 +369,6 @@
             zone: zone.clone(),
             spot: *spot,
         };
-        scheduler.adopt_rental(&key.need, kind, u64::from(*count), now);
+        scheduler.adopt_provisioning(&key.request, kind, u64::from(*count), now);
     }
 }
--- a/src/node/effects.rs
+++ b/src/node/effects.rs
@@ -64,12 +64,12 @@
                 let call = HttpCall::get(wire::INSPECT_PATH, AGENT_TIMEOUT_MS);
                 self.call(pending, address, call);
             }
-            Effect::Rent {
-                booking,
+            Effect::Provision {
+                idempotency_key,
                 kind,
                 count,
-            } => self.rent(booking, &kind, count, epoch),
-            Effect::Delete { machines } => self.delete(machines, epoch),
+            } => self.rent(idempotency_key, &kind, count, epoch),
+            Effect::Terminate { machines } => self.delete(machines, epoch),
         }
     }
 
@@ -80,46 +80,52 @@
         self.lease.is_certain(now) && self.cloud_requests.try_take(now, 1.0, 0.0)
     }
 
-    fn rent(&mut self, booking: String, kind: &MachineKind, count: u64, epoch: u64) {
+    fn rent(&mut self, idempotency_key: String, kind: &MachineKind, count: u64, epoch: u64) {
         if self.are_duties_active() {
-            return self.need_rental(booking, kind, count);
+            return self.request_scale_out(idempotency_key, kind, count);
         }
         if !self.may_call_cloud() {
             let now = self.now.steady;
             if let Some(scheduler) = &mut self.scheduler {
-                scheduler.on_rental_postponed(&booking, now);
+                scheduler.on_provisioning_postponed(&idempotency_key, now);
             }
             return;
         }
-        info!("renting {count} of {kind:?} as {booking}");
-        let body = wire::encode(&wire::RentRequest {
-            booking: &booking,
+        info!("renting {count} of {kind:?} as {idempotency_key}");
+        let body = wire::encode(&wire::ProvisionRequest {
+            booking: &idempotency_key,
             machine_type: &kind.machine_type,
             zone: &kind.zone,
             spot: kind.spot,
             count,
             fencing: None,
         });
-        let call = HttpCall::post(wire::RENT_PATH, body, CLOUD_TIMEOUT_MS);
-        self.call_cloud(PendingCall::Rent { booking, epoch }, call);
+        let call = HttpCall::post(wire::PROVISION_PATH, body, CLOUD_TIMEOUT_MS);
+        self.call_cloud(
+            PendingCall::Provision {
+                idempotency_key,
+                epoch,
+            },
+            call,
+        );
     }
 
     fn delete(&mut self, machines: Vec<String>, epoch: u64) {
         if self.are_duties_active() {
-            return self.need_returns(machines);
+            return self.request_scale_in(machines);
         }
         if !self.may_call_cloud() {
             let now = self.now.steady;
             if let Some(scheduler) = &mut self.scheduler {
-                scheduler.on_deletion_postponed(&machines, now);
+                scheduler.on_termination_postponed(&machines, now);
             }
             return;
         }
-        let body = wire::encode(&wire::DeleteRequest {
+        let body = wire::encode(&wire::TerminateRequest {
             names: &machines,
             fencing: None,
         });
-        let call = HttpCall::post(wire::DELETE_PATH, body, CLOUD_TIMEOUT_MS);
-        self.call_cloud(PendingCall::Delete { machines, epoch }, call);
+        let call = HttpCall::post(wire::TERMINATE_PATH, body, CLOUD_TIMEOUT_MS);
+        self.call_cloud(PendingCall::Terminate { machines, epoch }, call);
     }
 }
--- a/src/node/leadership.rs
+++ b/src/node/leadership.rs
@@ -100,7 +100,7 @@
             now,
         ));
         self.on_format_changed();
-        self.take_in_orders();
+        self.apply_recorded_orders();
         self.machine_list.restart(now);
         self.plan_timer.in_progress = false;
         let soon = now + MACHINE_TYPES_AFTER_MS;
--- a/src/node/peers.rs
+++ b/src/node/peers.rs
@@ -163,7 +163,7 @@
         let reach = scheduler.reachability(now);
         // One machine alone may be at fault itself: it is returned first.
         let all_silent = reach.up > 0 && reach.silent == reach.up;
-        if !all_silent || !(reach.up > 1 || scheduler.returned_unreachable()) {
+        if !all_silent || !(reach.up > 1 || scheduler.has_terminated_unreachable()) {
             return false;
         }
         // Any report, also an old copy, shows that there is a way here.
--- a/src/node/planning.rs
+++ b/src/node/planning.rs
@@ -12,9 +12,9 @@
 /// Pause after a plan, as a multiple of the time that it took: planning takes a third of
 /// the process' time at most, as on a busy fleet something changes all the time.
 const PAUSE_FACTOR: u64 = 2;
-/// Share of a second's calls to the cloud that rentals leave to others: the list and
+/// Share of a second's calls to the cloud that provisioning requests leave to others: the list and
 /// deletions need calls, too.
-const RENT_RESERVE: f64 = 0.25;
+const PROVISIONING_RESERVE: f64 = 0.25;
 
 /// When the next plan may begin, and whether one is in progress.
 #[derive(Debug, Default)]
@@ -63,9 +63,10 @@
         self.plan_timer.in_progress = false;
         self.plan_timer.next_at = now.steady + (PAUSE_FACTOR * took_ms).max(GAP_MS);
         let calls = if self.are_duties_active() {
-            self.rentals_allowed()
+            self.scale_out_budget()
         } else {
-            self.cloud_requests.available(now.steady, RENT_RESERVE)
+            self.cloud_requests
+                .available(now.steady, PROVISIONING_RESERVE)
         };
         if let Some(scheduler) = self.scheduler_of(epoch) {
             scheduler.apply_decision(decision, calls, now.steady, now.wall);
--- a/src/node/stats.rs
+++ b/src/node/stats.rs
@@ -49,8 +49,8 @@
             PendingCall::PeerStatus { .. } | PendingCall::Forward { .. } => &mut self.mesh_calls,
             PendingCall::MachineTypes
             | PendingCall::MachineList { .. }
-            | PendingCall::Rent { .. }
-            | PendingCall::Delete { .. }
+            | PendingCall::Provision { .. }
+            | PendingCall::Terminate { .. }
             | PendingCall::DutyOrder(_) => &mut self.cloud_calls,
             _ => &mut self.state_calls,
         };
--- a/src/plan/cycle_state.rs
+++ b/src/plan/cycle_state.rs
@@ -20,7 +20,7 @@
     pub machines: Vec<Arc<MachineView>>,
     pub teams: HashMap<String, TeamView>,
     pub now_s: f64,
-    pub ordinary_penalty_s: f64,
+    pub on_demand_penalty_s: f64,
     pub free: Vec<Resources>,
     reservations: Vec<Vec<Reservation>>,
     /// Jobs with reservations, and the machines of these.
@@ -77,7 +77,7 @@
             machines,
             teams: snapshot.teams,
             now_s: snapshot.now_s,
-            ordinary_penalty_s: snapshot.ordinary_penalty_s,
+            on_demand_penalty_s: snapshot.on_demand_penalty_s,
             kinds,
             kind_of,
             smallest_demand,
--- a/src/plan/search.rs
+++ b/src/plan/search.rs
@@ -124,19 +124,19 @@
         fetch_s(job.spec.image_gb, self.machines[machine].fetch_gb_per_s)
     }
 
-    /// The cost of a place, fetches aside: a penalty for an ordinary machine where a spot one
+    /// The cost of a place, fetches aside: a penalty for an on-demand machine where a spot one
     /// would do, and what is left over.
     pub fn place_cost_s(&self, machine: usize, spec: &JobSpec, free: Resources) -> f64 {
         let view = &self.machines[machine];
         let penalty_s = if spec.spot && !view.spot {
-            self.ordinary_penalty_s
+            self.on_demand_penalty_s
         } else {
             0.0
         };
         let mut left = free;
         left.sub(Resources::of(spec));
         // A nearly empty machine may soon be returned: fill the others first.
-        penalty_s + self.ordinary_penalty_s * left.share_of(view.total)
+        penalty_s + self.on_demand_penalty_s * left.share_of(view.total)
     }
 
     /// Tries to place tasks on the machines of `zone`, or of all zones.
--- a/src/plan/snapshot.rs
+++ b/src/plan/snapshot.rs
@@ -185,9 +185,9 @@
     pub teams: HashMap<String, TeamView>,
     /// The planner's clock, in seconds.
     pub now_s: f64,
-    /// Seconds of waiting that using an ordinary machine counts for, where a spot one
+    /// Seconds of waiting that using an on-demand machine counts for, where a spot one
     /// would do.
-    pub ordinary_penalty_s: f64,
+    pub on_demand_penalty_s: f64,
 }
 
 /// Whether a machine is one that the job allows, other tasks aside.
--- a/src/scheduler/agent_status.rs
+++ b/src/scheduler/agent_status.rs
@@ -7,7 +7,7 @@
 use super::job_state::StartDelivery;
 use super::{to_ms, Job, Placement, Scheduler};
 use crate::job::{task_name, Shape};
-use crate::machine::{BoundTask, ExitCause, Machine, ReturnReason, TaskPhase};
+use crate::machine::{BoundTask, ExitCause, Machine, TaskPhase, TerminationReason};
 use crate::plan::Resources;
 use crate::wire::{self, AgentStatus, Command};
 
@@ -50,14 +50,14 @@
 impl Scheduler {
     /// Takes in an agent's report. True if it tells of room that waiting tasks could have:
     /// an answer that waits a moment can carry their starts, instead of the next one a
-    /// heartbeat interval later.
+    /// Heartbeat interval later.
     pub fn on_agent_status(
         &mut self,
         report: &AgentStatus,
         origin: StatusOrigin,
         now: u64,
     ) -> bool {
-        if self.deleted_machines.contains_key(&report.machine) {
+        if self.terminated_machines.contains_key(&report.machine) {
             // Gone for good: its report comes late.
             return false;
         }
@@ -118,8 +118,8 @@
         self.last_status_at = now;
         let verifies = origin == StatusOrigin::DirectResponse && machine.reachability_unverified;
         let became_schedulable = !was_heard || old_epoch != machine.epoch || verifies;
-        if machine.delete_sent_at.is_some() && machine.return_reason.is_none() {
-            machine.return_reason = Some(ReturnReason::DeletionSent);
+        if machine.termination_sent_at.is_some() && machine.termination_reason.is_none() {
+            machine.termination_reason = Some(TerminationReason::TerminationSent);
         }
         let (part, whole) = ANSWERED_LEASE_SHARE;
         let answered = machine
@@ -341,9 +341,9 @@
         let machine_at_fault = machine.is_some_and(|machine| {
             machine.failed_jobs.insert(job.id.clone());
             let at_fault = is_first || has_run || machine.failed_jobs.len() > 1;
-            if at_fault && machine.return_reason.is_none() {
+            if at_fault && machine.termination_reason.is_none() {
                 warn!("{name} failed {id}/{task}: it is drained and returned");
-                machine.return_reason = Some(ReturnReason::TaskFailed);
+                machine.termination_reason = Some(TerminationReason::TaskFailed);
                 machine.view = None;
             }
             at_fault
--- a/src/scheduler/decisions.rs
+++ b/src/scheduler/decisions.rs
@@ -1,4 +1,4 @@
-//! From the planner's decision to placements, stops and rentals.
+//! From the planner's decision to placements, stops and provisioning requests.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -27,7 +27,7 @@
 
 impl Scheduler {
     /// Carries out what was planned, as far as it still holds.
-    /// `calls`: how many rentals may be asked for now.
+    /// `calls`: how many provisioning requests may be asked for now.
     pub fn apply_decision(&mut self, decision: Decision, calls: usize, now: u64, wall_ms: u64) {
         let mut teams = self.team_views();
         for placement in &decision.placements {
@@ -56,7 +56,7 @@
                 machine.wanted_at = now;
             }
         }
-        self.rent_missing(&decision.unmet, calls, now, wall_ms);
+        self.scale_out(&decision.unmet, calls, now, wall_ms);
     }
 
     fn apply_reservation(&mut self, reservation: PlannedReservation, now: u64) {
--- a/src/scheduler/effects.rs
+++ b/src/scheduler/effects.rs
@@ -54,17 +54,17 @@
         /// The agent's address.
         address: SocketAddr,
     },
-    /// Rent machines.
-    Rent {
-        /// The rental's unique name.
-        booking: String,
+    /// Provision machines.
+    Provision {
+        /// The provisioning request's unique name.
+        idempotency_key: String,
         /// What kind of machine.
         kind: MachineKind,
         /// How many.
         count: u64,
     },
-    /// Delete machines.
-    Delete {
+    /// Terminate machines.
+    Terminate {
         /// Their names.
         machines: Vec<String>,
     },
--- a/src/scheduler/gangs.rs
+++ b/src/scheduler/gangs.rs
@@ -79,11 +79,11 @@
     }
 
     fn find_lost_starts(&self, job: &Job, review: &mut GangReview, now: u64) {
-        let quiet_ms = self.quiet_ms();
+        let silence_tolerance_ms = self.silence_tolerance_ms();
         for placement in job.placements.iter().filter(|p| p.is_unsent()) {
             let machine = self.machines.get(&*placement.machine);
             let gone = machine.is_none_or(|machine| {
-                !machine.is_retained() || self.silent_ms(machine, now) > quiet_ms
+                !machine.is_retained() || self.silent_ms(machine, now) > silence_tolerance_ms
             });
             if gone {
                 review.lost.push((job.id.clone(), placement.task));
--- a/src/scheduler/machine_list.rs
+++ b/src/scheduler/machine_list.rs
@@ -2,14 +2,14 @@
 
 use std::collections::HashSet;
 
-use super::returns::DELETE_REPEAT_MS;
+use super::scale_in::TERMINATION_RETRY_MS;
 use super::{to_ms, Scheduler};
 use crate::machine::{CloudStatus, Machine};
 use crate::wire::{self, ListedMachine};
 
 /// For how long deleted machines are remembered, beyond what the list lags: reports of
 /// machines that are gone may come minutes late.
-const DELETED_MEMORY_MS: u64 = 600_000;
+const TERMINATED_MEMORY_MS: u64 = 600_000;
 /// Added to twice the list's usual lag.
 const LAG_MARGIN_MS: u64 = 1000;
 
@@ -22,7 +22,7 @@
         for listed in list {
             names.insert(listed.name.as_str());
             // What was deleted is gone for good; the list lags.
-            if !self.deleted_machines.contains_key(&listed.name) {
+            if !self.terminated_machines.contains_key(&listed.name) {
                 self.apply_listed(listed, now);
             }
         }
@@ -41,8 +41,9 @@
                 machine.cloud_status = CloudStatus::Gone;
             }
         }
-        let memory_ms = 4 * lag_ms + DELETED_MEMORY_MS;
-        self.deleted_machines.retain(|_, at| now < *at + memory_ms);
+        let memory_ms = 4 * lag_ms + TERMINATED_MEMORY_MS;
+        self.terminated_machines
+            .retain(|_, at| now < *at + memory_ms);
         self.dirty = true;
     }
 
@@ -73,20 +74,20 @@
 
     /// The cloud has answered a deletion. If it confirms it, the machines and all on them
     /// are gone.
-    pub fn on_deleted(&mut self, names: &[String], confirmed: bool, now: u64) {
+    pub fn on_termination_outcome(&mut self, names: &[String], confirmed: bool, now: u64) {
         for name in names {
             if confirmed {
                 self.remove_machine(name, now);
             } else if let Some(machine) = self.machines.get_mut(name) {
-                machine.delete_sent_at = Some(now);
-                machine.next_delete_at = now + DELETE_REPEAT_MS;
+                machine.termination_sent_at = Some(now);
+                machine.next_termination_at = now + TERMINATION_RETRY_MS;
             }
         }
     }
 
     fn remove_machine(&mut self, name: &str, now: u64) {
-        self.deleted_machines.insert(name.to_string(), now);
-        self.recorded_returns.remove(name);
+        self.terminated_machines.insert(name.to_string(), now);
+        self.recorded_terminations.remove(name);
         self.direct_commands.remove(name);
         self.startable.remove(name);
         let Some(machine) = self.machines.get_mut(name) else {
--- a/src/scheduler/machine_views.rs
+++ b/src/scheduler/machine_views.rs
@@ -17,17 +17,17 @@
     /// epoch: a report that shows an older one may be a late copy of a machine
     /// that is gone, or come from one that our answers don't reach.
     pub(super) fn is_placeable(&self, machine: &Machine, now: u64) -> bool {
-        let quiet_ms = self.quiet_ms();
+        let silence_tolerance_ms = self.silence_tolerance_ms();
         let came_at = machine.last_heartbeat_at.or(machine.up_since).unwrap_or(0);
         machine.is_retained()
             && !machine.is_dead()
-            && !self.recorded_returns.contains(&*machine.name)
+            && !self.recorded_terminations.contains(&*machine.name)
             && machine.last_status_at.is_some()
             && machine.epoch >= self.term.epoch
             && machine.ineffective_answers == 0
             && !machine.reachability_unverified
-            && self.silent_ms(machine, now) <= quiet_ms
-            && now.saturating_sub(came_at.max(self.began_at)) <= quiet_ms
+            && self.silent_ms(machine, now) <= silence_tolerance_ms
+            && now.saturating_sub(came_at.max(self.began_at)) <= silence_tolerance_ms
     }
 
     /// Free resources of a machine, everything counted that may be on it.
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -14,12 +14,12 @@
 mod machine_views;
 mod placements;
 mod probes;
-mod purchasing;
+mod provisioning;
 mod records;
-mod rentals;
-mod reserve;
-mod returns;
+mod scale_in;
+mod scale_out;
 mod snapshots;
+mod standby_capacity;
 mod starts;
 mod team_limits;
 mod unwritten;
@@ -31,7 +31,7 @@
 pub use agent_status::StatusOrigin;
 pub use effects::{DirectStart, Effect};
 pub use job_state::{Job, Placement};
-pub use rentals::RentalOutcome;
+pub use provisioning::ProvisioningOutcome;
 pub use upkeep::Reachability;
 
 use crate::machine::Machine;
@@ -42,7 +42,7 @@
 use crate::wire::{Command, Condition, MachineType};
 use arrivals::ArrivalRate;
 use dependency_links::DependencyLinks;
-use rentals::Rentals;
+use provisioning::ProvisioningRequests;
 use team_limits::TeamLimits;
 use unwritten::UnwrittenJobs;
 
@@ -94,12 +94,12 @@
     team_limits: TeamLimits,
     /// The form in which records are written.
     format: u64,
-    /// Rented machines, and those that a record or a report names.
+    /// Provisioned machines, and those that a record or a report names.
     pub machines: BTreeMap<String, Machine>,
     machine_types: Arc<Vec<MachineType>>,
     /// The names of machine types and zones, one copy for all machines.
     shared_names: Vec<Arc<str>>,
-    rentals: Rentals,
+    provisioning: ProvisioningRequests,
     /// Commands that are to go straight to agents.
     direct_commands: BTreeMap<Arc<str>, Vec<Command>>,
     /// Machines with starts on record that have not gone out.
@@ -117,16 +117,16 @@
     /// The cloud's list has been read in this term.
     listed_once: bool,
     /// Machines whose deletion was confirmed, and when.
-    deleted_machines: HashMap<String, u64>,
-    /// How often work came that needs ordinary machines, by class.
+    terminated_machines: HashMap<String, u64>,
+    /// How often work came that needs on-demand machines, by class.
     arrivals: BTreeMap<String, ArrivalRate>,
     next_upkeep_at: u64,
     /// Machines that can't be reached were returned.
-    returned_unreachable: bool,
+    has_terminated_unreachable: bool,
     /// Agents that other controllers redirected lately, if most of them are heard.
     redirected_elsewhere: Option<u32>,
     /// Machines that are on record with the holder of that duty to be returned.
-    recorded_returns: BTreeSet<String>,
+    recorded_terminations: BTreeSet<String>,
     /// When any machine reported something new.
     last_status_at: u64,
     /// When this controller was last seconds behind with reading what comes in.
@@ -160,7 +160,7 @@
             machines: BTreeMap::new(),
             shared_names: shared_names(&machine_types),
             machine_types,
-            rentals: Rentals::default(),
+            provisioning: ProvisioningRequests::default(),
             direct_commands: BTreeMap::new(),
             startable: BTreeSet::new(),
             newly_startable: vec![],
@@ -170,12 +170,12 @@
             direct_start_limit: TokenBucket::new(direct_starts.max(1.0)),
             jobs_wait: true,
             listed_once: false,
-            deleted_machines: HashMap::new(),
+            terminated_machines: HashMap::new(),
             arrivals: BTreeMap::new(),
             next_upkeep_at: 0,
-            returned_unreachable: false,
+            has_terminated_unreachable: false,
             redirected_elsewhere: None,
-            recorded_returns: BTreeSet::new(),
+            recorded_terminations: BTreeSet::new(),
             last_status_at: 0,
             lagging_at: None,
             overloaded_at: None,
--- a/src/scheduler/probes.rs
+++ b/src/scheduler/probes.rs
@@ -21,18 +21,18 @@
         if self.is_overloaded(now) {
             return;
         }
-        let quiet_ms = self.quiet_ms();
+        let silence_tolerance_ms = self.silence_tolerance_ms();
         let peer_s = self.cluster.workers.gang_peer_s;
         let first_probe_at = self.began_at + to_ms(peer_s * FIRST_PROBE_SHARE);
         let mut left = self.probes_per_tick();
         for machine in self.machines.values_mut() {
             let last_status_at = machine.last_status_at.unwrap_or(machine.known_since);
-            let due = now > last_status_at.max(self.began_at) + quiet_ms
+            let due = now > last_status_at.max(self.began_at) + silence_tolerance_ms
                 || machine.reachability_unverified
                 || (machine.epoch < self.term.epoch && now > first_probe_at);
             let expected =
                 machine.last_status_at.is_some() || machine.cloud_status == CloudStatus::Running;
-            if !due || now < machine.last_probe_at + quiet_ms / 2 || !expected {
+            if !due || now < machine.last_probe_at + silence_tolerance_ms / 2 || !expected {
                 continue;
             }
             let Some(address) = machine.address else {
--- a/src/scheduler/returns.rs
+++ b/src/scheduler/scale_in.rs
@@ -1,4 +1,4 @@
-//! Which machines are returned to the cloud, and why.
+//! Which machines are terminated, and why.
 
 use std::collections::HashSet;
 use std::sync::Arc;
@@ -8,37 +8,37 @@
 use super::job_state::StartDelivery;
 use super::upkeep::Reachability;
 use super::{to_ms, Effect, Scheduler};
-use crate::machine::{CloudStatus, Machine, ReturnGroup, ReturnReason};
+use crate::machine::{CloudStatus, Machine, TerminationClass, TerminationReason};
 
-/// heartbeats in a row that show no effect of the answers, after which a machine counts as
+/// Heartbeats in a row that show no effect of the answers, after which a machine counts as
 /// out of reach.
 const INEFFECTIVE_ANSWERS_MAX: u32 = 2;
 /// Of the silent machines, one in so many that others redirected lately shows that the
 /// silence is ours.
 const REDIRECTED_PART: usize = 4;
 /// Fewer machines that should report say nothing about who is cut off.
-const CUT_OFF_MACHINES_MIN: usize = 3;
+const PARTITION_MACHINES_MIN: usize = 3;
 /// Leases after which a silent machine is returned in any case.
-const OVER_LEASES: f64 = 2.0;
+const EXPIRED_LEASES: f64 = 2.0;
 /// AgentStatus intervals after which a machine that is not listed any more counts as silent.
 const UNLISTED_INTERVALS: f64 = 2.5;
 /// Boot times after which a machine is not expected to come up any more.
-const NEVER_UP_BOOTS: f64 = 3.5;
+const NEVER_BOOTED_BOOTS: f64 = 3.5;
 /// The boot time of a machine whose type is not known.
 const BOOT_DEFAULT_S: f64 = 60.0;
 /// A deletion that was not confirmed is sent again after this time.
-pub(super) const DELETE_REPEAT_MS: u64 = 4000;
+pub(super) const TERMINATION_RETRY_MS: u64 = 4000;
 /// Most machines of one deletion.
-const DELETE_MAX: usize = 100;
+const TERMINATION_BATCH_MAX: usize = 100;
 
 /// What holds for all machines as they are reviewed.
-struct ReviewContext {
+struct TerminationContext {
     /// After this silence machines count as lost.
-    lost_ms: u64,
+    lost_after_ms: u64,
     /// This controller is rather cut off itself.
-    cut_off: bool,
+    is_partitioned: bool,
     /// Machines in the reserve.
-    reserve: HashSet<Arc<str>>,
+    standby_capacity: HashSet<Arc<str>>,
 }
 
 impl Scheduler {
@@ -46,9 +46,9 @@
     /// off: surely if they came to others, and not if some are still heard, or if the
     /// others hear nothing, either. Then they are gone, or a zone of them is, and nobody
     /// waits for them.
-    fn is_cut_off(&self, now: u64) -> bool {
+    fn is_partitioned(&self, now: u64) -> bool {
         let Reachability { silent, up } = self.reachability(now);
-        if up < CUT_OFF_MACHINES_MIN || silent * 2 <= up {
+        if up < PARTITION_MACHINES_MIN || silent * 2 <= up {
             return false;
         }
         // Of many, one reports at any time.
@@ -59,38 +59,38 @@
     }
 
     /// Whether machines that can't be reached were returned in this term.
-    pub fn returned_unreachable(&self) -> bool {
-        self.returned_unreachable
+    pub fn has_terminated_unreachable(&self) -> bool {
+        self.has_terminated_unreachable
     }
 
     /// Returns what is of no use any more: machines that are gone, silent, out of reach,
     /// drained or idle.
-    pub(super) fn return_machines(&mut self, now: u64) {
-        let cut_off = self.is_cut_off(now);
-        self.drain_recorded_returns();
+    pub(super) fn terminate_machines(&mut self, now: u64) {
+        let is_partitioned = self.is_partitioned(now);
+        self.drain_recorded_terminations();
         for machine in self.machines.values_mut() {
             machine.update_idle(self.term.epoch, now);
         }
-        let context = ReviewContext {
-            lost_ms: self.lost_ms(now),
-            cut_off,
-            reserve: self.reserve(now).machines,
+        let context = TerminationContext {
+            lost_after_ms: self.lost_after_ms(now),
+            is_partitioned,
+            standby_capacity: self.standby_capacity(now).machines,
         };
         let machines = self.machines.values();
-        let due: Vec<(Arc<str>, ReturnReason)> = machines
+        let due: Vec<(Arc<str>, TerminationReason)> = machines
             .filter_map(|machine| {
-                let reason = self.review_machine(machine, &context, now)?;
+                let reason = self.find_termination_reason(machine, &context, now)?;
                 Some((machine.name.clone(), reason))
             })
             .collect();
-        let mut deletions = Vec::new();
+        let mut terminations = Vec::new();
         for (name, reason) in due {
-            if self.begin_return(&name, reason, now) {
-                deletions.push(name.to_string());
+            if self.begin_termination(&name, reason, now) {
+                terminations.push(name.to_string());
             }
         }
-        for part in deletions.chunks(DELETE_MAX) {
-            self.effects.push(Effect::Delete {
+        for part in terminations.chunks(TERMINATION_BATCH_MAX) {
+            self.effects.push(Effect::Terminate {
                 machines: part.to_vec(),
             });
         }
@@ -98,16 +98,16 @@
 
     /// Machines are on record to be returned: they get no work from here on, under this
     /// leader and those after it.
-    pub fn on_return_recorded(&mut self, machines: &[String]) {
-        self.recorded_returns.extend(machines.iter().cloned());
-        self.drain_recorded_returns();
+    pub fn on_termination_recorded(&mut self, machines: &[String]) {
+        self.recorded_terminations.extend(machines.iter().cloned());
+        self.drain_recorded_terminations();
     }
 
-    fn drain_recorded_returns(&mut self) {
-        for name in &self.recorded_returns {
+    fn drain_recorded_terminations(&mut self) {
+        for name in &self.recorded_terminations {
             if let Some(machine) = self.machines.get_mut(name) {
-                if machine.return_reason.is_none() {
-                    machine.return_reason = Some(ReturnReason::OnRecord);
+                if machine.termination_reason.is_none() {
+                    machine.termination_reason = Some(TerminationReason::OnRecord);
                     self.dirty = true;
                 }
             }
@@ -115,17 +115,17 @@
     }
 
     /// Machines are not returned after all: those that were idle may have work again.
-    pub fn on_return_refused(&mut self, machines: &[String]) {
+    pub fn on_termination_rejected(&mut self, machines: &[String]) {
         for name in machines {
-            self.recorded_returns.remove(name);
+            self.recorded_terminations.remove(name);
             let Some(machine) = self.machines.get_mut(name) else {
                 continue;
             };
-            let group = machine.return_reason.map(ReturnReason::group);
-            if group == Some(ReturnGroup::Idle) {
-                machine.return_reason = None;
-                machine.delete_sent_at = None;
-                machine.next_delete_at = 0;
+            let group = machine.termination_reason.map(TerminationReason::group);
+            if group == Some(TerminationClass::Idle) {
+                machine.termination_reason = None;
+                machine.termination_sent_at = None;
+                machine.next_termination_at = 0;
                 machine.idle_since = None;
                 machine.view = None;
                 self.dirty = true;
@@ -135,7 +135,7 @@
 
     /// After this silence machines count as lost. A leader that does not keep up gives
     /// them their whole lease.
-    fn lost_ms(&self, now: u64) -> u64 {
+    fn lost_after_ms(&self, now: u64) -> u64 {
         let mut share = self.operator.lost_lease_share;
         if self.is_lagging(now) {
             share = share.max(1.0);
@@ -144,70 +144,71 @@
     }
 
     /// Why a machine is to be returned, if it is.
-    fn review_machine(
+    fn find_termination_reason(
         &self,
         machine: &Machine,
-        context: &ReviewContext,
+        context: &TerminationContext,
         now: u64,
-    ) -> Option<ReturnReason> {
+    ) -> Option<TerminationReason> {
         let silent_ms = self.silent_ms(machine, now);
         let not_listed_ms = to_ms(self.cluster.workers.report_s * UNLISTED_INTERVALS);
         if machine.cloud_status == CloudStatus::Failed {
-            return Some(ReturnReason::Failed);
+            return Some(TerminationReason::Failed);
         }
-        if self.is_reclaimed(machine, now) {
-            return Some(ReturnReason::Reclaimed);
+        if self.is_interrupted(machine, now) {
+            return Some(TerminationReason::SpotInterruption);
         }
         if machine.cloud_status == CloudStatus::Gone && silent_ms > not_listed_ms {
-            return Some(ReturnReason::NotListed);
+            return Some(TerminationReason::NotListed);
         }
         let drained = !machine.is_occupied() && !self.has_unrecorded_result(machine);
-        if machine.return_reason.is_some() && drained {
-            return machine.return_reason;
+        if machine.termination_reason.is_some() && drained {
+            return machine.termination_reason;
         }
         if machine.is_up() {
-            return self.review_up_machine(machine, context, silent_ms, now);
+            return self.find_reason_while_up(machine, context, silent_ms, now);
         }
         if machine.cloud_status == CloudStatus::NotListed && machine.machine_type.is_empty() {
             // On record only: nobody has seen it since this leader began.
-            let unknown = self.listed_once && silent_ms > context.lost_ms && !context.cut_off;
-            return unknown.then_some(ReturnReason::Unknown);
+            let unknown =
+                self.listed_once && silent_ms > context.lost_after_ms && !context.is_partitioned;
+            return unknown.then_some(TerminationReason::Unknown);
         }
-        let boot_ms = to_ms(self.boot_s_of(machine) * NEVER_UP_BOOTS);
-        (now > machine.known_since + boot_ms).then_some(ReturnReason::NeverUp)
+        let boot_ms = to_ms(self.boot_s_of(machine) * NEVER_BOOTED_BOOTS);
+        (now > machine.known_since + boot_ms).then_some(TerminationReason::NeverBooted)
     }
 
-    fn is_reclaimed(&self, machine: &Machine, now: u64) -> bool {
+    fn is_interrupted(&self, machine: &Machine, now: u64) -> bool {
         let margin_ms = to_ms(self.cluster.workers.gang_peer_s) / 2;
-        machine.reclaim_at.is_some_and(|at| {
+        machine.interruption_deadline.is_some_and(|at| {
             let silent_since = machine.last_status_at.is_none_or(|heard| heard < at);
             now > at + margin_ms && silent_since
         })
     }
 
-    fn review_up_machine(
+    fn find_reason_while_up(
         &self,
         machine: &Machine,
-        context: &ReviewContext,
+        context: &TerminationContext,
         silent_ms: u64,
         now: u64,
-    ) -> Option<ReturnReason> {
+    ) -> Option<TerminationReason> {
         // By then nothing is left to save on it, whoever was cut off. And of an empty one
         // nothing is lost even if it is our fault.
-        let over_ms = to_ms(self.cluster.workers.lease_s * OVER_LEASES);
-        let nothing_to_lose = !machine.is_occupied() || silent_ms > over_ms;
-        if silent_ms > context.lost_ms && (!context.cut_off || nothing_to_lose) {
-            return Some(ReturnReason::Silent);
+        let expired_ms = to_ms(self.cluster.workers.lease_s * EXPIRED_LEASES);
+        let nothing_to_lose = !machine.is_occupied() || silent_ms > expired_ms;
+        if silent_ms > context.lost_after_ms && (!context.is_partitioned || nothing_to_lose) {
+            return Some(TerminationReason::Silent);
         }
         let unreachable = machine.ineffective_answers >= INEFFECTIVE_ANSWERS_MAX
             || self.has_lost_start(machine, now);
-        if unreachable && !context.cut_off {
-            return Some(ReturnReason::Unreachable);
+        if unreachable && !context.is_partitioned {
+            return Some(TerminationReason::Unreachable);
         }
         let idle = self.is_idle_for_long(machine, now)
-            && !context.reserve.contains(&machine.name)
+            && !context.standby_capacity.contains(&machine.name)
             && !self.has_unrecorded_result(machine);
-        idle.then_some(ReturnReason::Idle)
+        idle.then_some(TerminationReason::Idle)
     }
 
     fn is_idle_for_long(&self, machine: &Machine, now: u64) -> bool {
@@ -236,7 +237,7 @@
         if machine.direct_start_at.is_none() {
             return false;
         }
-        let wait_ms = self.quiet_ms();
+        let wait_ms = self.silence_tolerance_ms();
         machine.bound_tasks.iter().any(|task| {
             self.placement_of(task).is_some_and(|(_, placement)| {
                 let sent_at = match placement.delivery {
@@ -249,38 +250,40 @@
     }
 
     /// Drains a machine from now on. True if its deletion is to be sent.
-    fn begin_return(&mut self, name: &str, reason: ReturnReason, now: u64) -> bool {
+    fn begin_termination(&mut self, name: &str, reason: TerminationReason, now: u64) -> bool {
         let Some(machine) = self.machines.get_mut(name) else {
             return false;
         };
-        if machine.return_reason.is_none() {
+        if machine.termination_reason.is_none() {
             self.dirty = true;
         }
         // One that was drained and is lost meanwhile is not waited for any more.
-        if machine.return_reason.is_none() || reason.group() == ReturnGroup::Lost {
-            machine.return_reason = Some(reason);
+        if machine.termination_reason.is_none() || reason.group() == TerminationClass::Lost {
+            machine.termination_reason = Some(reason);
         }
-        if now < machine.next_delete_at {
+        if now < machine.next_termination_at {
             return false;
         }
-        machine.next_delete_at = now + DELETE_REPEAT_MS;
-        if machine.delete_sent_at.is_none() {
+        machine.next_termination_at = now + TERMINATION_RETRY_MS;
+        if machine.termination_sent_at.is_none() {
             info!("returning {name}: {reason}");
-            self.returned_unreachable |=
-                matches!(reason, ReturnReason::Silent | ReturnReason::Unreachable);
+            self.has_terminated_unreachable |= matches!(
+                reason,
+                TerminationReason::Silent | TerminationReason::Unreachable
+            );
         }
-        machine.delete_sent_at = Some(now);
+        machine.termination_sent_at = Some(now);
         true
     }
 
     /// The limit of calls to the cloud has no room for a deletion yet. It is asked for again
     /// as soon as a call may be made, not only when an answer would be overdue: after the
     /// loss of a third of the fleet there are many calls.
-    pub fn on_deletion_postponed(&mut self, machines: &[String], now: u64) {
+    pub fn on_termination_postponed(&mut self, machines: &[String], now: u64) {
         let retry_at = now + to_ms(1.0 / self.cluster.cloud.rps);
         for name in machines {
             if let Some(machine) = self.machines.get_mut(name) {
-                machine.next_delete_at = retry_at;
+                machine.next_termination_at = retry_at;
             }
         }
     }
--- a/src/scheduler/snapshots.rs
+++ b/src/scheduler/snapshots.rs
@@ -57,7 +57,7 @@
             jobs,
             teams: self.team_views(),
             now_s,
-            ordinary_penalty_s: self.cluster.workers.lease_s,
+            on_demand_penalty_s: self.cluster.workers.lease_s,
         }
     }
 
--- a/src/scheduler/reserve.rs
+++ b/src/scheduler/standby_capacity.rs
@@ -1,4 +1,4 @@
-//! Ordinary machines that are held ready for work that spot machines must not take.
+//! On-demand machines that are held ready for work that spot machines must not take.
 
 use std::collections::HashSet;
 use std::sync::Arc;
@@ -11,32 +11,37 @@
 
 /// Machines held ready, and what of them is missing.
 #[derive(Default)]
-pub(super) struct Reserve {
+pub(super) struct StandbyCapacity {
     pub machines: HashSet<Arc<str>>,
     pub missing: Vec<Demand>,
 }
 
 impl Scheduler {
     /// The reserve, by how often such work came lately.
-    pub(super) fn reserve(&self, now: u64) -> Reserve {
-        let mut reserve = Reserve::default();
+    pub(super) fn standby_capacity(&self, now: u64) -> StandbyCapacity {
+        let mut standby_capacity = StandbyCapacity::default();
         let boot_s = self.boot_s();
         for arrivals in self.arrivals.values() {
             let tasks = arrivals.per_second(now, boot_s) * boot_s * self.operator.reserve_boots;
             let wanted = tasks.round() as usize;
             if wanted > 0 {
-                self.reserve_for(arrivals, wanted, &mut reserve);
+                self.add_standby_for(arrivals, wanted, &mut standby_capacity);
             }
         }
-        reserve
+        standby_capacity
     }
 
-    fn reserve_for(&self, arrivals: &ArrivalRate, wanted: usize, reserve: &mut Reserve) {
+    fn add_standby_for(
+        &self,
+        arrivals: &ArrivalRate,
+        wanted: usize,
+        standby_capacity: &mut StandbyCapacity,
+    ) {
         let mut suitable: Vec<(&Machine, usize)> = self
             .machines
             .values()
-            .filter_map(|machine| Some((machine, self.places_in_reserve(machine, arrivals)?)))
-            .filter(|(machine, _)| !reserve.machines.contains(&machine.name))
+            .filter_map(|machine| Some((machine, self.standby_tasks_on(machine, arrivals)?)))
+            .filter(|(machine, _)| !standby_capacity.machines.contains(&machine.name))
             .collect();
         // The more images are there already, the sooner work begins.
         suitable.sort_by(|(a, _), (b, _)| {
@@ -44,15 +49,15 @@
             most_images.then(a.name.cmp(&b.name))
         });
         let mut held = 0;
-        for (machine, places) in suitable {
+        for (machine, task_slots) in suitable {
             if held >= wanted {
                 break;
             }
-            held += places;
-            reserve.machines.insert(machine.name.clone());
+            held += task_slots;
+            standby_capacity.machines.insert(machine.name.clone());
         }
         if wanted > held {
-            reserve.missing.push(Demand {
+            standby_capacity.missing.push(Demand {
                 spec: arrivals.spec.clone(),
                 count: (wanted - held) as u32,
                 zones: ZoneCounts::new(),
@@ -62,18 +67,18 @@
     }
 
     /// How many tasks of a class a machine could hold in the reserve, if any.
-    fn places_in_reserve(&self, machine: &Machine, arrivals: &ArrivalRate) -> Option<usize> {
+    fn standby_tasks_on(&self, machine: &Machine, arrivals: &ArrivalRate) -> Option<usize> {
         let spec = &arrivals.spec;
         // Each plan asks for all machines: what is quick to see goes first.
         let usable = !machine.spot
-            && machine.return_reason.is_none()
+            && machine.termination_reason.is_none()
             && machine.bound_tasks.iter().all(|task| task.spot)
             && is_allowed(spec, &machine.machine_type, &machine.zone, false);
         if !usable {
             return None;
         }
         let machine_type = self.machine_type(&machine.machine_type)?;
-        let places = cloud::capacity(machine_type).count_of(Resources::of(spec)) as usize;
-        (places > 0).then_some(places)
+        let task_slots = cloud::capacity(machine_type).count_of(Resources::of(spec)) as usize;
+        (task_slots > 0).then_some(task_slots)
     }
 }
--- a/src/scheduler/upkeep.rs
+++ b/src/scheduler/upkeep.rs
@@ -19,7 +19,7 @@
 const SILENT_SHARE: f64 = 0.7;
 /// Before a machine is taken back, tasks are stopped this long before they have to be, in
 /// addition to half a heartbeat interval.
-const RECLAIM_MARGIN_MS: u64 = 500;
+const INTERRUPTION_MARGIN_MS: u64 = 500;
 
 /// How many machines should report, and how many of them don't.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -37,12 +37,12 @@
         if now >= self.next_upkeep_at {
             let interval_ms = to_ms(self.cluster.workers.gang_peer_s * UPKEEP_SHARE);
             self.next_upkeep_at = now + interval_ms;
-            self.stop_on_reclaimed(now);
+            self.drain_interrupted_machines(now);
             self.review_gangs(now);
-            self.return_machines(now);
+            self.terminate_machines(now);
             self.probe_machines(now);
         }
-        self.send_rentals(now);
+        self.send_provisioning_requests(now);
         self.flush(now, revision, spare_writes);
     }
 
@@ -53,7 +53,7 @@
     }
 
     /// For how long a machine may be silent and still get new tasks.
-    pub(super) fn quiet_ms(&self) -> u64 {
+    pub(super) fn silence_tolerance_ms(&self) -> u64 {
         to_ms(self.cluster.workers.report_s * self.operator.silent_reports)
     }
 
@@ -67,8 +67,8 @@
     pub fn reachability(&self, now: u64) -> Reachability {
         // Sooner than a machine is returned for its silence.
         let agents = &self.cluster.workers;
-        let lost_s = agents.lease_s * self.operator.lost_lease_share;
-        let silent_s = (agents.report_s * SILENT_INTERVALS).min(lost_s * SILENT_SHARE);
+        let lost_after_s = agents.lease_s * self.operator.lost_lease_share;
+        let silent_s = (agents.report_s * SILENT_INTERVALS).min(lost_after_s * SILENT_SHARE);
         let silent_ms = to_ms(silent_s);
         let mut reachability = Reachability { silent: 0, up: 0 };
         for machine in self.machines.values().filter(|machine| machine.is_up()) {
@@ -112,18 +112,18 @@
     }
 
     /// Stops tasks on machines that the cloud takes back; they save as late as is safe.
-    fn stop_on_reclaimed(&mut self, now: u64) {
-        let margin_ms = to_ms(self.cluster.workers.report_s / 2.0) + RECLAIM_MARGIN_MS;
+    fn drain_interrupted_machines(&mut self, now: u64) {
+        let margin_ms = to_ms(self.cluster.workers.report_s / 2.0) + INTERRUPTION_MARGIN_MS;
         let mut stops = Vec::new();
         for machine in self.machines.values() {
-            let Some(reclaim_at) = machine.reclaim_at else {
+            let Some(interruption_deadline) = machine.interruption_deadline else {
                 continue;
             };
             for task in &machine.bound_tasks {
                 let Some((job, placement)) = self.placement_of(task) else {
                     continue;
                 };
-                let last_moment = now + to_ms(job.spec.save_s) + margin_ms >= reclaim_at;
+                let last_moment = now + to_ms(job.spec.save_s) + margin_ms >= interruption_deadline;
                 let not_running = placement.phase != Some(TaskPhase::Running);
                 if placement.stop.is_none() && (not_running || last_moment) {
                     stops.push((task.job.clone(), task.task));
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -271,18 +271,18 @@
     pub silent_reports: f64,
     /// Silent this share of an agent's lease, a machine is returned.
     pub lost_lease_share: f64,
-    /// How long an ordinary machine may lie idle, in boot times.
+    /// How long an on-demand machine may lie idle, in boot times.
     pub idle_boots: f64,
     /// The same for a spot machine.
     pub idle_boots_spot: f64,
-    /// Ordinary machines held ready for work that can't use spot ones, as a
+    /// On-demand machines held ready for work that can't use spot ones, as a
     /// share of what comes in one boot time.
     pub reserve_boots: f64,
-    /// Ordinary machines are rented for spot work that would wait longer than
+    /// On-demand machines are rented for spot work that would wait longer than
     /// this many boot times.
     #[serde(alias = "dear_wait_boots")]
     pub ordinary_wait_boots: f64,
-    /// What such an ordinary machine may cost for a task, as a multiple of the
+    /// What such an on-demand machine may cost for a task, as a multiple of the
     /// cheapest spot machine.
     #[serde(alias = "dear_times")]
     pub ordinary_price_ratio: f64,
--- a/src/settings/duties.rs
+++ b/src/settings/duties.rs
@@ -23,7 +23,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum DutyFence {
-    /// The published protocol: a rental's name is carried out once, and a machine that is
+    /// The published protocol: a provisioning request's name is carried out once, and a machine that is
     /// on record to be deleted never gets work again.
     Booking,
     /// The token goes with each order, and the provider refuses lower ones.
--- a/src/wire/agents.rs
+++ b/src/wire/agents.rs
@@ -39,7 +39,7 @@
     pub epoch: u64,
     /// Seconds until the cloud takes the machine back, if it gave notice.
     #[serde(default, rename = "reclaimInS", deserialize_with = "optional_number")]
-    pub reclaim_in_s: Option<f64>,
+    pub interruption_in_s: Option<f64>,
     /// All tasks on the machine.
     #[serde(rename = "pieces", default)]
     pub tasks: Vec<TaskStatus>,
--- a/src/wire/cloud.rs
+++ b/src/wire/cloud.rs
@@ -5,10 +5,10 @@
 use super::{number, optional_number};
 use crate::machine::CloudStatus;
 
-/// Where rentals go.
-pub const RENT_PATH: &str = "/machines";
+/// Where provisioning requests go.
+pub const PROVISION_PATH: &str = "/machines";
 /// Where deletions go.
-pub const DELETE_PATH: &str = "/machines/delete";
+pub const TERMINATE_PATH: &str = "/machines/delete";
 
 /// All machine types of the cloud.
 #[derive(Debug, Deserialize, Serialize)]
@@ -39,7 +39,7 @@
     /// How fast images are fetched.
     #[serde(rename = "fetchGbPerS", deserialize_with = "number")]
     pub fetch_gb_per_s: f64,
-    /// Price of an ordinary machine for an hour.
+    /// Price of an on-demand machine for an hour.
     #[serde(rename = "hourly", deserialize_with = "number")]
     pub hourly_price: f64,
     /// Present price of a spot machine for an hour.
@@ -55,8 +55,8 @@
 
 /// A request to rent machines.
 #[derive(Serialize)]
-pub struct RentRequest<'a> {
-    /// Unique for each rental; the same again rents nothing.
+pub struct ProvisionRequest<'a> {
+    /// Unique for each provisioning request; the same again rents nothing.
     pub booking: &'a str,
     /// The machine type's name.
     #[serde(rename = "flavor")]
@@ -77,7 +77,7 @@
 
 /// A request to delete machines.
 #[derive(Serialize)]
-pub struct DeleteRequest<'a> {
+pub struct TerminateRequest<'a> {
     /// Their names.
     #[serde(rename = "hosts")]
     pub names: &'a [String],
@@ -135,7 +135,7 @@
     pub spot: bool,
     /// Its state, see [`cloud_status`].
     pub status: String,
-    /// Age since the rental request.
+    /// Age since the provisioning request request.
     #[serde(rename = "heldS", default, deserialize_with = "optional_number")]
     pub age_s: Option<f64>,
 }
--- a/src/wire/mod.rs
+++ b/src/wire/mod.rs
@@ -12,8 +12,8 @@
     Redirect, TaskStatus, COMMANDS_PATH, HEARTBEAT_PATH, INSPECT_PATH,
 };
 pub use cloud::{
-    cloud_status, is_no_capacity, DeleteRequest, FencingToken, ListedMachine, MachineList,
-    MachineNames, MachineType, MachineTypes, RentRequest, DELETE_PATH, RENT_PATH,
+    cloud_status, is_no_capacity, FencingToken, ListedMachine, MachineList, MachineNames,
+    MachineType, MachineTypes, ProvisionRequest, TerminateRequest, PROVISION_PATH, TERMINATE_PATH,
 };
 pub use state_service::{
     final_state_reply, Condition, Grant, GrantRequest, KeyChange, KeyValue, Page, Transaction,
--- a/tests/combined_failures.rs
+++ b/tests/combined_failures.rs
@@ -201,7 +201,7 @@
             incarnation: 1,
             serial: 1,
             epoch: 9,
-            reclaim_in_s: None,
+            interruption_in_s: None,
             tasks: vec![],
         });
         sim.ask(l, "POST", "/checkin", body);
--- a/tests/common/agent.rs
+++ b/tests/common/agent.rs
@@ -39,7 +39,7 @@
             incarnation: self.incarnation,
             serial: self.serial,
             epoch: self.epoch,
-            reclaim_in_s: None,
+            interruption_in_s: None,
             tasks: self
                 .tasks
                 .iter()
--- a/tests/common/cloud.rs
+++ b/tests/common/cloud.rs
@@ -19,7 +19,7 @@
 #[derive(Default)]
 pub struct Cloud {
     pub machines: BTreeMap<String, Rented>,
-    pub bookings: HashMap<String, Vec<String>>,
+    pub idempotency_keys: HashMap<String, Vec<String>>,
     pub next: u64,
     pub boot_ms: u64,
     pub most: usize,
@@ -151,7 +151,7 @@
                     .as_integer()
                     .and_then(|i| usize::try_from(i).ok())
                     .unwrap_or(0);
-                if !self.bookings.contains_key(&booking) {
+                if !self.idempotency_keys.contains_key(&booking) {
                     let mut machines = Vec::new();
                     while machines.len() < n && self.machines.len() < self.most {
                         let name = format!("m-{:06}", self.next);
@@ -171,10 +171,10 @@
                         let e = cbor!({"error" => "no capacity"}).expect("value");
                         return (503, wire::encode(&e));
                     }
-                    self.bookings.insert(booking.clone(), machines);
+                    self.idempotency_keys.insert(booking.clone(), machines);
                 }
                 let machines = wire::MachineNames {
-                    names: self.bookings[&booking].clone(),
+                    names: self.idempotency_keys[&booking].clone(),
                 };
                 (200, wire::encode(&machines))
             }
--- a/tests/common/duties.rs
+++ b/tests/common/duties.rs
@@ -187,7 +187,7 @@
     }
 
     /// Machines that are on record to be returned.
-    pub fn returned_machines(&self) -> Vec<String> {
+    pub fn terminated_machines(&self) -> Vec<String> {
         let orders = self
             .state
             .keys
@@ -198,7 +198,7 @@
     }
 
     /// Needs that holders refused.
-    pub fn refused_needs(&self) -> usize {
+    pub fn rejected_requests(&self) -> usize {
         let result = |value: &Value| {
             let result = field(field(value, "phase")?, "completed")?;
             Some(result.as_text()? == "rejected")
@@ -413,7 +413,7 @@
         }
     }
 
-    /// Whether it was decided to return a machine with all that is on it.
+    /// Whether it was decided to terminate a machine with all that is on it.
     fn was_given_up(&self, machine: &str) -> bool {
         let orders = self
             .state
--- a/tests/duties.rs
+++ b/tests/duties.rs
@@ -340,7 +340,11 @@
         sim.submit(node, &long, 40_000);
         sim.run(20_000);
         let works = |name: &String| sim.agents[name].tasks.iter().any(|t| t.state != "ended");
-        let wrong: Vec<String> = sim.returned_machines().into_iter().filter(works).collect();
+        let wrong: Vec<String> = sim
+            .terminated_machines()
+            .into_iter()
+            .filter(works)
+            .collect();
         assert!(wrong.is_empty(), "{wrong:?}\n{}", sim.trace.join("\n"));
         sim.orders = CloudOrders::Answered;
         finish(&mut sim, true);
@@ -360,7 +364,7 @@
     sim.faulty.insert(faulty.clone());
     assert!(sim.until(60_000, |sim| !sim.cloud.machines.contains_key(&faulty)));
     finish(&mut sim, true);
-    assert_eq!(sim.refused_needs(), 0, "{}", sim.trace.join("\n"));
+    assert_eq!(sim.rejected_requests(), 0, "{}", sim.trace.join("\n"));
 }
 
 /// The removal of a result that was taken in is refused: it is tried again soon, not left to
@@ -574,9 +578,10 @@
         assert!(sim.until(60_000, works));
         let machine = sim.agents.keys().next().expect("a machine").clone();
         let delete = cbor!({"machines" => [machine.as_str()], "if_empty" => true}).expect("value");
-        let need = cbor!({"order" => {"delete" => delete}, "phase" => "needed", "since_ms" => 1});
+        let request =
+            cbor!({"order" => {"delete" => delete}, "phase" => "needed", "since_ms" => 1});
         sim.state
-            .put(&format!("g/d/o/{duty}/strange"), need.expect("value"));
+            .put(&format!("g/d/o/{duty}/strange"), request.expect("value"));
         let broken = format!("g/d/o/{duty}/broken");
         sim.state
             .put(&broken, cbor!({"order" => 7}).expect("value"));
@@ -609,8 +614,8 @@
     finish(&mut sim, true);
 }
 
-/// Results that no leader takes in and rentals that nobody wants any more are removed at a
-/// bounded rate; a dry run removes nothing. What returns a machine stays.
+/// Results that no leader takes in and provisioning requests that nobody wants any more are removed at a
+/// bounded rate; a dry run removes nothing. What terminates a machine stays.
 #[test]
 fn records_without_an_owner_are_removed() {
     for dry_run in [false, true] {
@@ -628,9 +633,10 @@
         let order = cbor!({"rent" => kind.expect("value")}).expect("value");
         // Of a duty that rents nothing, so its holder leaves it alone.
         for n in 0..5 {
-            let need =
+            let request =
                 cbor!({"order" => order, "phase" => "needed", "since_ms" => 1}).expect("value");
-            sim.state.put(&format!("g/d/o/clean-state/left-{n}"), need);
+            sim.state
+                .put(&format!("g/d/o/clean-state/left-{n}"), request);
         }
         sim.run(70_000);
         assert_eq!(
@@ -734,19 +740,19 @@
     let duty = duty_lease::Duty::Return;
     let key = OrderKey {
         duty,
-        need: "n".into(),
+        request: "n".into(),
     };
     let name = gaugesill::duties::order_key(&key);
     for phase in 0..2 {
         let mut records = DutyRecords::default();
         records.apply_set(&name, &record(phase).to_value(), 1);
         records.apply_set(&name, &7.into(), 2);
-        assert!(records.needs(duty).is_empty() && records.intents(duty).is_empty());
-        assert!(records.is_returned("m-1"));
+        assert!(records.requests(duty).is_empty() && records.intents(duty).is_empty());
+        assert!(records.is_being_terminated("m-1"));
         assert_eq!(records.unreadable().collect::<Vec<_>>(), [name.as_str()]);
         records.take_changes();
         records.apply_delete(&name, 3);
-        assert!(!records.is_returned("m-1"));
+        assert!(!records.is_being_terminated("m-1"));
         let changes = records.take_changes();
         assert!(
             changes.iter().all(|c| c.before.is_none()),
@@ -772,30 +778,30 @@
         own in prop::collection::vec(any::<bool>(), 30),
         repeats in prop::collection::vec(0usize..30, 0..10),
     ) {
-        let key = |need: u8| OrderKey { duty: duty_lease::Duty::Return, need: need.to_string() };
+        let key = |request: u8| OrderKey { duty: duty_lease::Duty::Return, request: request.to_string() };
         let mut truth = std::collections::BTreeMap::new();
         let mut news = Vec::new();
-        for (index, (need, phase)) in changes.iter().enumerate() {
+        for (index, (request, phase)) in changes.iter().enumerate() {
             let version = index as u64 + 1;
             let value = (*phase < 3).then(|| record(*phase));
-            if value.is_none() && truth.remove(need).is_none() {
+            if value.is_none() && truth.remove(request).is_none() {
                 continue;
             }
             if let Some(value) = &value {
-                truth.insert(*need, value.clone());
+                truth.insert(*request, value.clone());
             }
-            news.push((*need, value, version));
+            news.push((*request, value, version));
         }
         let mut records = DutyRecords::default();
         // Own changes are known as soon as they are made, the latest first.
-        for (index, (need, value, version)) in news.iter().enumerate().rev() {
+        for (index, (request, value, version)) in news.iter().enumerate().rev() {
             if own[index] {
-                records.apply_own(&key(*need), value.clone(), *version);
+                records.apply_own(&key(*request), value.clone(), *version);
             }
         }
-        for (index, (need, value, version)) in news.iter().enumerate() {
-            let name = gaugesill::duties::order_key(&key(*need));
-            let seen = records.order(&key(*need)).map(|(_, version)| version);
+        for (index, (request, value, version)) in news.iter().enumerate() {
+            let name = gaugesill::duties::order_key(&key(*request));
+            let seen = records.order(&key(*request)).map(|(_, version)| version);
             match value {
                 Some(value) => records.apply_set(&name, &value.to_value(), *version),
                 None => records.apply_delete(&name, *version),
@@ -806,18 +812,18 @@
                     records.apply_set(&name, &value.to_value(), *version);
                 }
             }
-            let now = records.order(&key(*need)).map(|(_, version)| version);
+            let now = records.order(&key(*request)).map(|(_, version)| version);
             prop_assert!(now.is_none() || now >= seen);
             // Nor what an own change is known to have replaced or removed.
-            let of_need = news.iter().enumerate().filter(|(i, n)| own[*i] && n.0 == *need);
-            let latest_own = of_need.map(|(_, (_, _, version))| *version).max();
+            let of_request = news.iter().enumerate().filter(|(i, n)| own[*i] && n.0 == *request);
+            let latest_own = of_request.map(|(_, (_, _, version))| *version).max();
             prop_assert!(now.is_none() || now >= latest_own);
         }
-        for need in 0..3u8 {
-            let left = records.order(&key(need)).map(|(record, _)| record.clone());
-            prop_assert_eq!(left, truth.get(&need).cloned());
+        for request in 0..3u8 {
+            let left = records.order(&key(request)).map(|(record, _)| record.clone());
+            prop_assert_eq!(left, truth.get(&request).cloned());
         }
         let open = truth.values().any(|r| !matches!(r.phase, OrderPhase::Completed(_)));
-        prop_assert_eq!(records.is_returned("m-1"), open);
+        prop_assert_eq!(records.is_being_terminated("m-1"), open);
     }
 }
--- a/tests/life.rs
+++ b/tests/life.rs
@@ -528,7 +528,7 @@
 }
 
 /// A leader loses the state service and the other controllers, but not its
-/// agents: it can't keep them under its token beyond what a cancellation
+/// Agents: it can't keep them under its token beyond what a cancellation
 /// leaves it, and nothing runs twice.
 #[test]
 fn a_leader_with_only_its_workers_stops_them_in_time() {
--- a/tests/parts/duties.rs
+++ b/tests/parts/duties.rs
@@ -5,7 +5,7 @@
 
 use crate::support::*;
 use gaugesill::cloud::MachineKind;
-use gaugesill::scheduler::{RentalOutcome, Scheduler, StatusOrigin};
+use gaugesill::scheduler::{ProvisioningOutcome, Scheduler, StatusOrigin};
 use proptest::prelude::*;
 
 /// What the records of duties tell a leader, and what agents report meanwhile.
@@ -15,7 +15,7 @@
     ReturnRefused(usize),
     Returned(usize),
     RentalRecorded(usize),
-    RentalEnded(usize, RentalOutcome),
+    RentalEnded(usize, ProvisioningOutcome),
     Reported(usize),
 }
 
@@ -25,7 +25,7 @@
     format!("m-{index}")
 }
 
-/// The machine that a rental brings.
+/// The machine that a provisioning request brings.
 fn rented_name(rental: usize) -> String {
     format!("r-{rental}")
 }
@@ -34,10 +34,10 @@
     let machine = 0..MACHINES;
     let ends = (0..MACHINES, 0..4u8).prop_map(|(rental, end)| {
         let outcome = match end {
-            0 => RentalOutcome::Rented(vec![rented_name(rental)]),
-            1 => RentalOutcome::Refused,
-            2 => RentalOutcome::Withdrawn,
-            _ => RentalOutcome::Failed,
+            0 => ProvisioningOutcome::Provisioned(vec![rented_name(rental)]),
+            1 => ProvisioningOutcome::Unavailable,
+            2 => ProvisioningOutcome::Cancelled,
+            _ => ProvisioningOutcome::Failed,
         };
         News::RentalEnded(rental, outcome)
     });
@@ -58,7 +58,7 @@
     serial: u64,
     on_record: BTreeSet<String>,
     gone: BTreeSet<String>,
-    open_rentals: BTreeSet<usize>,
+    open_provisioning_requests: BTreeSet<usize>,
     rented: BTreeSet<String>,
 }
 
@@ -70,7 +70,7 @@
             serial: 0,
             on_record: BTreeSet::new(),
             gone: BTreeSet::new(),
-            open_rentals: BTreeSet::new(),
+            open_provisioning_requests: BTreeSet::new(),
             rented: BTreeSet::new(),
         };
         (0..MACHINES).for_each(|index| leader.report(&machine_name(index)));
@@ -90,19 +90,19 @@
             News::ReturnRecorded(index) => {
                 let name = machine_name(index);
                 self.scheduler
-                    .on_return_recorded(std::slice::from_ref(&name));
+                    .on_termination_recorded(std::slice::from_ref(&name));
                 self.on_record.insert(name);
             }
             News::ReturnRefused(index) => {
                 let name = machine_name(index);
                 self.scheduler
-                    .on_return_refused(std::slice::from_ref(&name));
+                    .on_termination_rejected(std::slice::from_ref(&name));
                 self.on_record.remove(&name);
             }
             News::Returned(index) => {
                 let name = machine_name(index);
                 self.scheduler
-                    .on_deleted(std::slice::from_ref(&name), true, self.now);
+                    .on_termination_outcome(std::slice::from_ref(&name), true, self.now);
                 self.on_record.remove(&name);
                 self.gone.insert(name);
             }
@@ -112,20 +112,22 @@
                     zone: "a".into(),
                     spot: false,
                 };
-                let booking = rental.to_string();
-                self.scheduler.adopt_rental(&booking, kind, 1, self.now);
-                self.open_rentals.insert(rental);
+                let idempotency_key = rental.to_string();
+                self.scheduler
+                    .adopt_provisioning(&idempotency_key, kind, 1, self.now);
+                self.open_provisioning_requests.insert(rental);
             }
             News::RentalEnded(rental, outcome) => {
-                let is_open = self.open_rentals.contains(&rental);
-                if is_open && matches!(outcome, RentalOutcome::Rented(_)) {
+                let is_open = self.open_provisioning_requests.contains(&rental);
+                if is_open && matches!(outcome, ProvisioningOutcome::Provisioned(_)) {
                     self.rented.insert(rented_name(rental));
                 }
-                if outcome != RentalOutcome::Failed {
-                    self.open_rentals.remove(&rental);
+                if outcome != ProvisioningOutcome::Failed {
+                    self.open_provisioning_requests.remove(&rental);
                 }
-                let booking = rental.to_string();
-                self.scheduler.on_rental(&booking, outcome, self.now);
+                let idempotency_key = rental.to_string();
+                self.scheduler
+                    .on_provisioning_outcome(&idempotency_key, outcome, self.now);
             }
             News::Reported(index) => self.report(&machine_name(index)),
         }
--- a/tests/parts/reports.rs
+++ b/tests/parts/reports.rs
@@ -23,12 +23,12 @@
         incarnation: 1,
         serial,
         epoch: 2,
-        reclaim_in_s: None,
+        interruption_in_s: None,
         tasks: vec![],
     };
     c.on_agent_status(&report(4), StatusOrigin::Heartbeat, 2000);
     assert!(c.machines.contains_key("m-000001"));
-    c.on_deleted(&["m-000001".to_string()], true, 3000);
+    c.on_termination_outcome(&["m-000001".to_string()], true, 3000);
     c.on_agent_status(&report(5), StatusOrigin::Heartbeat, 90_000);
     assert!(c.machines.is_empty());
 }
@@ -55,7 +55,7 @@
         c.on_agent_status(&r, StatusOrigin::Heartbeat, 1000 + serial);
     };
     let leaves = |c: &Scheduler| -> Vec<bool> {
-        let m = |n| c.machines[&format!("m-{n}")].return_reason.is_some();
+        let m = |n| c.machines[&format!("m-{n}")].termination_reason.is_some();
         (0..4).map(m).collect()
     };
     for id in ["run-000001", "run-000002", "run-000003"] {
@@ -299,7 +299,9 @@
             c.on_read_delay(behind, *now);
             c.tick(*now, 1, 0);
             let effects = c.take_effects();
-            effects.iter().any(|e| matches!(e, Effect::Delete { .. }))
+            effects
+                .iter()
+                .any(|e| matches!(e, Effect::Terminate { .. }))
         })
     };
     let (soon, late) = (lost(0).expect("given up"), lost(3000).expect("given up"));
--- a/tests/parts/returns.rs
+++ b/tests/parts/returns.rs
@@ -26,7 +26,7 @@
     let mut c = busy_machines("8.0");
     let all = |c: &mut Scheduler, n: usize| {
         let effects = c.take_effects();
-        let gone = |e: &Effect| matches!(e, Effect::Delete { machines } if machines.len() == n);
+        let gone = |e: &Effect| matches!(e, Effect::Terminate { machines } if machines.len() == n);
         effects.iter().any(gone)
     };
     c.tick(76_000, 1, 0);
@@ -45,7 +45,9 @@
     (1000..60_000).step_by(200).find(|now| {
         c.tick(*now, 1, 0);
         let effects = c.take_effects();
-        effects.iter().any(|e| matches!(e, Effect::Delete { .. }))
+        effects
+            .iter()
+            .any(|e| matches!(e, Effect::Terminate { .. }))
     })
 }
 
@@ -80,7 +82,7 @@
         for e in c.take_effects() {
             match e {
                 Effect::Write { change, .. } => writes.push(change),
-                Effect::Delete { machines } => panic!("{machines:?} given back at {now}"),
+                Effect::Terminate { machines } => panic!("{machines:?} given back at {now}"),
                 _ => {}
             }
         }
@@ -102,7 +104,9 @@
             64_000 + 400 * n,
         );
         let effects = c.take_effects();
-        effects.iter().any(|e| matches!(e, Effect::Delete { .. }))
+        effects
+            .iter()
+            .any(|e| matches!(e, Effect::Terminate { .. }))
     });
     assert!(back, "then it is idle");
 }
--- a/tests/parts/size.rs
+++ b/tests/parts/size.rs
@@ -124,7 +124,7 @@
     let deletions = |scheduler: &mut Scheduler| -> Vec<Vec<String>> {
         let effects = scheduler.take_effects().into_iter();
         let deletions = effects.filter_map(|effect| match effect {
-            Effect::Delete { machines } => Some(machines),
+            Effect::Terminate { machines } => Some(machines),
             _ => None,
         });
         deletions.collect()
@@ -133,7 +133,7 @@
     let asked = deletions(&mut scheduler);
     assert_eq!(asked.len(), 14);
     for machines in &asked[4..] {
-        scheduler.on_deletion_postponed(machines, 80_000);
+        scheduler.on_termination_postponed(machines, 80_000);
     }
     scheduler.tick(80_400, 1, 0);
     let again = deletions(&mut scheduler);
--- a/tests/parts/snapshots.rs
+++ b/tests/parts/snapshots.rs
@@ -56,7 +56,9 @@
         let d = cycle(c.snapshot(now, 1_000_000));
         c.apply_decision(d, 3, now, 1_000_000);
         let effects = c.take_effects();
-        effects.iter().any(|e| matches!(e, Effect::Rent { .. }))
+        effects
+            .iter()
+            .any(|e| matches!(e, Effect::Provision { .. }))
     };
     assert!(!rents(1500), "the list lags a second");
     assert!(rents(2100));
@@ -79,7 +81,9 @@
         let placed = d.placements.len();
         c.apply_decision(d, 3, now, 1_000_000);
         let effects = c.take_effects();
-        let rents = effects.iter().any(|e| matches!(e, Effect::Rent { .. }));
+        let rents = effects
+            .iter()
+            .any(|e| matches!(e, Effect::Provision { .. }));
         c.on_agent_status(&report("m-1", now, 2), StatusOrigin::Heartbeat, now);
         (placed, rents)
     };
--- a/tests/parts/support.rs
+++ b/tests/parts/support.rs
@@ -118,7 +118,7 @@
         jobs,
         teams: HashMap::from([("t".to_string(), TeamView::default())]),
         now_s: 0.0,
-        ordinary_penalty_s: 10.0,
+        on_demand_penalty_s: 10.0,
     }
 }
 
@@ -201,7 +201,7 @@
         incarnation: 1,
         serial,
         epoch,
-        reclaim_in_s: None,
+        interruption_in_s: None,
         tasks: vec![],
     }
 }
--- a/tests/parts/wire.rs
+++ b/tests/parts/wire.rs
@@ -85,5 +85,5 @@
     let v = cbor!({"host" => "m-000001", "endpoint" => "10.1.0.1:9", "flavor" => "g8",
         "hall" => "a", "tenure" => 1, "serial" => 2, "reclaimInS" => 5, "pieces" => []});
     let r: wire::AgentStatus = wire::decode(&wire::encode(&v.expect("value"))).expect("a report");
-    assert_eq!((r.reclaim_in_s, r.epoch), (Some(5.0), 0));
+    assert_eq!((r.interruption_in_s, r.epoch), (Some(5.0), 0));
 }
--- a/tests/pipelines.rs
+++ b/tests/pipelines.rs
@@ -17,7 +17,7 @@
 use gaugesill::wire;
 
 /// A submission that names others.
-fn needing(mut v: Value, dependencies: &[&str]) -> Value {
+fn depending_on(mut v: Value, dependencies: &[&str]) -> Value {
     if let Value::Map(m) = &mut v {
         let list = dependencies
             .iter()
@@ -29,14 +29,14 @@
 }
 
 fn array(id: &str, tasks: u32, dependencies: &[&str]) -> Value {
-    needing(
+    depending_on(
         submission(id, "sweep", tasks, 2.0, "best_effort"),
         dependencies,
     )
 }
 
 fn gang(id: &str, tasks: u32, dependencies: &[&str]) -> Value {
-    needing(submission(id, "group", tasks, 2.0, "normal"), dependencies)
+    depending_on(submission(id, "group", tasks, 2.0, "normal"), dependencies)
 }
 
 const SPLIT: &str = "run-000001";
@@ -510,7 +510,7 @@
         incarnation: 1,
         serial: 1,
         epoch: 2,
-        reclaim_in_s: None,
+        interruption_in_s: None,
         tasks: vec![wire::TaskStatus {
             task: "run-1/0".into(),
             attempt: 1,
--- a/tests/real/duties.rs
+++ b/tests/real/duties.rs
@@ -42,8 +42,8 @@
 fn until_another_orders(service: &Service, held: u64) {
     wait_for("an order of the successor", || {
         let world = service.world.lock().expect("lock");
-        let of_rent = world.orders.iter().filter(|order| order.duty == "rent");
-        of_rent
+        let of_provisioning = world.orders.iter().filter(|order| order.duty == "rent");
+        of_provisioning
             .filter_map(|order| order.token)
             .any(|token| token > held)
     });
@@ -53,8 +53,8 @@
 /// refused. Returns how many were.
 fn refused_orders(service: &Service, held: u64) -> usize {
     let world = service.world.lock().expect("lock");
-    let of_rent = world.orders.iter().filter(|order| order.duty == "rent");
-    let later = of_rent.skip_while(|order| order.token <= Some(held));
+    let of_provisioning = world.orders.iter().filter(|order| order.duty == "rent");
+    let later = of_provisioning.skip_while(|order| order.token <= Some(held));
     let old: Vec<bool> = later
         .filter(|order| order.token == Some(held))
         .map(|order| order.refused)
--- a/tests/real/world.rs
+++ b/tests/real/world.rs
@@ -335,7 +335,7 @@
             incarnation: 1,
             serial: self.serial,
             epoch: self.epoch,
-            reclaim_in_s: None,
+            interruption_in_s: None,
             tasks: tasks.collect(),
         })
     }
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -668,7 +668,7 @@
         incarnation: 1,
         serial,
         epoch: 2,
-        reclaim_in_s: None,
+        interruption_in_s: None,
         tasks,
     };
     for n in 0..900 {
