--- a/crates/duty-lease/src/lease.rs
+++ b/crates/duty-lease/src/lease.rs
@@ -35,7 +35,7 @@
     /// Ask for a grant of this life.
     CreateGrant {
         /// The life without a renewal.
-        life_ms: u64,
+        ttl_ms: u64,
     },
     /// Take the lease key and raise the token, in one transaction; both keys must still
     /// have these versions.
@@ -314,7 +314,7 @@
         match &self.state {
             State::Following => self.next_request_following(now),
             State::Granting => Some(LeaseRequest::CreateGrant {
-                life_ms: self.timing.life_ms,
+                ttl_ms: self.timing.ttl_ms,
             }),
             State::Acquiring { grant, token } => {
                 let view = self.view.as_ref()?;
@@ -346,7 +346,7 @@
         if stands && self.is_free() {
             self.state = State::Granting;
             return Some(LeaseRequest::CreateGrant {
-                life_ms: self.timing.life_ms,
+                ttl_ms: self.timing.ttl_ms,
             });
         }
         Some(LeaseRequest::Read)
@@ -408,7 +408,7 @@
                 self.on_renewal(response, in_flight.sent_at, now);
             }
             (State::Releasing { .. }, LeaseResponse::Released | LeaseResponse::GrantEnded) => {
-                self.standby_until = now + self.timing.life_ms;
+                self.standby_until = now + self.timing.ttl_ms;
                 self.follow(soon);
             }
             (State::Releasing { .. }, _) => self.next_request_at = soon,
--- a/crates/duty-lease/src/order_book.rs
+++ b/crates/duty-lease/src/order_book.rs
@@ -235,7 +235,7 @@
         let Some(tenure) = self.tenure else {
             return vec![];
         };
-        let timeout_ms = self.timing.life_ms;
+        let timeout_ms = self.timing.ttl_ms;
         let mut requests = Vec::new();
         for entry in self.entries.values_mut() {
             if !entry.is_due(now, timeout_ms) {
--- a/crates/duty-lease/src/timing.rs
+++ b/crates/duty-lease/src/timing.rs
@@ -5,15 +5,15 @@
 /// How far two steady clocks may drift apart, as a share of the time that passes.
 pub const DRIFT: f64 = 0.0005;
 /// Shortest life that the state service gives a grant.
-const LIFE_MIN_MS: u64 = 100;
+const TTL_MIN_MS: u64 = 100;
 /// Longest life that the state service gives a grant.
-const LIFE_MAX_MS: u64 = 600_000;
+const TTL_MAX_MS: u64 = 600_000;
 
 /// The times of a lease.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct LeaseTiming {
     /// How long a grant lives without a renewal.
-    pub life_ms: u64,
+    pub ttl_ms: u64,
     /// The share of the life in which no orders are given any more, so that those on
     /// their way are mostly carried out before another controller can hold the duty.
     pub safety_share: f64,
@@ -26,8 +26,8 @@
 #[derive(Debug, Clone, PartialEq, Error)]
 pub enum TimingError {
     /// The state service gives no grant of such a life.
-    #[error("life_ms: must be from {LIFE_MIN_MS} to {LIFE_MAX_MS}, not {0}")]
-    Life(u64),
+    #[error("life_ms: must be from {TTL_MIN_MS} to {TTL_MAX_MS}, not {0}")]
+    Ttl(u64),
     /// Not a share that leaves time for orders.
     #[error("{field}: must be above 0 and below 0.75, not {value}")]
     Share {
@@ -40,9 +40,9 @@
 
 impl LeaseTiming {
     /// A timing with the usual shares.
-    pub fn new(life_ms: u64) -> LeaseTiming {
+    pub fn new(ttl_ms: u64) -> LeaseTiming {
         LeaseTiming {
-            life_ms,
+            ttl_ms,
             safety_share: 0.25,
             pause_share: 0.1,
         }
@@ -50,8 +50,8 @@
 
     /// Whether it can be used.
     pub fn check(&self) -> Result<(), TimingError> {
-        if !(LIFE_MIN_MS..=LIFE_MAX_MS).contains(&self.life_ms) {
-            return Err(TimingError::Life(self.life_ms));
+        if !(TTL_MIN_MS..=TTL_MAX_MS).contains(&self.ttl_ms) {
+            return Err(TimingError::Ttl(self.ttl_ms));
         }
         let shares = [
             ("safety_share", self.safety_share),
@@ -69,27 +69,27 @@
     /// renewal was sent, on the holder's own clock. That clock may be slow against the
     /// state service's.
     pub fn order_window_ms(&self) -> u64 {
-        let safe_life = self.life_ms as f64 * (1.0 - DRIFT);
-        (safe_life - self.life_ms as f64 * self.safety_share).max(0.0) as u64
+        let safe_ttl_ms = self.ttl_ms as f64 * (1.0 - DRIFT);
+        (safe_ttl_ms - self.ttl_ms as f64 * self.safety_share).max(0.0) as u64
     }
 
     /// How often the grant is renewed.
     pub fn renewal_interval_ms(&self) -> u64 {
-        self.life_ms / 4
+        self.ttl_ms / 4
     }
 
     /// How long an answer of the state service is waited for.
     pub fn answer_timeout_ms(&self) -> u64 {
-        self.life_ms / 4
+        self.ttl_ms / 4
     }
 
     /// Pause before another try.
     pub fn retry_ms(&self) -> u64 {
-        self.life_ms / 20
+        self.ttl_ms / 20
     }
 
     /// A gap between two looks at the clock that counts as a pause.
     pub fn pause_ms(&self) -> u64 {
-        (self.life_ms as f64 * self.pause_share) as u64
+        (self.ttl_ms as f64 * self.pause_share) as u64
     }
 }
--- a/crates/duty-lease/tests/model.rs
+++ b/crates/duty-lease/tests/model.rs
@@ -6,7 +6,7 @@
 
 use duty_lease::{DutyLease, HolderKey, LeaseRequest, LeaseResponse, LeaseTiming, LeaseView};
 
-const LIFE_MS: u64 = 1000;
+const TTL_MS: u64 = 1000;
 const STEP_MS: u64 = 100;
 const HORIZON: u64 = 26;
 const TROUBLES: u8 = 2;
@@ -66,15 +66,15 @@
                 token: self.token,
                 token_version: self.token,
             }),
-            LeaseRequest::CreateGrant { life_ms } => {
+            LeaseRequest::CreateGrant { ttl_ms } => {
                 self.revision += 1;
-                self.grants.push((self.revision, now + life_ms));
+                self.grants.push((self.revision, now + ttl_ms));
                 LeaseResponse::Granted(self.revision)
             }
             LeaseRequest::Renew { grant } => {
                 match self.grants.iter_mut().find(|(id, _)| id == grant) {
                     Some(found) => {
-                        found.1 = now + LIFE_MS;
+                        found.1 = now + TTL_MS;
                         LeaseResponse::Renewed
                     }
                     None => LeaseResponse::GrantEnded,
@@ -115,7 +115,7 @@
         let timing = LeaseTiming {
             // A step is no pause.
             pause_share: 0.15,
-            ..LeaseTiming::new(LIFE_MS)
+            ..LeaseTiming::new(TTL_MS)
         };
         Model {
             step: 1,
@@ -141,7 +141,7 @@
                 model.troubles_left = model.troubles_left.checked_sub(1)?;
             }
             if matches!(choice, Choice::Pause) && model.paused[index] == 0 {
-                model.paused[index] = LIFE_MS / STEP_MS + 2;
+                model.paused[index] = TTL_MS / STEP_MS + 2;
             }
             if model.paused[index] > 0 {
                 model.paused[index] -= 1;
--- a/crates/duty-lease/tests/properties.rs
+++ b/crates/duty-lease/tests/properties.rs
@@ -8,7 +8,7 @@
 };
 use proptest::prelude::*;
 
-const LIFE_MS: u64 = 1000;
+const TTL_MS: u64 = 1000;
 
 /// What may happen to a lease.
 #[derive(Debug, Clone)]
@@ -93,7 +93,7 @@
     /// and after the last pause or leap; tokens only rise.
     #[test]
     fn orders_need_a_recent_confirmed_renewal(steps in steps()) {
-        let timing = LeaseTiming::new(LIFE_MS);
+        let timing = LeaseTiming::new(TTL_MS);
         let mut lease = DutyLease::new("c0", timing);
         let mut now = 100_000u64;
         let mut last_seen = now;
@@ -123,7 +123,7 @@
                 Step::Silence => {
                     in_flight = None;
                     for _ in 0..40 {
-                        now += LIFE_MS / 30;
+                        now += TTL_MS / 30;
                         lease.tick(now);
                         let in_time = renewed_at
                             .is_some_and(|at| now < at + timing.order_window_ms());
@@ -172,7 +172,7 @@
     /// under the token at hand, and is completed only after it was carried out.
     #[test]
     fn orders_follow_their_intents(outcomes in prop::collection::vec(0..6u8, 0..300)) {
-        let mut book = OrderBook::new(Duty::Rent, LeaseTiming::new(LIFE_MS));
+        let mut book = OrderBook::new(Duty::Rent, LeaseTiming::new(TTL_MS));
         book.on_gained(5, WriteGuard { holder_version: 9 });
         let requests: Vec<ScalingRequest> = (0..20).map(request).collect();
         let mut recorded = BTreeSet::new();
@@ -241,8 +241,8 @@
 #[test]
 fn timings_are_checked() {
     assert_eq!(LeaseTiming::new(3000).check(), Ok(()));
-    for life_ms in [0, 99, 600_001] {
-        let error = LeaseTiming::new(life_ms)
+    for ttl_ms in [0, 99, 600_001] {
+        let error = LeaseTiming::new(ttl_ms)
             .check()
             .expect_err("too short or long");
         assert!(error.to_string().starts_with("life_ms: "), "{error}");
@@ -262,7 +262,7 @@
 #[test]
 fn an_unanswered_acquisition_is_read() {
     for found in [true, false] {
-        let mut lease = DutyLease::new("c0", LeaseTiming::new(LIFE_MS));
+        let mut lease = DutyLease::new("c0", LeaseTiming::new(TTL_MS));
         let mut now = 1;
         let mut next = |lease: &mut DutyLease| loop {
             now += 10;
--- a/crates/duty-lease/tests/simulation/main.rs
+++ b/crates/duty-lease/tests/simulation/main.rs
@@ -10,10 +10,10 @@
 use duty_lease::Duty;
 use provider::Fence;
 use rand::Rng;
-use world::{World, LIFE_MS};
+use world::{World, TTL_MS};
 
 /// How long everything has to be settled in after the last trouble.
-const SETTLE_MS: u64 = 12 * LIFE_MS;
+const SETTLE_MS: u64 = 12 * TTL_MS;
 const FENCES: [Fence; 2] = [Fence::Token, Fence::Names];
 
 fn assert_sound(world: &World, what: &str) -> Summary {
@@ -34,7 +34,7 @@
 /// Causes a random trouble, and ends others.
 fn trouble(world: &mut World, clocks_leap: bool) {
     let index = world.rng.random_range(0..3);
-    let span_ms = world.rng.random_range(LIFE_MS / 10..3 * LIFE_MS);
+    let span_ms = world.rng.random_range(TTL_MS / 10..3 * TTL_MS);
     let was_out = world.troubles.state_is_out;
     world.troubles.state_is_out = false;
     if was_out {
@@ -49,12 +49,10 @@
         4 => world.troubles.state_refuses = Some(index),
         5 => world.troubles.lost_percent = world.rng.random_range(0..40),
         6 => world.troubles.provider_lost_percent = world.rng.random_range(0..60),
-        7 => world.troubles.state_delay_ms = world.rng.random_range(0..LIFE_MS / 4),
+        7 => world.troubles.state_delay_ms = world.rng.random_range(0..TTL_MS / 4),
         8 => world.troubles = Default::default(),
         9 => {
-            let by_ms = world
-                .rng
-                .random_range(-(LIFE_MS as i64)..4 * LIFE_MS as i64);
+            let by_ms = world.rng.random_range(-(TTL_MS as i64)..4 * TTL_MS as i64);
             world.leap_clock(index, by_ms);
         }
         _ => {
@@ -72,9 +70,9 @@
 fn troubled_run(seed: u64, fence: Fence, clocks_leap: bool) -> Summary {
     let what = format!("seed {seed}, {fence:?}, clocks leap: {clocks_leap}");
     let mut world = World::new(seed, fence);
-    world.run(2 * LIFE_MS);
+    world.run(2 * TTL_MS);
     for _ in 0..25 {
-        let until_next_ms = world.rng.random_range(LIFE_MS / 10..LIFE_MS);
+        let until_next_ms = world.rng.random_range(TTL_MS / 10..TTL_MS);
         world.run(until_next_ms);
         trouble(&mut world, clocks_leap);
     }
@@ -128,12 +126,12 @@
     let mut refused = 0;
     for seed in 0..40 {
         let mut world = World::new(seed, Fence::Token);
-        world.run(3 * LIFE_MS + 37 * seed);
+        world.run(3 * TTL_MS + 37 * seed);
         let Some(holder) = world.holder(Duty::Return) else {
             continue;
         };
-        world.pause(holder, 2 * LIFE_MS + 100 * seed, true);
-        world.run(6 * LIFE_MS);
+        world.pause(holder, 2 * TTL_MS + 100 * seed, true);
+        world.run(6 * TTL_MS);
         let what = format!("seed {seed}");
         refused += assert_sound(&world, &what).refused;
         settle(&mut world, &what);
@@ -148,16 +146,16 @@
     for fence in FENCES {
         for moment in 0..60 {
             let mut world = World::new(7, fence);
-            world.run(2 * LIFE_MS + 40 * moment);
+            world.run(2 * TTL_MS + 40 * moment);
             if let Some(holder) = world.holder(Duty::Rent) {
                 world.crash(holder);
-                world.run(if moment % 2 == 0 { 200 } else { 2 * LIFE_MS });
+                world.run(if moment % 2 == 0 { 200 } else { 2 * TTL_MS });
                 world.start(holder);
             }
             if moment % 5 == 0 {
                 (0..3).for_each(|i| world.start(i));
             }
-            world.run(4 * LIFE_MS);
+            world.run(4 * TTL_MS);
             let what = format!("moment {moment}, {fence:?}");
             settle(&mut world, &what);
             assert_sound(&world, &what);
@@ -170,7 +168,7 @@
 #[test]
 fn ten_orderly_changes_of_hands() {
     let mut world = World::new(3, Fence::Token);
-    world.run(2 * LIFE_MS);
+    world.run(2 * TTL_MS);
     let mut longest_ms = 0;
     for _ in 0..10 {
         let Some(holder) = world.holder(Duty::Rent) else {
@@ -181,13 +179,13 @@
         let taken_over = |world: &World| world.holder(Duty::Rent).is_some_and(|h| h != holder);
         while !taken_over(&world) {
             world.run(20);
-            assert!(world.now < released_at + 2 * LIFE_MS, "nobody takes over");
+            assert!(world.now < released_at + 2 * TTL_MS, "nobody takes over");
         }
         longest_ms = longest_ms.max(world.now - released_at);
         world.set_wanted(holder, Duty::Rent, true);
-        world.run(4 * LIFE_MS);
+        world.run(4 * TTL_MS);
     }
-    assert!(longest_ms < LIFE_MS, "{longest_ms}");
+    assert!(longest_ms < TTL_MS, "{longest_ms}");
     settle(&mut world, "ten changes");
     assert_sound(&world, "ten changes");
 }
@@ -198,10 +196,10 @@
 fn a_holder_refused_alone_stops_in_time() {
     for seed in 0..20 {
         let mut world = World::new(seed, Fence::Names);
-        world.run(2 * LIFE_MS);
+        world.run(2 * TTL_MS);
         let holder = world.holder(Duty::Rent);
         world.troubles.state_refuses = holder;
-        world.run(4 * LIFE_MS);
+        world.run(4 * TTL_MS);
         let what = format!("seed {seed}");
         assert_ne!(world.effective_holder(Duty::Rent), holder, "{what}");
         settle(&mut world, &what);
@@ -216,11 +214,11 @@
 fn a_holder_refused_alone_and_then_an_outage() {
     for seed in 0..20 {
         let mut world = World::new(seed, Fence::Names);
-        world.run(2 * LIFE_MS);
+        world.run(2 * TTL_MS);
         world.troubles.state_refuses = world.holder(Duty::Return);
-        world.run(LIFE_MS / 3 + 50 * seed);
+        world.run(TTL_MS / 3 + 50 * seed);
         world.troubles.state_is_out = true;
-        world.run(3 * LIFE_MS);
+        world.run(3 * TTL_MS);
         world.troubles.state_is_out = false;
         let now = world.now;
         world.store.refresh(now);
--- a/crates/duty-lease/tests/simulation/store.rs
+++ b/crates/duty-lease/tests/simulation/store.rs
@@ -70,10 +70,9 @@
         }
     }
 
-    pub fn create_grant(&mut self, life_ms: u64, now: u64) -> u64 {
+    pub fn create_grant(&mut self, ttl_ms: u64, now: u64) -> u64 {
         self.next_grant += 1;
-        self.grants
-            .insert(self.next_grant, (now + life_ms, life_ms));
+        self.grants.insert(self.next_grant, (now + ttl_ms, ttl_ms));
         self.next_grant
     }
 
--- a/crates/duty-lease/tests/simulation/world.rs
+++ b/crates/duty-lease/tests/simulation/world.rs
@@ -14,7 +14,7 @@
 use crate::provider::{Fence, Provider};
 use crate::store::{Store, Transaction, TransactionOutcome, Value, Write};
 
-pub const LIFE_MS: u64 = 3000;
+pub const TTL_MS: u64 = 3000;
 const STEP_MS: u64 = 20;
 const READ_MS: u64 = 200;
 const MACHINES_WANTED: usize = 4;
@@ -200,7 +200,7 @@
         controller.view = Snapshot::default();
         controller.next_read_at = 0;
         let name = format!("c{index}");
-        let timing = LeaseTiming::new(LIFE_MS);
+        let timing = LeaseTiming::new(TTL_MS);
         let lease = |duty| (duty, DutyLease::new(&name, timing));
         controller.leases = DUTIES.into_iter().map(lease).collect();
         let book = |duty| (duty, OrderBook::new(duty, timing));
@@ -455,7 +455,7 @@
         let lost = self.rng.random_range(0..100) < self.troubles.lost_percent;
         let late = lost && self.rng.random_bool(0.5);
         let after_ms = if late {
-            delay_ms + self.rng.random_range(LIFE_MS / 4..2 * LIFE_MS)
+            delay_ms + self.rng.random_range(TTL_MS / 4..2 * TTL_MS)
         } else {
             delay_ms
         };
@@ -587,7 +587,7 @@
                 id,
                 outcome,
             };
-            self.send(LIFE_MS / 4, answer);
+            self.send(TTL_MS / 4, answer);
             if self.rng.random_bool(0.5) {
                 let copy = Message::ToProvider {
                     from,
@@ -596,7 +596,7 @@
                     order,
                     token,
                 };
-                let delay_ms = self.rng.random_range(LIFE_MS / 2..4 * LIFE_MS);
+                let delay_ms = self.rng.random_range(TTL_MS / 2..4 * TTL_MS);
                 self.send(delay_ms, copy);
             }
             return;
@@ -652,8 +652,8 @@
         let (lease_key, token_key) = (key("lease", duty), key("token", duty));
         match request {
             LeaseRequest::Read => LeaseResponse::View(self.lease_view(duty)),
-            LeaseRequest::CreateGrant { life_ms } => {
-                LeaseResponse::Granted(self.store.create_grant(life_ms, self.now))
+            LeaseRequest::CreateGrant { ttl_ms } => {
+                LeaseResponse::Granted(self.store.create_grant(ttl_ms, self.now))
             }
             LeaseRequest::Renew { grant } => match self.store.renew(grant, self.now) {
                 true => LeaseResponse::Renewed,
--- a/examples/duties.rs
+++ b/examples/duties.rs
@@ -14,7 +14,7 @@
 use hdrhistogram::Histogram;
 
 /// Life of a duty's lease with the settings of the tests.
-const LIFE_MS: u64 = 7200;
+const TTL_MS: u64 = 7200;
 /// Longest time that is measured.
 const LONGEST_MS: u64 = 120_000;
 /// How much later each further run begins.
@@ -97,7 +97,7 @@
     const DUTIES: [&str; 4] = ["rent", "return", "reclaim-idle", "clean-state"];
     let mut sim = service(Mode::Holder, run);
     let away = renting(&sim, Mode::Holder);
-    sim.crash(away, 3 * LIFE_MS);
+    sim.crash(away, 3 * TTL_MS);
     let is_spread = |sim: &Sim| sim.are_duties_held() && sim.are_all_awake();
     sim.until(LONGEST_MS, is_spread);
     let mut free_since: Option<(&str, u64)> = None;
@@ -121,8 +121,8 @@
     Histogram::new_with_bounds(1, LONGEST_MS, 3).expect("valid bounds")
 }
 
-fn in_lives(times: &Histogram<u64>) -> String {
-    let ratio = |ms: u64| ms as f64 / LIFE_MS as f64;
+fn in_ttls(times: &Histogram<u64>) -> String {
+    let ratio = |ms: u64| ms as f64 / TTL_MS as f64;
     let median = times.value_at_quantile(0.5);
     format!(
         "{:.2} lives (median, {median} ms), {:.2} (90%), {:.2} (longest)",
@@ -168,7 +168,7 @@
 fn main() {
     let runs = std::env::args().nth(1).and_then(|text| text.parse().ok());
     let runs: u64 = runs.unwrap_or(40);
-    println!("{runs} runs each, a lease of {LIFE_MS} ms, three controllers, simulated");
+    println!("{runs} runs each, a lease of {TTL_MS} ms, three controllers, simulated");
     let cases = [
         (Mode::Leader, Trouble::None),
         (Mode::Holder, Trouble::None),
@@ -186,10 +186,10 @@
         }
         println!(
             "{mode:?}, {trouble:?}: shortage to rental {}",
-            in_lives(&to_provisioning)
+            in_ttls(&to_provisioning)
         );
         if mode == Mode::Holder && trouble != Trouble::None {
-            println!("  without a holder {}", in_lives(&without_holder));
+            println!("  without a holder {}", in_ttls(&without_holder));
         }
     }
     let mut handovers = histogram();
@@ -199,7 +199,7 @@
     println!(
         "{} orderly handovers: without a holder {}",
         handovers.len(),
-        in_lives(&handovers)
+        in_ttls(&handovers)
     );
     costs(Mode::Leader);
     costs(Mode::Holder);
--- a/examples/size.rs
+++ b/examples/size.rs
@@ -172,7 +172,7 @@
         });
     }
 
-    /// All machines come up, and more work than there is room for is there.
+    /// All machines come up, and more work than there is capacity for is there.
     fn begin(&mut self) {
         let listed = self.listed();
         self.scheduler.on_machine_list(&listed, 1, 1);
--- a/src/cloud.rs
+++ b/src/cloud.rs
@@ -73,7 +73,7 @@
     })
 }
 
-/// Machines on their way, or to be rented now, with the same room left.
+/// Machines on their way, or to be rented now, with the same capacity left.
 #[derive(Debug, Clone, Copy)]
 struct MachineGroup {
     /// The index of the offer.
@@ -86,7 +86,7 @@
 #[derive(Clone)]
 struct ScaleOutPlan {
     groups: Vec<MachineGroup>,
-    /// Offers with how many machines, in the order of the demands that they are for.
+    /// Offerings with how many machines, in the order of the demands that they are for.
     machines: Vec<(usize, u64)>,
     total: u64,
     price: f64,
@@ -149,7 +149,7 @@
     /// Its index.
     index: usize,
     per_task: Resources,
-    /// Offers that it may use.
+    /// Offerings that it may use.
     allowed: Vec<bool>,
     /// Tasks without a place.
     left: u32,
--- a/src/dependencies.rs
+++ b/src/dependencies.rs
@@ -17,7 +17,7 @@
     },
     /// Over.
     Over(FinalState),
-    /// Neither in the replica nor remembered: to be looked up.
+    /// Neither in the watch cache nor remembered: to be looked up.
     Unknown,
 }
 
--- a/src/duties/records.rs
+++ b/src/duties/records.rs
@@ -1,4 +1,4 @@
-//! The records of duties in the state service, and the replica of them.
+//! The records of duties in the state service, and the watch cache of them.
 //!
 //! An order is one key that goes through three phases: the leader writes that it is
 //! *needed*, the holder of the duty *records* the order before it sends it, and the record
@@ -116,7 +116,7 @@
     }
 }
 
-/// An order as the replica has it.
+/// An order as the watch cache has it.
 #[derive(Debug, Clone)]
 struct StoredOrder {
     record: OrderRecord,
@@ -348,7 +348,7 @@
             is_stale: false,
         };
         let before = self.orders.insert(key.clone(), stored);
-        self.note_change(key, before, Some(record));
+        self.record_change(key, before, Some(record));
     }
 
     fn set_stale(&mut self, key: &OrderKey, version: u64) {
@@ -369,7 +369,7 @@
         if let Some(stored) = &before {
             self.remove_terminations(key, &stored.record);
         }
-        self.note_change(key.clone(), before, None);
+        self.record_change(key.clone(), before, None);
     }
 
     fn index_terminations(&mut self, key: &OrderKey, record: &OrderRecord) {
@@ -394,7 +394,7 @@
         }
     }
 
-    fn note_change(
+    fn record_change(
         &mut self,
         key: OrderKey,
         before: Option<StoredOrder>,
--- a/src/fleet_capacity.rs
+++ b/src/fleet_capacity.rs
@@ -27,30 +27,30 @@
 
 /// A grant and the number of machines that it suffices for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct GrantCapacity {
+pub struct LimitCapacity {
     /// The setting.
-    pub grant: &'static str,
+    pub limit: &'static str,
     /// What falls short beyond the number.
-    pub need: &'static str,
+    pub limited: &'static str,
     /// About so many machines.
     pub machines: usize,
 }
 
-impl fmt::Display for GrantCapacity {
+impl fmt::Display for LimitCapacity {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let GrantCapacity {
-            grant,
-            need,
+        let LimitCapacity {
+            limit,
+            limited,
             machines,
         } = self;
         write!(
             f,
-            "{grant} suffices for {need} of about {machines} machines"
+            "{limit} suffices for {limited} of about {machines} machines"
         )
     }
 }
 
-impl GrantCapacity {
+impl LimitCapacity {
     /// Whether a fleet of this size comes near it.
     pub fn is_near(&self, machines: usize) -> bool {
         machines as f64 >= self.machines as f64 * WARNING_SHARE
@@ -58,7 +58,7 @@
 }
 
 /// What each grant suffices for, the least first.
-pub fn grant_capacities(cluster: &ClusterSettings) -> Vec<GrantCapacity> {
+pub fn limit_capacities(cluster: &ClusterSettings) -> Vec<LimitCapacity> {
     let (workers, limits) = (&cluster.workers, &cluster.limits);
     let heartbeats = limits.cpu_share * HEARTBEAT_SHARE * workers.report_s / HEARTBEAT_CORE_S;
     let takeover_s = workers.lease_s * TAKEOVER_LEASE_SHARE;
@@ -66,9 +66,9 @@
     let memory_bytes = limits.memory_part(MACHINES_MEMORY_SHARE) as f64;
     let deletion_s = workers.lease_s * DELETION_LEASE_SHARE;
     let deleted = cluster.cloud.rps * deletion_s * DELETED_AT_ONCE;
-    let capacity = |grant, need, machines: f64| GrantCapacity {
-        grant,
-        need,
+    let capacity = |limit, limited, machines: f64| LimitCapacity {
+        limit,
+        limited,
         machines: machines as usize,
     };
     let mut capacities = vec![
--- a/src/job.rs
+++ b/src/job.rs
@@ -43,7 +43,7 @@
     /// The class that the job belongs to.
     #[serde(rename = "c")]
     pub class: String,
-    /// The team whose guarantee and limit apply.
+    /// The team whose nominal quota and limit apply.
     #[serde(rename = "t")]
     pub team: String,
     /// How its tasks belong together.
@@ -93,7 +93,7 @@
     pub checkpoint_interval_s: f64,
     /// Time that a task needs to save when it is stopped.
     #[serde(rename = "sv", deserialize_with = "crate::wire::number")]
-    pub save_s: f64,
+    pub checkpoint_grace_s: f64,
     /// When the job should be done, from its submission.
     #[serde(rename = "d", default, skip_serializing_if = "Option::is_none")]
     pub deadline_s: Option<f64>,
--- a/src/leader_lease.rs
+++ b/src/leader_lease.rs
@@ -8,17 +8,17 @@
 use crate::time_units::to_ms;
 
 /// Longest life of a grant, as a share of an agent's lease.
-const LIFE_SHARE_MAX: f64 = 0.25;
+const TTL_SHARE_MAX: f64 = 0.25;
 /// Shortest life that the state service gives a grant.
-const LIFE_MIN_MS: u64 = 100;
+const TTL_MIN_MS: u64 = 100;
 
 /// How long a leader's grant lives without a renewal.
-pub fn lease_life_ms(cluster: &ClusterSettings, operator: &OperatorSettings) -> u64 {
+pub fn leader_lease_ttl_ms(cluster: &ClusterSettings, operator: &OperatorSettings) -> u64 {
     let lease_s = cluster.workers.lease_s;
-    let life = (lease_s * operator.leader_life_share)
+    let ttl = (lease_s * operator.leader_life_share)
         .max(cluster.limits.stall_s())
-        .min(lease_s * LIFE_SHARE_MAX);
-    to_ms(life)
+        .min(lease_s * TTL_SHARE_MAX);
+    to_ms(ttl)
 }
 
 /// Changes of the transaction that raises the fence.
@@ -102,7 +102,7 @@
 pub struct LeaderLease {
     member: String,
     /// How long a grant lives without a renewal.
-    pub life_ms: u64,
+    pub ttl_ms: u64,
     /// Where this controller stands.
     pub state: LeaseState,
     /// When the request in flight was sent.
@@ -119,10 +119,10 @@
 impl LeaderLease {
     /// A controller that follows. `writes_max`: most changes of a transaction, now and
     /// under limits to come.
-    pub fn new(member: &str, life_ms: u64, writes_max: usize) -> LeaderLease {
+    pub fn new(member: &str, ttl_ms: u64, writes_max: usize) -> LeaderLease {
         LeaderLease {
             member: member.to_string(),
-            life_ms: life_ms.max(LIFE_MIN_MS),
+            ttl_ms: ttl_ms.max(TTL_MIN_MS),
             state: LeaseState::Following,
             sent_at: None,
             renewed_at: 0,
@@ -143,7 +143,7 @@
     /// Whether it leads and the grant can't have ended, even on a clock that drifts.
     pub fn is_certain(&self, now: u64) -> bool {
         let leads = matches!(self.state, LeaseState::Leading { .. });
-        leads && now < self.renewed_at + self.life_ms * 9 / 10
+        leads && now < self.renewed_at + self.ttl_ms * 9 / 10
     }
 
     /// The next request, if it is time for one.
@@ -164,7 +164,7 @@
                 let another = |key: &(LeaderKey, u64)| key.0.member != self.member;
                 if replica.leader().is_some_and(another) {
                     self.state = LeaseState::Following;
-                    let pause = self.life_ms as f64 * (0.1 + 0.1 * jitter);
+                    let pause = self.ttl_ms as f64 * (0.1 + 0.1 * jitter);
                     self.next_request_at = now + pause as u64;
                     return Some(LeaseRequest::Revoke(grant));
                 }
@@ -188,7 +188,7 @@
     /// Takes in the response to the last request. True if leadership began or ended.
     pub fn on_response(&mut self, now: u64, response: LeaseResponse) -> bool {
         let sent_at = self.sent_at.take().unwrap_or(now);
-        let soon = now + self.life_ms / 20;
+        let soon = now + self.ttl_ms / 20;
         match (self.state, response) {
             (LeaseState::Granting, LeaseResponse::Granted(grant)) => {
                 self.state = LeaseState::Electing { grant };
@@ -201,17 +201,17 @@
                     epoch,
                     version,
                 };
-                self.next_request_at = now + self.life_ms / 4;
+                self.next_request_at = now + self.ttl_ms / 4;
                 return true;
             }
-            // The replica may lag: try again shortly. The grant runs out.
+            // The watch cache may lag: try again shortly. The grant runs out.
             (LeaseState::Electing { .. }, _) => {
                 self.state = LeaseState::Following;
                 self.next_request_at = soon;
             }
             (LeaseState::Leading { .. }, LeaseResponse::Renewed) => {
                 self.renewed_at = self.renewed_at.max(sent_at);
-                self.next_request_at = sent_at + self.life_ms / 4;
+                self.next_request_at = sent_at + self.ttl_ms / 4;
             }
             (LeaseState::Leading { .. }, LeaseResponse::Lost) => {
                 self.state = LeaseState::Following;
@@ -233,7 +233,7 @@
         Some(LeaseRequest::Revoke(grant))
     }
 
-    /// The keys have changed in the replica. True if that ended leadership: the key is
+    /// The keys have changed in the watch cache. True if that ended leadership: the key is
     /// another's, or gone.
     pub fn on_replica_change(&mut self, replica: &Replica) -> bool {
         let LeaseState::Leading { version, .. } = self.state else {
--- a/src/machine.rs
+++ b/src/machine.rs
@@ -14,13 +14,13 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TaskPhase {
     /// Waits for its image.
-    Fetching,
+    PullingImage,
     /// Waits for the other tasks of its gang.
-    Waiting,
+    AwaitingGang,
     /// Runs.
     Running,
     /// Was told to stop and saves.
-    Saving,
+    Checkpointing,
     /// Has exited and was not cleared yet.
     Exited(ExitCause),
 }
@@ -33,7 +33,7 @@
     /// Stopped by a command.
     Stopped {
         /// Its progress was saved.
-        kept: bool,
+        checkpointed: bool,
     },
     /// Another task of its gang is gone.
     GangMemberLost,
@@ -42,7 +42,7 @@
     /// It failed.
     Error,
     /// Refused: not enough free resources.
-    NoRoom,
+    InsufficientCapacity,
     /// Refused: the task is there with another attempt.
     InUse,
     /// Refused: the agent knows no such task.
@@ -233,7 +233,7 @@
     /// There were no orphans at the last look, and neither list has changed since in a
     /// way that could make one.
     has_no_orphans: bool,
-    /// Room that is held for gangs whose victims are still leaving.
+    /// Capacity that is held for gangs whose victims are still leaving.
     pub reservations: Vec<Reservation>,
     /// When the cloud takes it back, on the steady clock.
     pub interruption_deadline: Option<u64>,
@@ -246,7 +246,7 @@
     /// Since when it could have had work and had none.
     pub idle_since: Option<u64>,
     /// When a gang that still lacks other machines would last have used it.
-    pub wanted_at: u64,
+    pub needed_at: u64,
     /// Its images, the most recently used last.
     pub images: Vec<CachedImage>,
     /// It gets no new tasks, and is returned once it is empty or silent.
@@ -304,7 +304,7 @@
             known_since: now,
             up_since: None,
             idle_since: None,
-            wanted_at: 0,
+            needed_at: 0,
             images: vec![],
             termination_reason: None,
             termination_sent_at: None,
--- a/src/main.rs
+++ b/src/main.rs
@@ -5,7 +5,7 @@
 
 use clap::{Parser, Subcommand};
 use gaugesill::duties::{read_report, QueryError};
-use gaugesill::fleet_capacity::grant_capacities;
+use gaugesill::fleet_capacity::limit_capacities;
 use gaugesill::settings::{OperatorSettings, Settings, SettingsError};
 use thiserror::Error;
 use tracing_subscriber::filter::LevelFilter;
@@ -99,7 +99,7 @@
     operator.check_against(&settings)?;
     if args.check {
         println!("settings are fine");
-        for capacity in grant_capacities(&settings.cluster) {
+        for capacity in limit_capacities(&settings.cluster) {
             println!("{capacity}");
         }
         return Ok(());
--- a/src/mesh.rs
+++ b/src/mesh.rs
@@ -29,7 +29,7 @@
     /// Jobs that it has lately told users to be cancelled, for a leader that the state
     /// service does not answer.
     #[prost(string, repeated, tag = "6")]
-    pub told_cancelled: Vec<String>,
+    pub acknowledged_cancellations: Vec<String>,
     /// The latest format that its version knows; 0 for the one in production.
     #[prost(uint64, tag = "7")]
     pub known_format: u64,
--- a/src/net/connection.rs
+++ b/src/net/connection.rs
@@ -8,7 +8,7 @@
 use super::Listener;
 
 /// The part of a connection that another side has opened.
-pub(super) struct ServerPart {
+pub(super) struct ServerState {
     pub listener: Listener,
     /// It has brought an agent's report.
     pub agent: bool,
@@ -21,7 +21,7 @@
 }
 
 /// The part of a connection that we have opened.
-pub(super) struct ClientPart {
+pub(super) struct ClientState {
     pub address: SocketAddr,
     /// The tag of the call in progress.
     pub call: Option<u64>,
@@ -30,8 +30,8 @@
 
 /// Who opened a connection.
 pub(super) enum Role {
-    Server(ServerPart),
-    Client(ClientPart),
+    Server(ServerState),
+    Client(ClientState),
 }
 
 /// A connection.
@@ -44,7 +44,7 @@
     pub sent: usize,
     /// The connection has come about.
     pub open: bool,
-    /// The poll tells when there is room to write.
+    /// The poll tells when there is capacity to write.
     pub watches_writable: bool,
     /// Expected to serve many requests.
     pub lasting: bool,
@@ -60,7 +60,7 @@
 impl Connection {
     /// A connection that was accepted.
     pub fn accepted(socket: TcpStream, listener: Listener, now: Instant) -> Connection {
-        let role = Role::Server(ServerPart {
+        let role = Role::Server(ServerState {
             listener,
             agent: false,
             busy: false,
@@ -73,14 +73,14 @@
     /// A connection that is being made, to send `output`.
     pub fn opening(
         socket: TcpStream,
-        part: ClientPart,
+        state: ClientState,
         output: Vec<u8>,
         lasting: bool,
         now: Instant,
     ) -> Connection {
         Connection {
             lasting,
-            ..Connection::new(socket, Role::Client(part), output, false, now)
+            ..Connection::new(socket, Role::Client(state), output, false, now)
         }
     }
 
@@ -103,11 +103,11 @@
 
     /// A request that was passed on and not answered yet.
     pub fn is_busy(&self) -> bool {
-        matches!(&self.role, Role::Server(part) if part.busy)
+        matches!(&self.role, Role::Server(state) if state.busy)
     }
 
     /// Its answer was its last.
     pub fn is_to_close(&self) -> bool {
-        matches!(&self.role, Role::Server(part) if part.close && !part.busy)
+        matches!(&self.role, Role::Server(state) if state.close && !state.busy)
     }
 }
--- a/src/net/event_loop.rs
+++ b/src/net/event_loop.rs
@@ -10,7 +10,7 @@
 use mio::{Events, Interest, Poll, Token, Waker};
 
 use super::connection::{Connection, Role};
-use super::idlest::{IdleConnection, IdlestConnections};
+use super::lru_connections::{IdleConnection, LruConnections};
 use super::{Event, Listener, Outcome, BODY_MAX, HEAD_MAX, REPLY_HEAD_MAX};
 
 const READ_MAX: usize = 16 * 1024;
@@ -97,8 +97,8 @@
     buffer: Box<[u8]>,
     /// Connections with a call in progress.
     pub(super) calling: BTreeSet<usize>,
-    idlest_servers: IdlestConnections,
-    pub(super) idlest_clients: IdlestConnections,
+    lru_servers: LruConnections,
+    pub(super) lru_clients: LruConnections,
     swept_at: Instant,
     pub(super) idle_swept_at: Instant,
 }
@@ -150,8 +150,8 @@
             accept_again: false,
             buffer: vec![0; READ_MAX].into_boxed_slice(),
             calling: BTreeSet::new(),
-            idlest_servers: IdlestConnections::default(),
-            idlest_clients: IdlestConnections::default(),
+            lru_servers: LruConnections::default(),
+            lru_clients: LruConnections::default(),
             swept_at: now,
             idle_swept_at: now,
         })
@@ -233,8 +233,8 @@
     /// Answers from `vital` addresses, and what other controllers ask.
     fn is_urgent(&self, id: usize) -> bool {
         match self.connections.get(&id).map(|c| &c.role) {
-            Some(Role::Server(part)) => part.listener == Listener::Mesh,
-            Some(Role::Client(part)) => self.limits.vital.contains(&part.address),
+            Some(Role::Server(state)) => state.listener == Listener::Mesh,
+            Some(Role::Client(state)) => self.limits.vital.contains(&state.address),
             None => false,
         }
     }
@@ -320,7 +320,7 @@
                 }
             };
             if self.servers >= self.servers_max {
-                self.close_idlest_server();
+                self.close_lru_server();
                 if self.servers >= self.servers_max {
                     continue;
                 }
@@ -344,30 +344,32 @@
         self.next_id - 1
     }
 
-    /// Makes room for a newcomer: the server connection idle the longest goes,
+    /// Evicts the least recently used server connection for a newcomer,
     /// an agent's only if there is no other. A user whose connection is closed
     /// comes back with the next request, an agent tries elsewhere first.
-    fn close_idlest_server(&mut self) {
-        let mut idlest = std::mem::take(&mut self.idlest_servers);
-        self.close_idlest(&mut idlest, |connection, _| match &connection.role {
-            Role::Server(part) => {
-                let agent_waits = part.agent && connection.waits_since.is_some();
-                (!part.busy && !agent_waits).then_some(part.agent)
+    fn close_lru_server(&mut self) {
+        let mut lru_connections = std::mem::take(&mut self.lru_servers);
+        self.close_lru(&mut lru_connections, |connection, _| {
+            match &connection.role {
+                Role::Server(state) => {
+                    let agent_waits = state.agent && connection.waits_since.is_some();
+                    (!state.busy && !agent_waits).then_some(state.agent)
+                }
+                Role::Client(_) => None,
             }
-            Role::Client(_) => None,
         });
-        self.idlest_servers = idlest;
+        self.lru_servers = lru_connections;
     }
 
     /// Closes the connection idle the longest of those that `closable` allows, which tells
     /// whether they are agents'.
-    pub(super) fn close_idlest(
+    pub(super) fn close_lru(
         &mut self,
-        idlest: &mut IdlestConnections,
+        lru_connections: &mut LruConnections,
         closable: impl Fn(&Connection, &ConnectionLimits) -> Option<bool>,
     ) {
         loop {
-            while let Some(idle) = idlest.pop() {
+            while let Some(idle) = lru_connections.pop() {
                 let connection = self.connections.get(&idle.id);
                 let unused = |c: &&Connection| {
                     c.used_at == idle.used_at && closable(c, &self.limits).is_some()
@@ -376,7 +378,7 @@
                     return self.close(idle.id);
                 }
             }
-            if !idlest.may_look(self.now) {
+            if !lru_connections.may_scan(self.now) {
                 return;
             }
             let all = self.connections.iter();
@@ -387,7 +389,7 @@
                     id: *id,
                 })
             });
-            idlest.refill(idle.collect(), self.now);
+            lru_connections.refill(idle.collect(), self.now);
         }
     }
 
@@ -396,8 +398,8 @@
     /// idle the longest, with more machines than places each would lose its own just before
     /// its next report, and none would keep a connection.
     pub(super) fn is_crowded(&self) -> bool {
-        let (part, whole) = CROWDED_SHARE;
-        self.agents * whole > self.servers_max * part
+        let (state, whole) = CROWDED_SHARE;
+        self.agents * whole > self.servers_max * state
     }
 
     pub(super) fn close(&mut self, id: usize) {
@@ -405,22 +407,22 @@
         let Some(connection) = self.connections.remove(&id) else {
             return;
         };
-        let part = match connection.role {
-            Role::Server(part) => {
+        let state = match connection.role {
+            Role::Server(state) => {
                 self.servers -= 1;
-                self.agents -= usize::from(part.agent);
+                self.agents -= usize::from(state.agent);
                 return;
             }
-            Role::Client(part) => part,
+            Role::Client(state) => state,
         };
         self.calling.remove(&id);
-        if !self.limits.vital.contains(&part.address) {
+        if !self.limits.vital.contains(&state.address) {
             self.clients -= 1;
         }
-        if let Some(idle) = self.pool.get_mut(&part.address) {
+        if let Some(idle) = self.pool.get_mut(&state.address) {
             idle.retain(|other| *other != id);
         }
-        if let Some(tag) = part.call {
+        if let Some(tag) = state.call {
             let outcome = if connection.open {
                 Outcome::NoAnswer
             } else {
@@ -457,7 +459,7 @@
         connection.output.clear();
         connection.sent = 0;
         if connection.lasting {
-            // Told of room to write only while it is waited for.
+            // Told of capacity to write only while it is waited for.
             self.watch_writable(id, false);
         }
         if self
--- a/src/net/http_client.rs
+++ b/src/net/http_client.rs
@@ -6,7 +6,7 @@
 use mio::net::TcpStream;
 use mio::{Interest, Token};
 
-use super::connection::{ClientPart, Connection, Role};
+use super::connection::{ClientState, Connection, Role};
 use super::event_loop::EventLoop;
 use super::http_server::{is_connection_close, parse_length};
 use super::{Event, Outcome, REPLY_HEAD_MAX};
@@ -41,15 +41,15 @@
     ) {
         let message = request_message(address, method, path, body);
         let now = Instant::now();
-        let part = ClientPart {
+        let state = ClientState {
             address,
             call: Some(tag),
             deadline: now + timeout,
         };
         match self.idle_connection(address) {
-            Some(id) => self.call_on(id, part, message, now),
+            Some(id) => self.call_on(id, state, message, now),
             None => {
-                if self.open(part, message, now).is_none() {
+                if self.open(state, message, now).is_none() {
                     let outcome = Outcome::NotSent;
                     self.ready.push(Event::Reply { tag, outcome });
                 }
@@ -69,11 +69,11 @@
         None
     }
 
-    fn call_on(&mut self, id: usize, part: ClientPart, message: Vec<u8>, now: Instant) {
+    fn call_on(&mut self, id: usize, state: ClientState, message: Vec<u8>, now: Instant) {
         let Some(connection) = self.connections.get_mut(&id) else {
             return;
         };
-        connection.role = Role::Client(part);
+        connection.role = Role::Client(state);
         connection.output = message;
         connection.sent = 0;
         connection.used_at = now;
@@ -82,10 +82,10 @@
     }
 
     /// Opens a connection for a call. `None` if that can't be done.
-    fn open(&mut self, part: ClientPart, message: Vec<u8>, now: Instant) -> Option<()> {
-        let address = part.address;
+    fn open(&mut self, state: ClientState, message: Vec<u8>, now: Instant) -> Option<()> {
+        let address = state.address;
         let is_vital = self.limits.vital.contains(&address);
-        if !is_vital && !self.make_room_for_client() {
+        if !is_vital && !self.evict_client_if_full() {
             return None;
         }
         let mut socket = TcpStream::connect(address).ok()?;
@@ -98,25 +98,25 @@
         registry.register(&mut socket, Token(id), interest).ok()?;
         self.clients += usize::from(!is_vital);
         self.calling.insert(id);
-        let connection = Connection::opening(socket, part, message, is_vital, now);
+        let connection = Connection::opening(socket, state, message, is_vital, now);
         self.connections.insert(id, connection);
         Some(())
     }
 
-    /// Room for one more call to an agent: the connection idle the longest goes. False if
+    /// Capacity for one more call to an agent: the connection idle the longest goes. False if
     /// all are in use.
-    fn make_room_for_client(&mut self) -> bool {
+    fn evict_client_if_full(&mut self) -> bool {
         if self.clients < self.clients_max {
             return true;
         }
-        let mut idlest = std::mem::take(&mut self.idlest_clients);
-        self.close_idlest(&mut idlest, |connection, limits| match &connection.role {
-            Role::Client(part) => {
-                (part.call.is_none() && !limits.vital.contains(&part.address)).then_some(true)
+        let mut idlest = std::mem::take(&mut self.lru_clients);
+        self.close_lru(&mut idlest, |connection, limits| match &connection.role {
+            Role::Client(state) => {
+                (state.call.is_none() && !limits.vital.contains(&state.address)).then_some(true)
             }
             Role::Server(_) => None,
         });
-        self.idlest_clients = idlest;
+        self.lru_clients = idlest;
         self.clients < self.clients_max
     }
 
@@ -124,8 +124,8 @@
     /// of it is read.
     fn refuse_reply(&mut self, id: usize) {
         let role = self.connections.get_mut(&id).map(|c| &mut c.role);
-        if let Some(Role::Client(part)) = role {
-            if let Some(tag) = part.call.take() {
+        if let Some(Role::Client(state)) = role {
+            if let Some(tag) = state.call.take() {
                 let outcome = Outcome::TooLarge;
                 self.ready.push(Event::Reply { tag, outcome });
             }
@@ -138,10 +138,10 @@
         let Some(connection) = self.connections.get_mut(&id) else {
             return;
         };
-        let Role::Client(part) = &mut connection.role else {
+        let Role::Client(state) = &mut connection.role else {
             return;
         };
-        if part.call.is_none() {
+        if state.call.is_none() {
             // Nothing was asked: the other side has closed it or is confused.
             if connection.eof || !connection.input.is_empty() {
                 self.close(id);
@@ -168,8 +168,8 @@
         let body = connection.input[head.length..end].to_vec();
         connection.input.drain(..end);
         connection.used_at = self.now;
-        let address = part.address;
-        let tag = part.call.take();
+        let address = state.address;
+        let tag = state.call.take();
         let reusable = !head.close
             && !connection.eof
             && connection.input.is_empty()
--- a/src/net/http_server.rs
+++ b/src/net/http_server.rs
@@ -32,13 +32,13 @@
         let Some(connection) = self.connections.get_mut(&id) else {
             return;
         };
-        let Role::Server(part) = &mut connection.role else {
+        let Role::Server(state) = &mut connection.role else {
             return;
         };
-        if part.busy || connection.input.is_empty() {
+        if state.busy || connection.input.is_empty() {
             return;
         }
-        part.request_began.get_or_insert_with(Instant::now);
+        state.request_began.get_or_insert_with(Instant::now);
         let head = match parse_head(&connection.input) {
             Parsed::Head(head) => head,
             Parsed::Incomplete => return,
@@ -52,12 +52,12 @@
         connection.input.drain(..end);
         let agent = head.path == HEARTBEAT_PATH;
         self.agents += usize::from(agent);
-        self.agents -= usize::from(part.agent);
-        part.agent = agent;
-        part.busy = true;
-        part.close = head.close;
-        part.request_began = None;
-        let listener = part.listener;
+        self.agents -= usize::from(state.agent);
+        state.agent = agent;
+        state.busy = true;
+        state.close = head.close;
+        state.request_began = None;
+        let listener = state.listener;
         let request = Request {
             method: head.method,
             path: head.path,
@@ -73,9 +73,9 @@
     fn refuse(&mut self, id: usize, status: u16) {
         if let Some(connection) = self.connections.get_mut(&id) {
             connection.input.clear();
-            if let Role::Server(part) = &mut connection.role {
-                part.busy = true;
-                part.close = true;
+            if let Role::Server(state) = &mut connection.role {
+                state.busy = true;
+                state.close = true;
             }
         }
         self.answer(id, status, None, &[]);
@@ -87,19 +87,19 @@
         let Some(connection) = self.connections.get_mut(&id) else {
             return;
         };
-        let Role::Server(part) = &mut connection.role else {
+        let Role::Server(state) = &mut connection.role else {
             return;
         };
-        if !part.busy {
+        if !state.busy {
             return;
         }
-        part.busy = false;
+        state.busy = false;
         let is_newcomer = !connection.was_served;
         connection.was_served = true;
         // Whoever is sent elsewhere hangs up: one look less at who has gone.
-        part.close |= connection.eof || status == 421;
-        part.close |= crowded && part.agent && is_newcomer;
-        let head = response_head(status, retry_after, body.len(), part.close);
+        state.close |= connection.eof || status == 421;
+        state.close |= crowded && state.agent && is_newcomer;
+        let head = response_head(status, retry_after, body.len(), state.close);
         connection.output.extend_from_slice(head.as_bytes());
         connection.output.extend_from_slice(body);
         connection.used_at = self.now;
--- a/src/net/idle.rs
+++ b/src/net/idle.rs
@@ -18,7 +18,7 @@
     /// Connections with a call whose time is over.
     pub(super) fn overdue_calls(&self) -> Vec<usize> {
         let is_overdue = |id: &&usize| match self.connections.get(*id).map(|c| &c.role) {
-            Some(Role::Client(part)) => self.now >= part.deadline,
+            Some(Role::Client(state)) => self.now >= state.deadline,
             _ => false,
         };
         self.calling.iter().filter(is_overdue).copied().collect()
@@ -39,17 +39,17 @@
 
     fn is_idle_for_too_long(&self, connection: &Connection, now: Instant) -> bool {
         let idle = now.duration_since(connection.used_at);
-        let part = match &connection.role {
-            Role::Client(part) => return part.call.is_none() && idle >= CLIENT_IDLE_MAX,
-            Role::Server(part) => part,
+        let state = match &connection.role {
+            Role::Client(state) => return state.call.is_none() && idle >= CLIENT_IDLE_MAX,
+            Role::Server(state) => state,
         };
-        if part.busy {
+        if state.busy {
             return false;
         }
-        if let Some(began) = part.request_began {
+        if let Some(began) = state.request_began {
             return now.duration_since(began) >= REQUEST_MAX;
         }
-        if part.agent {
+        if state.agent {
             return idle >= self.limits.agent_idle;
         }
         let max = if connection.output.is_empty() {
--- a/src/net/idlest.rs
+++ b/src/net/lru_connections.rs
@@ -1,15 +1,15 @@
-//! Finding the connection that has been idle the longest, without a look at all of them each
-//! time that room is needed.
+//! Finding the least recently used connection, without a look at all of them each
+//! time that capacity is needed.
 
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
 
 /// One look finds so many at the least, and a share of all: the cost of a look is shared by
-/// those who then need room.
-const FOUND_MIN: usize = 4;
-const FOUND_PARTS: usize = 32;
+/// those who then need capacity.
+const BATCH_MIN: usize = 4;
+const BATCH_PARTS: usize = 32;
 /// After a look that found nothing there is none for so long.
-const NOTHING_FOUND_PAUSE: Duration = Duration::from_millis(50);
+const EMPTY_SCAN_PAUSE: Duration = Duration::from_millis(50);
 
 /// A connection that could be closed, as it was when it was looked at.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -20,29 +20,29 @@
     pub id: usize,
 }
 
-/// Connections that could be closed, the idlest first.
+/// Connections that could be closed, the least recently used first.
 #[derive(Debug, Default)]
-pub(super) struct IdlestConnections {
+pub(super) struct LruConnections {
     found: VecDeque<IdleConnection>,
-    nothing_until: Option<Instant>,
+    empty_until: Option<Instant>,
 }
 
-impl IdlestConnections {
+impl LruConnections {
     /// The next one, which may have been used meanwhile.
     pub fn pop(&mut self) -> Option<IdleConnection> {
         self.found.pop_front()
     }
 
     /// Whether another look may find any.
-    pub fn may_look(&self, now: Instant) -> bool {
-        self.nothing_until.is_none_or(|until| now >= until)
+    pub fn may_scan(&self, now: Instant) -> bool {
+        self.empty_until.is_none_or(|until| now >= until)
     }
 
     /// Takes in what a look at all connections found.
     pub fn refill(&mut self, mut idle: Vec<IdleConnection>, now: Instant) {
-        self.nothing_until = idle.is_empty().then(|| now + NOTHING_FOUND_PAUSE);
+        self.empty_until = idle.is_empty().then(|| now + EMPTY_SCAN_PAUSE);
         idle.sort_unstable();
-        idle.truncate(FOUND_MIN.max(idle.len() / FOUND_PARTS));
+        idle.truncate(BATCH_MIN.max(idle.len() / BATCH_PARTS));
         self.found = idle.into();
     }
 }
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -6,7 +6,7 @@
 mod http_client;
 mod http_server;
 mod idle;
-mod idlest;
+mod lru_connections;
 
 use std::net::SocketAddr;
 
--- a/src/node/calls.rs
+++ b/src/node/calls.rs
@@ -101,8 +101,8 @@
     }
 
     /// Asks the state service for a grant.
-    pub fn create_grant(life_ms: u64, timeout_ms: u64) -> HttpCall {
-        let body = wire::encode(&wire::GrantRequest { life_ms });
+    pub fn create_grant(ttl_ms: u64, timeout_ms: u64) -> HttpCall {
+        let body = wire::encode(&wire::GrantRequest { ttl_ms });
         HttpCall::post("/grants", body, timeout_ms)
     }
 
@@ -337,9 +337,9 @@
         let Some(reply) = reply else {
             return self.finish_user(user, 503, Some(1), vec![]);
         };
-        if wire::reports_cancelled(&reply.body) {
+        if wire::is_cancelled_reply(&reply.body) {
             if let Some(id) = self.users.get(&user).map(|p| p.id.clone()) {
-                self.note_told_cancelled(&id);
+                self.acknowledge_cancellation(&id);
             }
         }
         self.finish_user(user, reply.status as u16, reply.retry_after, reply.body);
--- a/src/node/dependencies.rs
+++ b/src/node/dependencies.rs
@@ -27,7 +27,7 @@
 }
 
 impl Node {
-    /// Tells the scheduler what changes of the replica mean for jobs with dependencies.
+    /// Tells the scheduler what changes of the watch cache mean for jobs with dependencies.
     pub(super) fn pass_dependency_events(&mut self) {
         let now = self.now;
         for event in self.replica.take_dependency_events() {
@@ -142,7 +142,7 @@
             Outcome::Answer { status: 200, body } => {
                 self.record_final_reply(dependency, body);
             }
-            // Alive, and not in the replica yet; or the service is in trouble.
+            // Alive, and not in the watch cache yet; or the service is in trouble.
             _ => self.lookups.next_at = self.now.steady + LOOKUP_RETRY_MS,
         }
     }
--- a/src/node/duties/leases.rs
+++ b/src/node/duties/leases.rs
@@ -60,7 +60,7 @@
                 let prefix = format!("{LEASES_PREFIX}{}/", duty.name());
                 HttpCall::get(format!("/kv?under={prefix}&most={LEASE_KEYS}"), timeout_ms)
             }
-            LeaseRequest::CreateGrant { life_ms } => HttpCall::create_grant(*life_ms, timeout_ms),
+            LeaseRequest::CreateGrant { ttl_ms } => HttpCall::create_grant(*ttl_ms, timeout_ms),
             LeaseRequest::Acquire {
                 holder,
                 grant,
--- a/src/node/duties/placement.rs
+++ b/src/node/duties/placement.rs
@@ -12,7 +12,7 @@
 const INTERVAL_SHARE: f64 = 0.1;
 /// Lives for which a duty may be without a holder before any controller stands for it, and
 /// before the leader says so.
-const FREE_LIVES: u64 = 2;
+const UNHELD_TTLS: u64 = 2;
 
 /// What is known of the live controllers and of duties that nobody holds.
 #[derive(Debug, Default)]
@@ -40,18 +40,18 @@
         if now < control.placement.next_at {
             return;
         }
-        let life_ms = control.timing.life_ms;
-        control.placement.next_at = now + (life_ms as f64 * INTERVAL_SHARE) as u64;
+        let ttl_ms = control.timing.ttl_ms;
+        control.placement.next_at = now + (ttl_ms as f64 * INTERVAL_SHARE) as u64;
         let live = control.placement.update_live(live, now);
         let rules = AssignmentRules {
-            settle_ms: life_ms,
+            settle_ms: ttl_ms,
             pinned: control.settings.holders.clone(),
         };
         let assigned = assign(&Duty::ALL, &live, &present, &rules);
         for duty in Duty::ALL {
             let placement = &mut control.placement;
             let free_ms = placement.free_for_ms(duty, present.contains_key(&duty), now);
-            let nobody_takes_it = free_ms > FREE_LIVES * life_ms;
+            let nobody_takes_it = free_ms > UNHELD_TTLS * ttl_ms;
             let is_assigned = assigned.get(&duty) == Some(&member);
             let Some(part) = control.parts.get_mut(&duty) else {
                 continue;
@@ -91,7 +91,7 @@
         let now = self.now.steady;
         let lease_s = self.settings.cluster.workers.lease_s;
         let settings = self.operator.duties.clone().unwrap_or_default();
-        let bound_ms = FREE_LIVES * settings.timing(lease_s).life_ms;
+        let bound_ms = UNHELD_TTLS * settings.timing(lease_s).ttl_ms;
         for duty in Duty::ALL {
             let is_held = self.replica.duties.holder(duty).is_some();
             let waiting = self.replica.duties.orders_of(duty).count();
--- a/src/node/format_version.rs
+++ b/src/node/format_version.rs
@@ -29,7 +29,7 @@
 /// nothing proves that the lower limit holds.
 const THROTTLED_INTERVALS: f64 = 4.0;
 
-/// What is known of the format beyond the replica.
+/// What is known of the format beyond the watch cache.
 #[derive(Debug, Default)]
 pub(super) struct FormatState {
     /// There was proof that no earlier version runs any more.
--- a/src/node/heartbeats.rs
+++ b/src/node/heartbeats.rs
@@ -48,9 +48,9 @@
         let Some(scheduler) = &mut self.scheduler else {
             return;
         };
-        let has_room = scheduler.on_agent_status(&report, StatusOrigin::Heartbeat, now);
+        let has_free_capacity = scheduler.on_agent_status(&report, StatusOrigin::Heartbeat, now);
         self.agent_answered_at = Some(now);
-        if certain && has_room && !scheduler.is_startable(&report.machine) {
+        if certain && has_free_capacity && !scheduler.is_startable(&report.machine) {
             let hold_s = self.settings.cluster.workers.report_s * DEFER_HEARTBEAT_SHARE;
             let earlier = self.deferred_heartbeats.insert(DeferredHeartbeat {
                 connection,
--- a/src/node/leadership.rs
+++ b/src/node/leadership.rs
@@ -29,9 +29,9 @@
     fn send_lease_request(&mut self, request: LeaseRequest) {
         // It goes out in any case.
         let _ = self.state_requests.try_take(self.now.steady, 1.0, 0.0);
-        let timeout_ms = self.lease.life_ms / 3;
+        let timeout_ms = self.lease.ttl_ms / 3;
         let call = match &request {
-            LeaseRequest::Grant => HttpCall::create_grant(self.lease.life_ms, timeout_ms),
+            LeaseRequest::Grant => HttpCall::create_grant(self.lease.ttl_ms, timeout_ms),
             LeaseRequest::Renew(grant) => HttpCall::renew_grant(*grant, timeout_ms),
             LeaseRequest::Revoke(grant) => {
                 let call = HttpCall::end_grant(*grant, timeout_ms);
@@ -78,9 +78,9 @@
         self.begin_term();
     }
 
-    /// Begins a term once the replica holds its election. All changes of leaders before
+    /// Begins a term once the watch cache holds its election. All changes of leaders before
     /// it, its own earlier terms included, are older than that, and none can follow: a
-    /// replica from before it may lack places whose starts went out.
+    /// Watch cache from before it may lack places whose starts went out.
     pub(super) fn begin_term(&mut self) {
         let now = self.now.steady;
         let revision = self.replica.revision;
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -121,13 +121,13 @@
     calls: HashMap<u64, PendingCall>,
     next_tag: u64,
     actions: Vec<Action>,
-    /// The local replica of the state service.
+    /// The local watch cache of the state service.
     pub replica: Replica,
     replication: Replication,
     state_requests: TokenBucket,
     writes: WriteQueue<WriteOwner>,
     lease: LeaderLease,
-    /// An election was won, but the replica does not hold it yet.
+    /// An election was won, but the watch cache does not hold it yet.
     pending_term: Option<Term>,
     /// The scheduling state, if this controller leads.
     pub scheduler: Option<Scheduler>,
@@ -135,7 +135,7 @@
     duties: DutyState,
     lookups: DependencyLookups,
     /// Cancellations that users were told of here, and when.
-    told_cancelled: BTreeMap<String, u64>,
+    acknowledged_cancellations: BTreeMap<String, u64>,
     machine_types: Arc<Vec<MachineType>>,
     next_machine_types_at: u64,
     cloud_requests: TokenBucket,
@@ -155,7 +155,7 @@
     stats_timer: StatsTimer,
     stats: TrafficStats,
     /// Grants that were warned of.
-    short_grants: usize,
+    warned_limits: usize,
 }
 
 impl Node {
@@ -163,7 +163,7 @@
     pub fn new(settings: Settings, operator: OperatorSettings, seed: u64) -> Node {
         let cluster = &settings.cluster;
         let controllers = (settings.peers.len() + 1) as f64;
-        let life_ms = leader_lease::lease_life_ms(cluster, &operator);
+        let ttl_ms = leader_lease::leader_lease_ttl_ms(cluster, &operator);
         let state = &cluster.state;
         let follower_writes = state.write_rps * FOLLOWER_WRITES;
         let follower_requests = state.rps / controllers * FOLLOWER_REQUESTS;
@@ -183,13 +183,13 @@
             replication: Replication::default(),
             state_requests: TokenBucket::new(follower_requests),
             writes,
-            lease: LeaderLease::new(&settings.member, life_ms, state.lowered().txn_ops),
+            lease: LeaderLease::new(&settings.member, ttl_ms, state.lowered().txn_ops),
             pending_term: None,
             scheduler: None,
             format_state: FormatState::default(),
             duties: DutyState::new(&settings.member, cluster, operator.duties.as_ref()),
             lookups: DependencyLookups::default(),
-            told_cancelled: BTreeMap::new(),
+            acknowledged_cancellations: BTreeMap::new(),
             machine_types: Arc::new(vec![]),
             next_machine_types_at: 0,
             cloud_requests: TokenBucket::new(cluster.cloud.rps * CLOUD_SHARE),
@@ -208,7 +208,7 @@
             next_tick_at: 0,
             stats_timer: StatsTimer::default(),
             stats: TrafficStats::default(),
-            short_grants: 0,
+            warned_limits: 0,
             settings,
             operator,
         }
--- a/src/node/peers.rs
+++ b/src/node/peers.rs
@@ -72,7 +72,7 @@
             leading_epoch: self.epoch(),
             redirected_agents: lately(&self.redirected_agents) as u32,
             process_age_ms: self.began_at.map_or(0, |at| now - at),
-            told_cancelled: vec![],
+            acknowledged_cancellations: vec![],
             known_format: self.known_format(),
         }
     }
@@ -82,17 +82,20 @@
     pub(super) fn status_for(&self, asker: &PeerStatus) -> PeerStatus {
         let mut status = self.status();
         if asker.leading_epoch > 0 && !asker.state_reachable {
-            status.told_cancelled = self.told_cancelled.keys().cloned().collect();
+            status.acknowledged_cancellations =
+                self.acknowledged_cancellations.keys().cloned().collect();
         }
         status
     }
 
     /// Users are told here that a job is cancelled. What is over has no tasks
     /// any more.
-    pub(super) fn note_told_cancelled(&mut self, id: &str) {
+    pub(super) fn acknowledge_cancellation(&mut self, id: &str) {
         let now = self.now.steady;
         if self.replica.final_state(id).is_none() {
-            self.told_cancelled.entry(id.to_string()).or_insert(now);
+            self.acknowledged_cancellations
+                .entry(id.to_string())
+                .or_insert(now);
         }
         if let Some(scheduler) = &mut self.scheduler {
             scheduler.mark_cancelled(id, now);
@@ -106,7 +109,7 @@
         let Some(scheduler) = &mut self.scheduler else {
             return;
         };
-        for id in &status.told_cancelled {
+        for id in &status.acknowledged_cancellations {
             scheduler.mark_cancelled(id, now);
         }
         // With one that is served, or another that leads, work goes on there.
@@ -212,7 +215,8 @@
             .retain(|_, at| now < *at + REDIRECTED_MEMORY_MS);
         let cancel_s = self.settings.cluster.workers.cancel_s;
         let memory_ms = to_ms(cancel_s * CANCELLED_MEMORY);
-        self.told_cancelled.retain(|_, at| now < *at + memory_ms);
+        self.acknowledged_cancellations
+            .retain(|_, at| now < *at + memory_ms);
         let status = self.status();
         // Its question is about cancellations, so it has to ask itself.
         let must_ask = status.leading_epoch > 0 && !status.state_reachable;
--- a/src/node/planning.rs
+++ b/src/node/planning.rs
@@ -42,7 +42,7 @@
             return None;
         }
         // Without changes a plan now and then, so that backoffs end without an event.
-        if !scheduler.dirty && now.steady < next_at + IDLE_GAP_MS {
+        if !scheduler.needs_planning && now.steady < next_at + IDLE_GAP_MS {
             return None;
         }
         // heartbeats that wait go first, but not for ever.
--- a/src/node/replication.rs
+++ b/src/node/replication.rs
@@ -1,4 +1,4 @@
-//! Reading the state service into the replica: first in whole, then by a watch, and at
+//! Reading the state service into the watch cache: first in whole, then by a watch, and at
 //! once when somebody waits for it.
 
 use tracing::{error, info, warn};
@@ -45,7 +45,7 @@
     /// Changes are being read for somebody who waits.
     pub reading: bool,
     next_read_at: u64,
-    /// The replica is complete as of this moment.
+    /// The watch cache is complete as of this moment.
     pub complete_as_of: Option<EventTime>,
     /// The state service last answered with something other than a refusal.
     pub answered_at: Option<u64>,
@@ -59,7 +59,7 @@
         answered_at.is_some_and(|at| now < at + WATCH_HOLD_MS + STATE_TIMEOUT_MS)
     }
 
-    /// Leadership is certain and the replica recent enough to start tasks.
+    /// Leadership is certain and the watch cache recent enough to start tasks.
     pub(super) fn may_start(&self) -> bool {
         let now = self.now.steady;
         let complete = self.replication.complete_as_of;
@@ -243,7 +243,7 @@
         self.call_state_service(pending, call);
     }
 
-    /// Whether somebody waits for a replica that is newer than the present one.
+    /// Whether somebody waits for a watch cache that is newer than the present one.
     fn is_read_wanted(&self) -> bool {
         let complete = self.replication.complete_as_of;
         let waits = |stage: &RequestStage| match stage {
--- a/src/node/stats.rs
+++ b/src/node/stats.rs
@@ -4,7 +4,7 @@
 
 use super::calls::PendingCall;
 use super::Node;
-use crate::fleet_capacity::grant_capacities;
+use crate::fleet_capacity::limit_capacities;
 
 /// How often it is logged.
 const INTERVAL_MS: u64 = 10_000;
@@ -105,20 +105,20 @@
         if let Some(scheduler) = &self.scheduler {
             info!("leading: {}", scheduler.summary());
         }
-        self.warn_of_short_grants();
+        self.warn_of_near_limits();
     }
 
     /// Warns once of each grant that the fleet comes near the end of.
-    fn warn_of_short_grants(&mut self) {
+    fn warn_of_near_limits(&mut self) {
         let Some(scheduler) = &self.scheduler else {
             return;
         };
         let machines = scheduler.machines.len();
-        let capacities = grant_capacities(&self.settings.cluster);
+        let capacities = limit_capacities(&self.settings.cluster);
         let near = capacities.iter().filter(|c| c.is_near(machines)).count();
-        for capacity in capacities.iter().take(near).skip(self.short_grants) {
+        for capacity in capacities.iter().take(near).skip(self.warned_limits) {
             warn!("{machines} machines: {capacity}");
         }
-        self.short_grants = self.short_grants.max(near);
+        self.warned_limits = self.warned_limits.max(near);
     }
 }
--- a/src/node/user_replies.rs
+++ b/src/node/user_replies.rs
@@ -50,7 +50,7 @@
         counts: Option<TaskCounts>,
     ) {
         if job_status == wire::WITHDRAWN {
-            self.note_told_cancelled(id);
+            self.acknowledge_cancellation(id);
         }
         let body = wire::encode(&wire::JobStatusReply {
             id,
--- a/src/node/user_requests.rs
+++ b/src/node/user_requests.rs
@@ -145,7 +145,7 @@
         users.map(|(user, _)| *user).collect()
     }
 
-    /// The replica was read anew: whoever waited for that goes on.
+    /// The watch cache was read anew: whoever waited for that goes on.
     pub(super) fn resolve_waiting_users(&mut self) {
         if !self.replica.loaded {
             // It is being read anew, and lacks what is on later pages.
@@ -163,7 +163,7 @@
         }
     }
 
-    /// Decides with a replica that is newer than the request.
+    /// Decides with a watch cache that is newer than the request.
     fn resolve_user(&mut self, user: u64) {
         let Some(pending) = self.users.get(&user) else {
             return;
--- a/src/node/user_submissions.rs
+++ b/src/node/user_submissions.rs
@@ -12,16 +12,16 @@
 
 /// Amounts that differ by less are the same.
 const EPSILON: f64 = 1e-6;
-/// Part of a value that a job's own fields may take, so that there is room for where
+/// Part of a value that a job's own fields may take, so that there is capacity for where
 /// its tasks are.
 const SPEC_SHARE: f64 = 0.6;
 /// What a task's place takes in a packed record at most, with a machine's name of usual
 /// length of which nothing is left out.
-const PLACE_BYTES: f64 = 16.0;
+const PLACEMENT_BYTES: f64 = 16.0;
 
 impl Node {
     /// Creates a job that is not known and can run. Any other request, also one that is to
-    /// be refused, waits for a newer replica: it may have been accepted before.
+    /// be refused, waits for a newer watch cache: it may have been accepted before.
     pub(super) fn accept_new_job(&mut self, user: u64) {
         let Some(pending) = self.users.get(&user) else {
             return;
@@ -69,8 +69,8 @@
         if record_bytes > value_bytes * SPEC_SHARE {
             return Err(Refusal::TooLongToKeep);
         }
-        let places_bytes = f64::from(spec.tasks) * PLACE_BYTES;
-        if spec.shape == Shape::Gang && record_bytes + places_bytes > value_bytes {
+        let placements_bytes = f64::from(spec.tasks) * PLACEMENT_BYTES;
+        if spec.shape == Shape::Gang && record_bytes + placements_bytes > value_bytes {
             return Err(Refusal::GangTooLargeToKeep);
         }
         Ok(())
--- a/src/node/user_types.rs
+++ b/src/node/user_types.rs
@@ -23,7 +23,7 @@
 /// What a request in progress waits for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum RequestStage {
-    /// A replica read after this event and of at least this revision.
+    /// A watch cache read after this event and of at least this revision.
     Replica { after: u64, revision: u64 },
     /// The outcome of a change.
     Commit,
@@ -52,7 +52,7 @@
     pub stage: RequestStage,
     /// As it came, to forward it.
     pub body: Vec<u8>,
-    /// What a submission names: found on record, though not in the replica yet.
+    /// What a submission names: found on record, though not in the watch cache yet.
     pub found_dependencies: Vec<String>,
     /// It names a job that was never accepted. If it was accepted itself, it gets its
     /// state all the same.
--- a/src/plan/room_index.rs
+++ b/src/plan/capacity_index.rs
@@ -1,4 +1,4 @@
-//! Machines by the room that they have, so that a search looks at those that it takes and
+//! Machines by the capacity that they have, so that a search looks at those that it takes and
 //! not at all.
 
 use std::collections::btree_set::Range;
@@ -10,9 +10,9 @@
 /// the other is not looked at in vain.
 const LEVELS: f64 = 8.0;
 
-/// Machines of one kind with about as much room.
+/// Machines of one kind with about as much capacity.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-struct Shelf {
+struct CapacityBucket {
     kind: usize,
     /// Whole GPUs.
     gpus: u32,
@@ -20,13 +20,13 @@
     memory_level: u32,
 }
 
-impl Shelf {
-    fn new(kind: usize, total: Resources, free: Resources) -> Shelf {
+impl CapacityBucket {
+    fn new(kind: usize, total: Resources, free: Resources) -> CapacityBucket {
         let level = |free: f64, total: f64| {
             let share = if total > EPSILON { free / total } else { 0.0 };
             (share * LEVELS).max(0.0) as u32
         };
-        Shelf {
+        CapacityBucket {
             kind,
             gpus: free.gpus.max(0.0) as u32,
             cpu_level: level(free.cpus, total.cpus),
@@ -34,8 +34,8 @@
         }
     }
 
-    /// Whether its machines may have room for what would just fit into those of another.
-    fn may_hold(&self, least: &Shelf) -> bool {
+    /// Whether its machines may have capacity for what would just fit into those of another.
+    fn may_hold(&self, least: &CapacityBucket) -> bool {
         self.kind == least.kind
             && self.gpus >= least.gpus
             && self.cpu_level >= least.cpu_level
@@ -43,7 +43,7 @@
     }
 }
 
-/// A machine's place on its shelf: the least room first. The share is not negative, so its
+/// A machine's place on its shelf: the least capacity first. The share is not negative, so its
 /// bits are in the order of its value.
 type Entry = (u64, usize);
 
@@ -52,17 +52,17 @@
 /// For machines of one kind what is left after a task grows with the share that is free,
 /// so the cheapest place of a shelf is its first that fits.
 #[derive(Debug, Clone, Default)]
-pub(super) struct RoomIndex {
-    shelves: BTreeMap<Shelf, BTreeSet<Entry>>,
-    entries: HashMap<usize, (Shelf, Entry)>,
+pub(super) struct CapacityIndex {
+    buckets: BTreeMap<CapacityBucket, BTreeSet<Entry>>,
+    entries: HashMap<usize, (CapacityBucket, Entry)>,
 }
 
-impl RoomIndex {
-    /// Notes the free room of a machine; `None` takes it out.
+impl CapacityIndex {
+    /// Notes the free capacity of a machine; `None` takes it out.
     pub fn set(&mut self, machine: usize, kind: usize, total: Resources, free: Option<Resources>) {
         let place = free.map(|free| {
-            let shelf = Shelf::new(kind, total, free);
-            (shelf, (share_bits(free, total), machine))
+            let bucket = CapacityBucket::new(kind, total, free);
+            (bucket, (share_bits(free, total), machine))
         });
         let known = match place {
             Some(place) => self.entries.insert(machine, place),
@@ -71,32 +71,32 @@
         if known == place {
             return;
         }
-        if let Some((shelf, entry)) = known {
-            if let Some(entries) = self.shelves.get_mut(&shelf) {
+        if let Some((bucket, entry)) = known {
+            if let Some(entries) = self.buckets.get_mut(&bucket) {
                 entries.remove(&entry);
                 if entries.is_empty() {
-                    self.shelves.remove(&shelf);
+                    self.buckets.remove(&bucket);
                 }
             }
         }
-        if let Some((shelf, entry)) = place {
-            self.shelves.entry(shelf).or_default().insert(entry);
+        if let Some((bucket, entry)) = place {
+            self.buckets.entry(bucket).or_default().insert(entry);
         }
     }
 
-    /// Whether no machine has room.
+    /// Whether no machine has capacity.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// The machines that may have room for `demand`, one iterator for each shelf of the
-    /// allowed kinds, the least room first. `totals`: what a machine of each kind has.
-    pub fn shelves_for(
+    /// The machines that may have capacity for `demand`, one iterator for each shelf of the
+    /// allowed kinds, the least capacity first. `totals`: what a machine of each kind has.
+    pub fn buckets_for(
         &self,
         demand: Resources,
         kind_allowed: &[bool],
         totals: &[Resources],
-    ) -> Vec<ShelfIter<'_>> {
+    ) -> Vec<BucketIter<'_>> {
         let mut least = demand;
         least.cpus -= EPSILON;
         least.gpus -= EPSILON;
@@ -107,22 +107,22 @@
             .enumerate()
             .filter(|(kind, _)| kind_allowed[*kind])
         {
-            let least_shelf = Shelf::new(kind, *total, least);
+            let least_bucket = CapacityBucket::new(kind, *total, least);
             let least_share = share_bits(least, *total);
-            let same_kind = self.shelves.range(least_shelf..);
-            let same_kind = same_kind.take_while(|(shelf, _)| shelf.kind == kind);
-            let possible = same_kind.filter(|(shelf, _)| shelf.may_hold(&least_shelf));
+            let same_kind = self.buckets.range(least_bucket..);
+            let same_kind = same_kind.take_while(|(bucket, _)| bucket.kind == kind);
+            let possible = same_kind.filter(|(bucket, _)| bucket.may_hold(&least_bucket));
             let ranges = possible.map(|(_, entries)| entries.range((least_share, 0)..));
-            found.extend(ranges.map(ShelfIter));
+            found.extend(ranges.map(BucketIter));
         }
         found
     }
 }
 
-/// The machines of a shelf, the least room first.
-pub(super) struct ShelfIter<'a>(Range<'a, Entry>);
+/// The machines of a shelf, the least capacity first.
+pub(super) struct BucketIter<'a>(Range<'a, Entry>);
 
-impl Iterator for ShelfIter<'_> {
+impl Iterator for BucketIter<'_> {
     type Item = usize;
 
     fn next(&mut self) -> Option<usize> {
--- a/src/plan/cycle.rs
+++ b/src/plan/cycle.rs
@@ -54,7 +54,7 @@
         if !takes_part {
             // What it lacks is bought all the same: else the machines on their way would
             // count for others.
-            let missing = self.state.missing(job);
+            let missing = self.state.unmet_demand(job);
             self.decision.unmet.push(missing);
             return;
         }
@@ -73,7 +73,7 @@
     fn schedule_gang(&mut self, job: &JobView, mut pending: Vec<u32>) {
         let min_count = pending.len();
         // Asked before placing, which gives up what is held.
-        let holds_room = self.state.holds_room(job);
+        let has_reservation = self.state.has_reservation(job);
         let found = self
             .state
             .search(job, &pending, SearchMode::Free, min_count);
@@ -83,7 +83,7 @@
             return;
         }
         // A gang whose victims are still leaving waits for them.
-        if holds_room {
+        if has_reservation {
             return;
         }
         let found = self
@@ -94,21 +94,21 @@
             return;
         }
         self.decision.failed.push(job.id.clone());
-        let missing = self.state.missing(job);
+        let missing = self.state.unmet_demand(job);
         self.decision.unmet.push(missing);
     }
 
     fn schedule_array(&mut self, job: &'a JobView, mut pending: Vec<u32>) {
-        let within_guarantee = self.state.within_guarantee(&job.spec.team);
-        let holds_room = self.state.holds_room(job);
+        let is_within_nominal_quota = self.state.is_within_nominal_quota(&job.spec.team);
+        let has_reservation = self.state.has_reservation(job);
         let mut left = pending.len();
         // An array goes where its image is; what else is free is for those
         // behind it that have theirs there, and only then for it.
-        let skips_uncached = job.skips_uncached
+        let prefers_cached = job.prefers_cached
             && job.spec.priority == Priority::Low
             && !(job.spec.single_zone || job.spec.spread)
-            && !within_guarantee;
-        let mode = if skips_uncached {
+            && !is_within_nominal_quota;
+        let mode = if prefers_cached {
             SearchMode::Cached
         } else {
             SearchMode::Free
@@ -117,21 +117,21 @@
             left -= self
                 .state
                 .place(job, &found, &mut pending, &mut self.decision);
-            if skips_uncached && found.skipped_machines && left > 0 {
-                self.decision.skipped_machines.push(job.id.clone());
+            if prefers_cached && found.skipped_uncached_machines && left > 0 {
+                self.decision.skipped_uncached_machines.push(job.id.clone());
                 let rest = pending.split_off(pending.len() - left);
                 self.skipped.push((job, rest));
                 return;
             }
         }
         // One whose victims are still leaving waits for them.
-        if left == 0 || holds_room {
+        if left == 0 || has_reservation {
             return;
         }
         // Tasks of an array are gangs of one: each may have victims. The team's standing
         // may have changed with what was placed.
-        let within_guarantee = self.state.within_guarantee(&job.spec.team);
-        if within_guarantee || job.spec.priority > Priority::Low {
+        let is_within_nominal_quota = self.state.is_within_nominal_quota(&job.spec.team);
+        if is_within_nominal_quota || job.spec.priority > Priority::Low {
             let rest = &pending[pending.len() - left..];
             let found = self.state.search(job, rest, SearchMode::WithVictims, 0);
             if let Some(found) = found {
--- a/src/plan/cycle_state.rs
+++ b/src/plan/cycle_state.rs
@@ -4,10 +4,10 @@
 use std::collections::{BTreeSet, HashMap, HashSet};
 use std::sync::Arc;
 
+use super::capacity_tracker::CapacityTracker;
 use super::decision::{Decision, PlannedPlacement, PlannedReservation, PlannedStop, UnmetDemand};
 use super::image_map::{ImageMachines, ImageMap};
 use super::resources::Resources;
-use super::room_ledger::RoomLedger;
 use super::search::{Assignment, SearchMode};
 use super::snapshot::{JobView, MachineView, Reservation, Snapshot, TeamView};
 use crate::job::Priority;
@@ -24,33 +24,33 @@
     pub free: Vec<Resources>,
     reservations: Vec<Vec<Reservation>>,
     /// Jobs with reservations, and the machines of these.
-    holders: HashMap<Arc<str>, Vec<usize>>,
+    reservation_holders: HashMap<Arc<str>, Vec<usize>>,
     /// Victims chosen in this cycle, by machine: no job sees them again.
     victims: Vec<Vec<usize>>,
-    /// Room that gangs without a place would use, by machine. It is free for whoever can
+    /// Capacity that gangs without a place would use, by machine. It is free for whoever can
     /// start now, but counts only once when asking what is missing.
-    promised: Vec<Resources>,
-    /// Tasks that would make room for those gangs, by machine.
+    earmarked: Vec<Resources>,
+    /// Tasks that would make capacity for those gangs, by machine.
     prospective_victims: Vec<Vec<usize>>,
     /// The search is for what is missing.
-    counting_missing: bool,
+    is_counting_unmet: bool,
     /// One machine of each kind: machines of a kind are alike to a job's demands.
     pub kinds: Vec<usize>,
     /// What a machine of each kind has.
     pub kind_totals: Vec<Resources>,
     /// Each machine's kind.
     pub kind_of: Vec<usize>,
-    /// No job of the queue asks for less of anything: room only shrinks within a cycle, so
-    /// machines without room for it can't take a task as they are.
+    /// No job of the queue asks for less of anything: capacity only shrinks within a cycle, so
+    /// machines without capacity for it can't take a task as they are.
     smallest_demand: Resources,
     /// Who has or fetches which image.
     images: ImageMap,
     /// How often a machine was looked at for a job.
     pub machines_examined: Cell<u64>,
-    /// Room as it is.
-    room: RoomLedger,
-    /// Room less what is promised, once somebody asked what is missing.
-    unpromised_room: Option<RoomLedger>,
+    /// Capacity as it is.
+    capacity: CapacityTracker,
+    /// Capacity less what is promised, once somebody asked what is missing.
+    unearmarked_capacity: Option<CapacityTracker>,
 }
 
 impl CycleState {
@@ -58,21 +58,24 @@
     pub fn new(snapshot: Snapshot, smallest_demand: Resources) -> CycleState {
         let machines = snapshot.machines;
         let (kinds, kind_of) = group_by_kind(&machines);
-        let mut holders: HashMap<Arc<str>, Vec<usize>> = HashMap::new();
+        let mut reservation_holders: HashMap<Arc<str>, Vec<usize>> = HashMap::new();
         for (index, machine) in machines.iter().enumerate() {
             for held in &machine.reservations {
-                holders.entry(held.job.clone()).or_default().push(index);
+                reservation_holders
+                    .entry(held.job.clone())
+                    .or_default()
+                    .push(index);
             }
         }
         let reservations = machines.iter().map(|machine| machine.reservations.clone());
         let mut state = CycleState {
             free: machines.iter().map(|machine| machine.free).collect(),
             reservations: reservations.collect(),
-            holders,
+            reservation_holders,
             victims: vec![vec![]; machines.len()],
-            promised: vec![Resources::default(); machines.len()],
+            earmarked: vec![Resources::default(); machines.len()],
             prospective_victims: vec![vec![]; machines.len()],
-            counting_missing: false,
+            is_counting_unmet: false,
             kind_totals: kinds.iter().map(|kind| machines[*kind].total).collect(),
             machines,
             teams: snapshot.teams,
@@ -83,10 +86,10 @@
             smallest_demand,
             images: ImageMap::default(),
             machines_examined: Cell::new(0),
-            room: RoomLedger::default(),
-            unpromised_room: None,
+            capacity: CapacityTracker::default(),
+            unearmarked_capacity: None,
         };
-        state.room = RoomLedger::new(&state);
+        state.capacity = CapacityTracker::new(&state);
         state
     }
 
@@ -95,9 +98,11 @@
         self.machines_examined.set(self.machines_examined.get() + 1);
     }
 
-    /// Whether a team's unfinished work fits into its guarantee.
-    pub fn within_guarantee(&self, team: &str) -> bool {
-        self.teams.get(team).is_some_and(TeamView::within_guarantee)
+    /// Whether a team's unfinished work fits into its nominal quota.
+    pub fn is_within_nominal_quota(&self, team: &str) -> bool {
+        self.teams
+            .get(team)
+            .is_some_and(TeamView::is_within_nominal_quota)
     }
 
     /// How many more tasks a job's team may have.
@@ -114,25 +119,25 @@
         }
     }
 
-    /// Whether room is held for a job.
-    pub fn holds_room(&self, job: &JobView) -> bool {
-        self.holders.contains_key(&job.id)
+    /// Whether capacity is held for a job.
+    pub fn has_reservation(&self, job: &JobView) -> bool {
+        self.reservation_holders.contains_key(&job.id)
     }
 
-    /// Room for a job: what is held for others is not, unless it is more urgent.
+    /// Capacity for a job: what is held for others is not, unless it is more urgent.
     pub fn free_for(&self, machine: usize, job: &Arc<str>, priority: Priority) -> Resources {
         self.free_beside(machine, |held| {
             held.job != *job && held.priority >= priority
         })
     }
 
-    /// Room for a job of a priority that holds none on the machine.
+    /// Capacity for a job of a priority that holds none on the machine.
     pub fn free_for_priority(&self, machine: usize, priority: Priority) -> Resources {
         self.free_beside(machine, |held| held.priority >= priority)
     }
 
-    /// The room beside all that is held, if it is enough for the smallest demand.
-    pub fn unreserved_room(&self, machine: usize) -> Option<Resources> {
+    /// The capacity beside all that is held, if it is enough for the smallest demand.
+    pub fn unreserved_capacity(&self, machine: usize) -> Option<Resources> {
         let free = self.free_beside(machine, |_| true);
         free.fits(self.smallest_demand).then_some(free)
     }
@@ -144,20 +149,22 @@
                 free.sub(held.resources);
             }
         }
-        if self.counting_missing {
-            free.sub(self.promised[machine]);
+        if self.is_counting_unmet {
+            free.sub(self.earmarked[machine]);
         }
         free
     }
 
-    /// The room that is held on a machine.
+    /// The capacity that is held on a machine.
     pub fn reservations_on(&self, machine: usize) -> &[Reservation] {
         &self.reservations[machine]
     }
 
-    /// The machines with room that is held for a job.
+    /// The machines with capacity that is held for a job.
     pub fn machines_held_for(&self, job: &JobView) -> &[usize] {
-        self.holders.get(&job.id).map_or(&[], Vec::as_slice)
+        self.reservation_holders
+            .get(&job.id)
+            .map_or(&[], Vec::as_slice)
     }
 
     /// Makes sure that it is known who has an image.
@@ -175,48 +182,48 @@
         self.images.get(image)
     }
 
-    /// The room that a search goes by.
-    pub fn room(&self) -> &RoomLedger {
-        let unpromised = self.unpromised_room.as_ref();
-        let unpromised = unpromised.filter(|_| self.counting_missing);
-        unpromised.unwrap_or(&self.room)
+    /// The capacity that a search goes by.
+    pub fn capacity(&self) -> &CapacityTracker {
+        let unearmarked = self.unearmarked_capacity.as_ref();
+        let unearmarked = unearmarked.filter(|_| self.is_counting_unmet);
+        unearmarked.unwrap_or(&self.capacity)
     }
 
-    /// Makes sure that the room that a search goes by is known.
-    pub fn ensure_room(&mut self) {
-        if self.counting_missing && self.unpromised_room.is_none() {
-            self.unpromised_room = Some(RoomLedger::new(self));
+    /// Makes sure that the capacity that a search goes by is known.
+    pub fn ensure_capacity(&mut self) {
+        if self.is_counting_unmet && self.unearmarked_capacity.is_none() {
+            self.unearmarked_capacity = Some(CapacityTracker::new(self));
         }
     }
 
-    /// Prepares the room that a search goes by.
-    pub fn prepare_room(&mut self, prepare: impl FnOnce(&mut RoomLedger, &CycleState)) {
-        self.ensure_room();
-        let mut ledger = if self.counting_missing {
-            self.unpromised_room.take().unwrap_or_default()
+    /// Prepares the capacity that a search goes by.
+    pub fn prepare_capacity(&mut self, prepare: impl FnOnce(&mut CapacityTracker, &CycleState)) {
+        self.ensure_capacity();
+        let mut tracker = if self.is_counting_unmet {
+            self.unearmarked_capacity.take().unwrap_or_default()
         } else {
-            std::mem::take(&mut self.room)
+            std::mem::take(&mut self.capacity)
         };
-        prepare(&mut ledger, self);
-        if self.counting_missing {
-            self.unpromised_room = Some(ledger);
+        prepare(&mut tracker, self);
+        if self.is_counting_unmet {
+            self.unearmarked_capacity = Some(tracker);
         } else {
-            self.room = ledger;
+            self.capacity = tracker;
         }
     }
 
     /// Something about these machines has changed.
-    fn update_room(&mut self, machines: &BTreeSet<usize>) {
-        let update = |ledger: &mut RoomLedger, state: &CycleState| {
+    fn update_capacity(&mut self, machines: &BTreeSet<usize>) {
+        let update = |tracker: &mut CapacityTracker, state: &CycleState| {
             for machine in machines {
-                ledger.update(state, *machine);
+                tracker.update(state, *machine);
             }
         };
-        self.prepare_room(update);
-        if self.unpromised_room.is_some() && !self.counting_missing {
-            self.counting_missing = true;
-            self.prepare_room(update);
-            self.counting_missing = false;
+        self.prepare_capacity(update);
+        if self.unearmarked_capacity.is_some() && !self.is_counting_unmet {
+            self.is_counting_unmet = true;
+            self.prepare_capacity(update);
+            self.is_counting_unmet = false;
         }
     }
 
@@ -224,10 +231,10 @@
     pub fn is_victim(&self, task: TaskIndex) -> bool {
         let (machine, index) = task;
         self.victims[machine].contains(&index)
-            || (self.counting_missing && self.prospective_victims[machine].contains(&index))
+            || (self.is_counting_unmet && self.prospective_victims[machine].contains(&index))
     }
 
-    /// Takes the room of an assignment, in place of what was held for the job.
+    /// Takes the capacity of an assignment, in place of what was held for the job.
     fn apply(&mut self, job: &JobView, assignment: &Assignment) {
         let demand = Resources::of(&job.spec);
         let mut changed = BTreeSet::new();
@@ -236,11 +243,11 @@
             changed.insert(*machine);
         }
         self.charge_team(job, assignment.tasks.len());
-        for machine in self.holders.remove(&job.id).unwrap_or_default() {
+        for machine in self.reservation_holders.remove(&job.id).unwrap_or_default() {
             self.reservations[machine].retain(|held| held.job != job.id);
             changed.insert(machine);
         }
-        self.update_room(&changed);
+        self.update_capacity(&changed);
     }
 
     /// Gives tasks of a job their places; those without one move to the end of `pending`.
@@ -275,7 +282,7 @@
         assignment.tasks.len()
     }
 
-    /// Chooses the victims of an assignment and holds room for the job's tasks.
+    /// Chooses the victims of an assignment and holds capacity for the job's tasks.
     pub fn preempt(&mut self, job: &JobView, assignment: &Assignment, decision: &mut Decision) {
         let mut changed = BTreeSet::new();
         for (machine, index) in &assignment.victims {
@@ -304,25 +311,25 @@
             });
             changed.insert(*machine);
         }
-        self.update_room(&changed);
+        self.update_capacity(&changed);
     }
 
-    /// What a gang lacks: part of it may have room already, which then is not there for
+    /// What a gang lacks: part of it may have capacity already, which then is not there for
     /// the next one that asks.
-    pub fn missing(&mut self, job: &JobView) -> UnmetDemand {
+    pub fn unmet_demand(&mut self, job: &JobView) -> UnmetDemand {
         let mut unmet = UnmetDemand {
             job: job.id.clone(),
             count: job.pending.len() as u32,
             zones: job.zones.clone(),
             machines: vec![],
         };
-        let Some(assignment) = self.search_missing(job) else {
+        let Some(assignment) = self.search_unmet(job) else {
             return unmet;
         };
         unmet.count -= assignment.tasks.len() as u32;
         for (machine, index) in &assignment.victims {
             let freed = self.machines[*machine].tasks[*index].resources;
-            self.promised[*machine].sub(freed);
+            self.earmarked[*machine].sub(freed);
             self.prospective_victims[*machine].push(*index);
         }
         let with_victims = assignment.victims.iter().map(|(machine, _)| *machine);
@@ -333,22 +340,22 @@
             let view = &self.machines[*machine];
             *unmet.zones.entry(view.zone.clone()).or_insert(0) += 1;
             unmet.machines.push(view.name.clone());
-            self.promised[*machine].add(demand);
+            self.earmarked[*machine].add(demand);
         }
-        self.counting_missing = true;
-        self.update_room(&changed);
-        self.counting_missing = false;
+        self.is_counting_unmet = true;
+        self.update_capacity(&changed);
+        self.is_counting_unmet = false;
         unmet
     }
 
-    fn search_missing(&mut self, job: &JobView) -> Option<Assignment> {
-        self.counting_missing = true;
+    fn search_unmet(&mut self, job: &JobView) -> Option<Assignment> {
+        self.is_counting_unmet = true;
         let mut found = self.search(job, &job.pending, SearchMode::Free, 0);
         let short = |found: &Assignment| found.tasks.len() < job.pending.len();
         if job.incomplete && found.as_ref().is_none_or(short) {
             found = self.search(job, &job.pending, SearchMode::WithVictims, 0);
         }
-        self.counting_missing = false;
+        self.is_counting_unmet = false;
         found
     }
 }
--- a/src/plan/decision.rs
+++ b/src/plan/decision.rs
@@ -14,7 +14,7 @@
     pub tasks: Vec<(u32, Arc<str>)>,
 }
 
-/// A task that is to be stopped to make room.
+/// A task that is to be stopped to make capacity.
 #[derive(Debug, Clone, PartialEq)]
 pub struct PlannedStop {
     /// The victim's job.
@@ -23,14 +23,14 @@
     pub task: u32,
     /// The victim's machine.
     pub machine: Arc<str>,
-    /// The job that needs the room.
+    /// The job that needs the capacity.
     pub preemptor: Arc<str>,
 }
 
-/// Room that is to be held until the victims have left.
+/// Capacity that is to be held until the victims have left.
 #[derive(Debug, Clone, PartialEq)]
 pub struct PlannedReservation {
-    /// The job that needs the room.
+    /// The job that needs the capacity.
     pub job: Arc<str>,
     /// The machine.
     pub machine: Arc<str>,
@@ -45,19 +45,19 @@
     pub placements: Vec<PlannedPlacement>,
     /// Victims.
     pub stops: Vec<PlannedStop>,
-    /// Room that is held for those who need the victims' room.
+    /// Capacity that is held for those who need the victims' capacity.
     pub reservations: Vec<PlannedReservation>,
-    /// Gangs without room: they back off.
+    /// Gangs without capacity: they back off.
     pub failed: Vec<Arc<str>>,
     /// Arrays that skipped free machines for want of their image.
-    pub skipped_machines: Vec<Arc<str>>,
+    pub skipped_uncached_machines: Vec<Arc<str>>,
     /// Tasks for which machines would have to be rented, in queue order.
     pub unmet: Vec<UnmetDemand>,
     /// How often the cycle looked at a machine for a job: what it cost.
     pub machines_examined: u64,
 }
 
-/// Tasks of a job that found no room, and where the others are or would be.
+/// Tasks of a job that found no capacity, and where the others are or would be.
 #[derive(Debug, Clone, PartialEq)]
 pub struct UnmetDemand {
     /// The job.
--- a/src/plan/mod.rs
+++ b/src/plan/mod.rs
@@ -1,14 +1,14 @@
 //! The gang cycle: a pure function from a snapshot to placements, victims and
-//! held room. Nothing here knows of sockets, clocks or records.
+//! held capacity. Nothing here knows of sockets, clocks or records.
 
+mod capacity_index;
+mod capacity_tracker;
 mod cycle;
 mod cycle_state;
 mod decision;
 mod image_map;
 mod order;
 mod resources;
-mod room_index;
-mod room_ledger;
 mod search;
 mod snapshot;
 mod victims;
--- a/src/plan/order.rs
+++ b/src/plan/order.rs
@@ -7,10 +7,10 @@
 
 /// What jobs are ordered by, the most important first.
 struct OrderKey<'a> {
-    beyond_guarantee: bool,
+    exceeds_nominal_quota: bool,
     priority: Reverse<Priority>,
-    /// It has missed all aims and has nothing to lose by waiting.
-    lost: bool,
+    /// It has missed all objectives and has nothing to lose by waiting.
+    has_missed_objectives: bool,
     slack_s: f64,
     ready_at_s: f64,
     id: &'a str,
@@ -23,9 +23,9 @@
         let work_s = job.pending.len() as f64 * job.spec.expected_s;
         let start_by_s = job.start_by_s.unwrap_or(job.ready_at_s);
         OrderKey {
-            beyond_guarantee: !team.is_some_and(|team| team.within_guarantee()),
+            exceeds_nominal_quota: !team.is_some_and(|team| team.is_within_nominal_quota()),
             priority: Reverse(job.spec.priority),
-            lost: job.start_by_s.is_none() && !job.overdue,
+            has_missed_objectives: job.start_by_s.is_none() && !job.overdue,
             slack_s: if job.overdue {
                 f64::NEG_INFINITY
             } else {
@@ -37,8 +37,16 @@
     }
 
     fn compare(&self, other: &OrderKey) -> Ordering {
-        let first = (self.beyond_guarantee, self.priority, self.lost);
-        let second = (other.beyond_guarantee, other.priority, other.lost);
+        let first = (
+            self.exceeds_nominal_quota,
+            self.priority,
+            self.has_missed_objectives,
+        );
+        let second = (
+            other.exceeds_nominal_quota,
+            other.priority,
+            other.has_missed_objectives,
+        );
         first
             .cmp(&second)
             .then(self.slack_s.total_cmp(&other.slack_s))
@@ -47,7 +55,7 @@
     }
 }
 
-/// The indexes of the snapshot's jobs in queue order: teams within their guarantee, then
+/// The indexes of the snapshot's jobs in queue order: teams within their nominal quota, then
 /// priority, then what has been overtaken for too long, then the least slack and work,
 /// then age.
 pub(super) fn queue_order(snapshot: &Snapshot) -> Vec<usize> {
--- a/src/plan/search.rs
+++ b/src/plan/search.rs
@@ -1,6 +1,6 @@
 //! The search for places for a job's tasks.
 //!
-//! The machines come from the indexes of [`RoomLedger`](super::room_ledger::RoomLedger) in
+//! The machines come from the indexes of [`CapacityTracker`](super::capacity_tracker::CapacityTracker) in
 //! the order of what a place on them costs, so a search costs by what it takes and not by
 //! how many machines there are.
 
@@ -16,7 +16,7 @@
 pub(super) enum SearchMode {
     /// Where its image is, or is on its way.
     Cached,
-    /// Where there is room.
+    /// Where there is capacity.
     Free,
     /// Also where others would have to go.
     WithVictims,
@@ -29,8 +29,8 @@
     pub tasks: Vec<(u32, usize)>,
     /// Tasks that would have to go.
     pub victims: Vec<TaskIndex>,
-    /// A machine with room was skipped, as it lacks the image.
-    pub skipped_machines: bool,
+    /// A machine with capacity was skipped, as it lacks the image.
+    pub skipped_uncached_machines: bool,
 }
 
 impl CycleState {
@@ -44,16 +44,16 @@
         min_count: usize,
     ) -> Option<Assignment> {
         let preemptor = Preemptor::new(self, job);
-        self.ensure_room();
-        if mode != SearchMode::WithVictims && self.room().is_full() {
+        self.ensure_capacity();
+        if mode != SearchMode::WithVictims && self.capacity().is_full() {
             // On a full fleet nothing need be prepared for the many jobs that wait.
             return (min_count == 0).then(Assignment::default);
         }
         self.prepare_image(&job.spec.image);
-        self.prepare_room(|ledger, state| {
-            ledger.prepare_image(state, job);
+        self.prepare_capacity(|tracker, state| {
+            tracker.prepare_image(state, job);
             if mode == SearchMode::WithVictims {
-                ledger.prepare_offers(state, &preemptor);
+                tracker.prepare_candidates(state, &preemptor);
             }
         });
         let query = Query {
@@ -74,10 +74,10 @@
         for zone in self.possible_zones(job) {
             let found = self.search_zone(query, pending, Some(zone));
             let Some(found) = found else { continue };
-            let cost_s = self.placement_cost_s(job, &found);
+            let cost_s = self.assignment_cost_s(job, &found);
             let better = best.as_ref().is_none_or(|(other, other_cost_s)| {
-                let most_tasks = other.tasks.len().cmp(&found.tasks.len());
-                most_tasks
+                let tasks_if_preempted = other.tasks.len().cmp(&found.tasks.len());
+                tasks_if_preempted
                     .then(found.victims.len().cmp(&other.victims.len()))
                     .then(cost_s.total_cmp(other_cost_s))
                     .is_lt()
@@ -101,11 +101,11 @@
         zones
     }
 
-    fn placement_cost_s(&self, job: &JobView, assignment: &Assignment) -> f64 {
+    fn assignment_cost_s(&self, job: &JobView, assignment: &Assignment) -> f64 {
         let machines = assignment.tasks.iter().map(|(_, machine)| *machine);
         let costs = machines.map(|machine| {
             let fetch_cost_s = self.fetch_cost_s(machine, job, self.has_image(machine, job));
-            fetch_cost_s + self.place_cost_s(machine, &job.spec, self.machines[machine].total)
+            fetch_cost_s + self.placement_cost_s(machine, &job.spec, self.machines[machine].total)
         });
         costs.sum()
     }
@@ -126,7 +126,7 @@
 
     /// The cost of a place, fetches aside: a penalty for an on-demand machine where a spot one
     /// would do, and what is left over.
-    pub fn place_cost_s(&self, machine: usize, spec: &JobSpec, free: Resources) -> f64 {
+    pub fn placement_cost_s(&self, machine: usize, spec: &JobSpec, free: Resources) -> f64 {
         let view = &self.machines[machine];
         let penalty_s = if spec.spot && !view.spot {
             self.on_demand_penalty_s
@@ -168,9 +168,9 @@
             let Some(candidate) = candidate else { break };
             search.take(*task, candidate, &mut found, &mut free, &mut with_victims);
         }
-        found.skipped_machines = query.mode == SearchMode::Cached
+        found.skipped_uncached_machines = query.mode == SearchMode::Cached
             && found.tasks.len() < pending.len()
-            && search.has_room_without_image();
+            && search.has_uncached_capacity();
         (found.tasks.len() >= min_count).then_some(found)
     }
 }
--- a/src/plan/snapshot.rs
+++ b/src/plan/snapshot.rs
@@ -31,7 +31,7 @@
     pub running_since_s: Option<f64>,
 }
 
-/// Room that is held on a machine for a gang.
+/// Capacity that is held on a machine for a gang.
 #[derive(Debug, Clone)]
 pub struct Reservation {
     /// The gang.
@@ -65,7 +65,7 @@
     pub tasks: Vec<TaskView>,
     /// The lowest priority among those that could be stopped.
     pub lowest_priority: Option<Priority>,
-    /// Room held for gangs whose victims are still leaving.
+    /// Capacity held for gangs whose victims are still leaving.
     pub reservations: Vec<Reservation>,
 }
 
@@ -84,16 +84,16 @@
     pub spec: Arc<JobSpec>,
     /// Tasks without a place.
     pub pending: Vec<u32>,
-    /// Since when its aims count, in seconds on the planner's clock.
+    /// Since when its objectives count, in seconds on the planner's clock.
     pub ready_at_s: f64,
-    /// When it should have started to meet the next of its aims; `None` if
+    /// When it should have started to meet the next of its objectives; `None` if
     /// all are missed.
     pub start_by_s: Option<f64>,
     /// Where its tasks are, those of an old attempt included.
     pub zones: ZoneCounts,
     /// Machines on which it failed.
     pub avoided_machines: HashSet<Arc<str>>,
-    /// It takes no part in this cycle, but the room that is held for it stays.
+    /// It takes no part in this cycle, but the capacity that is held for it stays.
     pub backing_off: bool,
     /// A gang of which some places are not proven empty yet: it takes no part,
     /// either, but will come back with victims if it has to.
@@ -102,10 +102,10 @@
     pub overdue: bool,
     /// May still skip a machine without its image in favour of another job that has its
     /// own there.
-    pub skips_uncached: bool,
+    pub prefers_cached: bool,
 }
 
-/// A team's use, guarantee and limit.
+/// A team's use, nominal quota and limit.
 #[derive(Debug, Clone, Default)]
 pub struct TeamView {
     /// CPUs in use.
@@ -117,13 +117,13 @@
     /// Most GPUs; 0 for no limit.
     pub gpus_max: f64,
     /// Guaranteed CPUs.
-    pub cpus_guaranteed: f64,
+    pub nominal_cpus: f64,
     /// Guaranteed GPUs.
-    pub gpus_guaranteed: f64,
+    pub nominal_gpus: f64,
     /// CPUs that all of its unfinished jobs ask for.
-    pub cpus_demanded: f64,
+    pub requested_cpus: f64,
     /// GPUs that all of its unfinished jobs ask for.
-    pub gpus_demanded: f64,
+    pub requested_gpus: f64,
 }
 
 impl TeamView {
@@ -143,22 +143,22 @@
         by_cpus.min(by_gpus) as u32
     }
 
-    /// All unfinished work fits into the guarantee.
-    pub(super) fn within_guarantee(&self) -> bool {
-        (self.cpus_guaranteed > 0.0 || self.gpus_guaranteed > 0.0)
-            && self.cpus_demanded <= self.cpus_guaranteed + EPSILON
-            && self.gpus_demanded <= self.gpus_guaranteed + EPSILON
+    /// All unfinished work fits into the nominal quota.
+    pub(super) fn is_within_nominal_quota(&self) -> bool {
+        (self.nominal_cpus > 0.0 || self.nominal_gpus > 0.0)
+            && self.requested_cpus <= self.nominal_cpus + EPSILON
+            && self.requested_gpus <= self.nominal_gpus + EPSILON
     }
 
     /// It uses no more than its limit.
-    pub fn within_limit(&self) -> bool {
+    pub fn is_within_limit(&self) -> bool {
         let within = |max: f64, used: f64| max <= 0.0 || used <= max + EPSILON;
         within(self.cpus_max, self.cpus) && within(self.gpus_max, self.gpus)
     }
 
-    /// It uses more than its guarantee.
-    pub(super) fn borrows(&self) -> bool {
-        self.cpus > self.cpus_guaranteed + EPSILON || self.gpus > self.gpus_guaranteed + EPSILON
+    /// It uses more than its nominal quota.
+    pub(super) fn borrows_quota(&self) -> bool {
+        self.cpus > self.nominal_cpus + EPSILON || self.gpus > self.nominal_gpus + EPSILON
     }
 
     /// One more task with this demand stays within the limit.
--- a/src/plan/victims.rs
+++ b/src/plan/victims.rs
@@ -1,4 +1,4 @@
-//! Which tasks would have to go to make room for a job, and what that costs.
+//! Which tasks would have to go to make capacity for a job, and what that costs.
 
 use std::collections::{btree_set, BTreeSet, HashMap, HashSet};
 use std::sync::Arc;
@@ -13,8 +13,8 @@
 pub(super) struct Preemptor {
     pub job: Arc<str>,
     pub spec: Arc<JobSpec>,
-    /// All unfinished work of its team fits into the guarantee.
-    pub within_guarantee: bool,
+    /// All unfinished work of its team fits into the nominal quota.
+    pub is_within_nominal_quota: bool,
 }
 
 impl Preemptor {
@@ -22,7 +22,7 @@
         Preemptor {
             job: job.id.clone(),
             spec: job.spec.clone(),
-            within_guarantee: state.within_guarantee(&job.spec.team),
+            is_within_nominal_quota: state.is_within_nominal_quota(&job.spec.team),
         }
     }
 
@@ -31,13 +31,13 @@
         let alike = Resources::of(&self.spec) == Resources::of(&other.spec)
             && self.spec.priority == other.spec.priority
             && self.spec.spot == other.spec.spot;
-        // What is borrowed from a guarantee is the team's own matter.
-        let same_claim = !self.within_guarantee || self.job == other.job;
-        alike && self.within_guarantee == other.within_guarantee && same_claim
+        // What is borrowed from a nominal quota is the team's own matter.
+        let same_quota = !self.is_within_nominal_quota || self.job == other.job;
+        alike && self.is_within_nominal_quota == other.is_within_nominal_quota && same_quota
     }
 }
 
-/// The tasks that make room for one more task on a machine.
+/// The tasks that make capacity for one more task on a machine.
 #[derive(Debug)]
 pub(super) struct VictimChoice {
     /// What stopping them wastes and what is left over, in seconds; fetches aside.
@@ -47,18 +47,18 @@
 }
 
 impl CycleState {
-    /// Whether a task may be stopped to make room for a job: it has a lower priority, or
-    /// it runs on room that its team borrows from the job's.
-    pub fn may_stop(&self, task: TaskIndex, preemptor: &Preemptor) -> bool {
+    /// Whether a task may be stopped to make capacity for a job: it has a lower priority, or
+    /// it runs on capacity that its team borrows from the job's.
+    pub fn may_preempt(&self, task: TaskIndex, preemptor: &Preemptor) -> bool {
         let view = &self.machines[task.0].tasks[task.1];
         let borrowed = || {
             let team = self.teams.get(&*view.team);
-            *view.team != *preemptor.spec.team && team.is_some_and(TeamView::borrows)
+            *view.team != *preemptor.spec.team && team.is_some_and(TeamView::borrows_quota)
         };
         view.stoppable
             && view.job != preemptor.job
             && (view.priority < preemptor.spec.priority
-                || (preemptor.within_guarantee && borrowed()))
+                || (preemptor.is_within_nominal_quota && borrowed()))
             && !self.is_victim(task)
     }
 
@@ -66,24 +66,24 @@
     fn has_no_victims(&self, machine: usize, preemptor: &Preemptor) -> bool {
         let lowest = self.machines[machine].lowest_priority;
         let none_lower = lowest.is_none_or(|lowest| lowest >= preemptor.spec.priority);
-        !preemptor.within_guarantee && none_lower
+        !preemptor.is_within_nominal_quota && none_lower
     }
 
     /// How many tasks of a job a machine would hold with all gone that may be stopped.
-    pub fn most_tasks(&self, machine: usize, preemptor: &Preemptor) -> u32 {
+    pub fn tasks_if_preempted(&self, machine: usize, preemptor: &Preemptor) -> u32 {
         self.note_examined();
-        let mut room = self.free_for(machine, &preemptor.job, preemptor.spec.priority);
+        let mut capacity = self.free_for(machine, &preemptor.job, preemptor.spec.priority);
         if !self.has_no_victims(machine, preemptor) {
             for (index, task) in self.machines[machine].tasks.iter().enumerate() {
-                if self.may_stop((machine, index), preemptor) {
-                    room.add(task.resources);
+                if self.may_preempt((machine, index), preemptor) {
+                    capacity.add(task.resources);
                 }
             }
         }
-        room.count_of(Resources::of(&preemptor.spec))
+        capacity.count_of(Resources::of(&preemptor.spec))
     }
 
-    /// The victims that make room for one task on a machine with this free room, and what
+    /// The victims that make capacity for one task on a machine with this free capacity, and what
     /// that costs. `taken`: victims that the search has chosen already.
     pub fn choose_victims(
         &self,
@@ -98,7 +98,7 @@
             return None;
         }
         let view = &self.machines[machine];
-        let lost_s = |index: usize| {
+        let waste_s = |index: usize| {
             let task = &view.tasks[index];
             let ran_s = |since_s: f64| (self.now_s - since_s).max(0.0);
             task.stop_cost_s + task.running_since_s.map_or(0.0, ran_s)
@@ -106,33 +106,33 @@
         let mut possible: Vec<usize> = (0..view.tasks.len())
             .filter(|index| {
                 let task = (machine, *index);
-                !taken.contains(&task) && self.may_stop(task, preemptor)
+                !taken.contains(&task) && self.may_preempt(task, preemptor)
             })
             .collect();
         possible.sort_by(|a, b| {
             let priorities = view.tasks[*a].priority.cmp(&view.tasks[*b].priority);
-            priorities.then(lost_s(*a).total_cmp(&lost_s(*b)))
+            priorities.then(waste_s(*a).total_cmp(&waste_s(*b)))
         });
-        let mut room = free;
+        let mut capacity = free;
         let mut victims = Vec::new();
         for index in possible {
-            if room.fits(demand) {
+            if capacity.fits(demand) {
                 break;
             }
-            room.add(view.tasks[index].resources);
+            capacity.add(view.tasks[index].resources);
             victims.push(index);
         }
-        if !room.fits(demand) {
+        if !capacity.fits(demand) {
             return None;
         }
         // What stopping wastes counts by the share of the machine.
-        let waste_s = |index: &usize| {
+        let weighted_waste_s = |index: &usize| {
             let share = view.tasks[*index].resources.share_of(view.total);
-            (lost_s(*index) + 1.0) * share
+            (waste_s(*index) + 1.0) * share
         };
-        let wasted_s = victims.iter().map(waste_s).sum::<f64>();
+        let wasted_s = victims.iter().map(weighted_waste_s).sum::<f64>();
         Some(VictimChoice {
-            cost_s: wasted_s + self.place_cost_s(machine, &preemptor.spec, room),
+            cost_s: wasted_s + self.placement_cost_s(machine, &preemptor.spec, capacity),
             victims,
         })
     }
@@ -140,32 +140,32 @@
 
 /// Costs, which are not negative, so that their bits are in the order of their values, with
 /// machines.
-type OfferOrder = BTreeSet<(u64, usize)>;
+type CandidateOrder = BTreeSet<(u64, usize)>;
 
-/// What machines offer to jobs that may stop others: on which there would be room for one
+/// What machines offer to jobs that may stop others: on which there would be capacity for one
 /// more task, the cheapest first, fetches aside.
 #[derive(Debug, Clone)]
-pub(super) struct Offers {
+pub(super) struct PreemptionCandidates {
     preemptor: Preemptor,
-    ordered: OfferOrder,
+    ordered: CandidateOrder,
     /// Of these the ones that have an image, for the images that were asked for.
-    by_image: HashMap<Arc<str>, OfferOrder>,
+    by_image: HashMap<Arc<str>, CandidateOrder>,
     cost_of: HashMap<usize, u64>,
 }
 
-impl Offers {
-    /// What all machines offer to those who hold no room there.
-    pub fn new(state: &CycleState, preemptor: Preemptor) -> Offers {
-        let mut offers = Offers {
+impl PreemptionCandidates {
+    /// What all machines offer to those who hold no capacity there.
+    pub fn new(state: &CycleState, preemptor: Preemptor) -> PreemptionCandidates {
+        let mut candidates = PreemptionCandidates {
             preemptor,
-            ordered: OfferOrder::new(),
+            ordered: CandidateOrder::new(),
             by_image: HashMap::new(),
             cost_of: HashMap::new(),
         };
         for machine in 0..state.machines.len() {
-            offers.update(state, machine);
+            candidates.update(state, machine);
         }
-        offers
+        candidates
     }
 
     /// Whether they hold for another job, too.
@@ -179,9 +179,10 @@
             return;
         }
         let machines = state.machines_with_image(image).iter();
-        let offered = machines.filter_map(|machine| Some((*self.cost_of.get(machine)?, *machine)));
-        let offered = offered.collect();
-        self.by_image.insert(image.into(), offered);
+        let candidate =
+            machines.filter_map(|machine| Some((*self.cost_of.get(machine)?, *machine)));
+        let candidate = candidate.collect();
+        self.by_image.insert(image.into(), candidate);
     }
 
     /// Something about a machine has changed.
@@ -196,7 +197,7 @@
         }
         let images = state.machines[machine].images.iter();
         let by_image = &mut self.by_image;
-        let replace = |order: &mut OfferOrder| {
+        let replace = |order: &mut CandidateOrder| {
             if let Some(known) = known {
                 order.remove(&(known, machine));
             }
@@ -218,21 +219,21 @@
     }
 
     /// Machines with what a place costs on them, the cheapest first.
-    pub fn iter(&self) -> OfferIter<'_> {
-        OfferIter(self.ordered.iter())
+    pub fn iter(&self) -> CandidateIter<'_> {
+        CandidateIter(self.ordered.iter())
     }
 
     /// The same for those that have an image, once prepared.
-    pub fn iter_with_image(&self, image: &str) -> Option<OfferIter<'_>> {
+    pub fn iter_with_image(&self, image: &str) -> Option<CandidateIter<'_>> {
         let ordered = self.by_image.get(image)?;
-        Some(OfferIter(ordered.iter()))
+        Some(CandidateIter(ordered.iter()))
     }
 }
 
-/// Offers, the cheapest first.
-pub(super) struct OfferIter<'a>(btree_set::Iter<'a, (u64, usize)>);
+/// Preemption candidates, the cheapest first.
+pub(super) struct CandidateIter<'a>(btree_set::Iter<'a, (u64, usize)>);
 
-impl Iterator for OfferIter<'_> {
+impl Iterator for CandidateIter<'_> {
     type Item = (f64, usize);
 
     fn next(&mut self) -> Option<(f64, usize)> {
--- a/src/plan/zone_search.rs
+++ b/src/plan/zone_search.rs
@@ -5,19 +5,19 @@
 use std::collections::{BTreeSet, BinaryHeap, HashMap, HashSet};
 use std::iter::Peekable;
 
+use super::capacity_index::{BucketIter, CapacityIndex};
 use super::cycle_state::{CycleState, TaskIndex};
 use super::image_map::ImageMachines;
 use super::resources::Resources;
-use super::room_index::{RoomIndex, ShelfIter};
 use super::search::{Assignment, Query, SearchMode};
 use super::snapshot::{is_allowed, tasks_per_zone_max, JobView, ZoneCounts};
-use super::victims::{OfferIter, Preemptor};
+use super::victims::{CandidateIter, Preemptor};
 
 /// A machine that could take a task, at a cost in seconds; the lowest first out of a heap.
 pub(super) struct Candidate {
     cost_s: f64,
     machine: usize,
-    /// The free room that the cost was calculated for.
+    /// The free capacity that the cost was calculated for.
     free: Resources,
     /// Indexes of tasks that would have to go.
     victims: Vec<usize>,
@@ -27,12 +27,12 @@
 /// Where a candidate comes from.
 #[derive(Clone, Copy, PartialEq)]
 enum Origin {
-    /// From a source of machines with room, which then gives its next.
+    /// From a source of machines with capacity, which then gives its next.
     Source(usize),
     /// From an offer: its victims have yet to be chosen.
-    Offer,
+    Preemption,
     /// It was looked at by itself.
-    Look,
+    Examined,
 }
 
 impl PartialEq for Candidate {
@@ -60,12 +60,12 @@
 
 /// Machines in the order of what a place on them costs.
 struct Source<'a> {
-    machines: ShelfIter<'a>,
+    machines: BucketIter<'a>,
     /// All of them have the image.
     has_image: bool,
 }
 
-/// Machines with room, the cheapest first.
+/// Machines with capacity, the cheapest first.
 pub(super) struct FreeMachines<'a> {
     sources: Vec<Source<'a>>,
     heap: BinaryHeap<Candidate>,
@@ -74,9 +74,9 @@
 /// Machines on which others would have to go, the cheapest first.
 pub(super) struct VictimMachines<'a> {
     /// What those with the image offer.
-    with_image: Option<Peekable<OfferIter<'a>>>,
+    with_image: Option<Peekable<CandidateIter<'a>>>,
     /// What all offer, fetches not counted.
-    all: Option<Peekable<OfferIter<'a>>>,
+    all: Option<Peekable<CandidateIter<'a>>>,
     /// What a fetch of the image costs at least.
     fetch_min_s: f64,
     heap: BinaryHeap<Candidate>,
@@ -91,10 +91,10 @@
     demand: Resources,
     mode: SearchMode,
     kind_allowed: Vec<bool>,
-    /// Machines on which the job has room that the indexes don't know of: what is held for
+    /// Machines on which the job has capacity that the indexes don't know of: what is held for
     /// itself, or for less urgent ones.
-    more_room: BTreeSet<usize>,
-    /// Free room on machines that have been given tasks.
+    extra_capacity: BTreeSet<usize>,
+    /// Free capacity on machines that have been given tasks.
     free: HashMap<usize, Resources>,
     /// Victims chosen so far.
     taken: HashSet<TaskIndex>,
@@ -112,11 +112,11 @@
         };
         let kind_allowed: Vec<bool> = state.kinds.iter().map(allowed).collect();
         let held = state.machines_held_for(job).iter().copied();
-        let less_urgent = state.room().reserved_below(job.spec.priority);
-        let more_room = held.chain(less_urgent);
-        let more_room = more_room.filter(|machine| kind_allowed[state.kind_of[*machine]]);
+        let less_urgent = state.capacity().reserved_below(job.spec.priority);
+        let extra_capacity = held.chain(less_urgent);
+        let extra_capacity = extra_capacity.filter(|machine| kind_allowed[state.kind_of[*machine]]);
         Search {
-            more_room: more_room.collect(),
+            extra_capacity: extra_capacity.collect(),
             state,
             job,
             preemptor: query.preemptor,
@@ -137,12 +137,12 @@
     }
 
     /// The cost of a place: seconds of fetching, and of what else
-    /// [`CycleState::place_cost_s`] counts. `is_fetching`: another task of the job is to go
+    /// [`CycleState::placement_cost_s`] counts. `is_fetching`: another task of the job is to go
     /// there, and its image.
     fn cost_s(&self, machine: usize, free: Resources, is_fetching: bool) -> f64 {
         let has_image = is_fetching || self.has_image(machine);
-        let place_cost_s = self.state.place_cost_s(machine, &self.job.spec, free);
-        self.state.fetch_cost_s(machine, self.job, has_image) + place_cost_s
+        let placement_cost_s = self.state.placement_cost_s(machine, &self.job.spec, free);
+        self.state.fetch_cost_s(machine, self.job, has_image) + placement_cost_s
     }
 
     fn is_allowed(&self, machine: usize) -> bool {
@@ -157,38 +157,40 @@
 
     /// Whether all machines together hold so many tasks, with all gone that may be stopped.
     pub fn can_hold(&self, count: usize) -> bool {
-        let offers = self.state.room().offers_for(self.preemptor);
-        let offering = offers.into_iter().flat_map(|offers| offers.iter());
-        let offering = offering.map(|(_, machine)| machine);
-        let offering = offering.filter(|machine| !self.more_room.contains(machine));
+        let candidates = self.state.capacity().candidates_for(self.preemptor);
+        let preemptable = candidates
+            .into_iter()
+            .flat_map(|candidates| candidates.iter());
+        let preemptable = preemptable.map(|(_, machine)| machine);
+        let preemptable = preemptable.filter(|machine| !self.extra_capacity.contains(machine));
         let mut held = 0;
-        for machine in self.more_room.iter().copied().chain(offering) {
+        for machine in self.extra_capacity.iter().copied().chain(preemptable) {
             if held >= count as u64 {
                 break;
             }
             if !self.is_allowed(machine) {
                 continue;
             }
-            held += u64::from(self.state.most_tasks(machine, self.preemptor));
+            held += u64::from(self.state.tasks_if_preempted(machine, self.preemptor));
         }
         held >= count as u64
     }
 
-    /// The machines with room for a task.
+    /// The machines with capacity for a task.
     pub fn free_machines(&self) -> FreeMachines<'a> {
-        let ledger = self.state.room();
+        let tracker = self.state.capacity();
         let totals = &self.state.kind_totals;
-        let shelves = |index: &'a RoomIndex, has_image| {
-            let shelves = index.shelves_for(self.demand, &self.kind_allowed, totals);
-            shelves.into_iter().map(move |machines| Source {
+        let buckets = |index: &'a CapacityIndex, has_image| {
+            let buckets = index.buckets_for(self.demand, &self.kind_allowed, totals);
+            buckets.into_iter().map(move |machines| Source {
                 machines,
                 has_image,
             })
         };
-        let with_image = ledger.with_image(self.job).into_iter();
-        let mut sources: Vec<Source> = with_image.flat_map(|index| shelves(index, true)).collect();
+        let with_image = tracker.with_image(self.job).into_iter();
+        let mut sources: Vec<Source> = with_image.flat_map(|index| buckets(index, true)).collect();
         if self.mode != SearchMode::Cached {
-            sources.extend(shelves(&ledger.all, false));
+            sources.extend(buckets(&tracker.all, false));
         }
         let mut free = FreeMachines {
             heap: BinaryHeap::new(),
@@ -197,20 +199,21 @@
         for source in 0..free.sources.len() {
             self.advance(&mut free, source);
         }
-        for machine in self.more_room.iter().copied() {
-            let room = self.free_for(machine);
+        for machine in self.extra_capacity.iter().copied() {
+            let capacity = self.free_for(machine);
             if !self.is_allowed(machine) {
                 continue;
             }
             let cached = self.mode != SearchMode::Cached || self.has_image(machine);
-            if room.fits(self.demand) && cached {
-                free.heap.push(self.free_candidate(machine, room, false));
+            if capacity.fits(self.demand) && cached {
+                free.heap
+                    .push(self.free_candidate(machine, capacity, false));
             }
         }
         free
     }
 
-    /// Takes the next machine with room out of a source.
+    /// Takes the next machine with capacity out of a source.
     fn advance(&self, free: &mut FreeMachines, source: usize) {
         let Source {
             machines,
@@ -218,18 +221,20 @@
         } = &mut free.sources[source];
         for machine in machines {
             self.state.note_examined();
-            let room = self.free_for(machine);
+            let capacity = self.free_for(machine);
             let name = &self.state.machines[machine].name;
             let avoided = self.job.avoided_machines.contains(name);
-            if !room.fits(self.demand) || avoided || self.more_room.contains(&machine) {
+            if !capacity.fits(self.demand) || avoided || self.extra_capacity.contains(&machine) {
                 continue;
             }
             let fetch_cost_s = self.state.fetch_cost_s(machine, self.job, *has_image);
-            let place_cost_s = self.state.place_cost_s(machine, &self.job.spec, room);
+            let placement_cost_s = self
+                .state
+                .placement_cost_s(machine, &self.job.spec, capacity);
             free.heap.push(Candidate {
-                cost_s: fetch_cost_s + place_cost_s,
+                cost_s: fetch_cost_s + placement_cost_s,
                 machine,
-                free: room,
+                free: capacity,
                 victims: vec![],
                 origin: Origin::Source(source),
             });
@@ -237,13 +242,13 @@
         }
     }
 
-    /// Whether a machine without the image has room for a task.
-    pub fn has_room_without_image(&self) -> bool {
+    /// Whether a machine without the image has capacity for a task.
+    pub fn has_uncached_capacity(&self) -> bool {
         let totals = &self.state.kind_totals;
-        let all = &self.state.room().all;
-        let shelves = all.shelves_for(self.demand, &self.kind_allowed, totals);
-        let machines = shelves.into_iter().flatten();
-        let machines = machines.chain(self.more_room.iter().copied());
+        let all = &self.state.capacity().all;
+        let buckets = all.buckets_for(self.demand, &self.kind_allowed, totals);
+        let machines = buckets.into_iter().flatten();
+        let machines = machines.chain(self.extra_capacity.iter().copied());
         let mut without_image = machines.filter(|machine| {
             self.is_allowed(*machine)
                 && !self.has_image(*machine)
@@ -258,11 +263,11 @@
             machine,
             free,
             victims: vec![],
-            origin: Origin::Look,
+            origin: Origin::Examined,
         }
     }
 
-    fn zone_has_room(&self, machine: usize) -> bool {
+    fn zone_has_capacity(&self, machine: usize) -> bool {
         let used = || {
             let zone = &self.state.machines[machine].zone;
             self.zones.get(zone).copied().unwrap_or(0)
@@ -270,7 +275,7 @@
         self.zone_max == u32::MAX || used() < self.zone_max
     }
 
-    /// The cheapest machine with room as it is.
+    /// The cheapest machine with capacity as it is.
     pub fn next_free(&self, free: &mut FreeMachines) -> Option<Candidate> {
         while let Some(candidate) = free.heap.pop() {
             let mut has_image = true;
@@ -280,7 +285,8 @@
             }
             // What has the image comes, or came, from a source of those that do.
             let is_other = !has_image && self.has_image(candidate.machine);
-            if !is_other && self.is_current(&candidate) && self.zone_has_room(candidate.machine) {
+            if !is_other && self.is_current(&candidate) && self.zone_has_capacity(candidate.machine)
+            {
                 return Some(candidate);
             }
         }
@@ -294,15 +300,15 @@
         free.is_none_or(|free| *free == candidate.free)
     }
 
-    /// The machines that would have room if others went. Those that were given tasks, and
-    /// those with more room than the offers know of, are looked at one by one.
+    /// The machines that would have capacity if others went. Those that were given tasks, and
+    /// those with more capacity than the offers know of, are looked at one by one.
     pub fn victim_machines(&self) -> VictimMachines<'a> {
         let state = self.state;
-        let offers = state.room().offers_for(self.preemptor);
+        let candidates = state.capacity().candidates_for(self.preemptor);
         let given = self.free.keys().copied();
-        let more_room = self.more_room.iter().copied();
-        let more_room = more_room.filter(|machine| self.is_allowed(*machine));
-        let looked_at: HashSet<usize> = given.chain(more_room).collect();
+        let extra_capacity = self.extra_capacity.iter().copied();
+        let extra_capacity = extra_capacity.filter(|machine| self.is_allowed(*machine));
+        let examined: HashSet<usize> = given.chain(extra_capacity).collect();
         let candidate = |machine: usize| {
             let free = self.free.get(&machine).copied();
             let free = free.unwrap_or_else(|| self.free_for(machine));
@@ -310,25 +316,26 @@
         };
         let kinds = state.kinds.iter();
         let fetch_times = kinds.map(|machine| state.fetch_cost_s(*machine, self.job, false));
-        let with_image = offers.and_then(|offers| offers.iter_with_image(&self.job.spec.image));
+        let with_image =
+            candidates.and_then(|candidates| candidates.iter_with_image(&self.job.spec.image));
         VictimMachines {
             with_image: with_image.map(Iterator::peekable),
-            all: offers.map(|offers| offers.iter().peekable()),
+            all: candidates.map(|candidates| candidates.iter().peekable()),
             fetch_min_s: fetch_times.fold(f64::INFINITY, f64::min),
-            heap: looked_at.into_iter().filter_map(candidate).collect(),
+            heap: examined.into_iter().filter_map(candidate).collect(),
         }
     }
 
     /// The cheapest machine on which others would have to go.
     pub fn next_with_victims(&self, machines: &mut VictimMachines) -> Option<Candidate> {
         loop {
-            self.take_offers(machines);
+            self.take_candidates(machines);
             let mut candidate = machines.heap.pop()?;
-            if !self.zone_has_room(candidate.machine) {
+            if !self.zone_has_capacity(candidate.machine) {
                 continue;
             }
             let free = self.free.get(&candidate.machine).copied();
-            if candidate.origin == Origin::Offer && free.is_none() {
+            if candidate.origin == Origin::Preemption && free.is_none() {
                 match self.victim_candidate(candidate.machine, candidate.free) {
                     Some(checked) => candidate = checked,
                     None => continue,
@@ -344,7 +351,7 @@
     }
 
     /// Takes in offers that may be cheaper than all known.
-    fn take_offers(&self, machines: &mut VictimMachines) {
+    fn take_candidates(&self, machines: &mut VictimMachines) {
         let VictimMachines {
             with_image,
             all,
@@ -360,30 +367,31 @@
                     by_cost.then(machine.cmp(&best.machine)).is_lt()
                 })
             };
-            let cached = with_image.as_mut().and_then(|offers| {
-                offers.next_if(|(cost_s, machine)| may_be_first(*cost_s, *machine))
+            let cached = with_image.as_mut().and_then(|candidates| {
+                candidates.next_if(|(cost_s, machine)| may_be_first(*cost_s, *machine))
             });
             if let Some((cost_s, machine)) = cached {
-                heap.extend(self.offered(machine, cost_s, true));
+                heap.extend(self.candidate(machine, cost_s, true));
                 continue;
             }
-            let uncached = all.as_mut().and_then(|offers| {
-                offers.next_if(|(cost_s, machine)| may_be_first(cost_s + *fetch_min_s, *machine))
+            let uncached = all.as_mut().and_then(|candidates| {
+                candidates
+                    .next_if(|(cost_s, machine)| may_be_first(cost_s + *fetch_min_s, *machine))
             });
             let Some((cost_s, machine)) = uncached else {
                 return;
             };
             if !self.has_image(machine) {
-                heap.extend(self.offered(machine, cost_s, false));
+                heap.extend(self.candidate(machine, cost_s, false));
             }
         }
     }
 
     /// The offer of a machine that is as it was when the search began.
-    fn offered(&self, machine: usize, cost_s: f64, has_image: bool) -> Option<Candidate> {
+    fn candidate(&self, machine: usize, cost_s: f64, has_image: bool) -> Option<Candidate> {
         self.state.note_examined();
-        let looked_at = self.free.contains_key(&machine) || self.more_room.contains(&machine);
-        if looked_at || !self.is_allowed(machine) {
+        let examined = self.free.contains_key(&machine) || self.extra_capacity.contains(&machine);
+        if examined || !self.is_allowed(machine) {
             return None;
         }
         Some(Candidate {
@@ -391,11 +399,11 @@
             machine,
             free: self.free_for(machine),
             victims: vec![],
-            origin: Origin::Offer,
+            origin: Origin::Preemption,
         })
     }
 
-    /// The victims that make room for one task on a machine, and the cost.
+    /// The victims that make capacity for one task on a machine, and the cost.
     fn victim_candidate(&self, machine: usize, free: Resources) -> Option<Candidate> {
         let choice = self
             .state
@@ -406,11 +414,11 @@
             machine,
             free,
             victims: choice.victims,
-            origin: Origin::Look,
+            origin: Origin::Examined,
         })
     }
 
-    /// Gives a task its place, and puts the machine back with what room is left.
+    /// Gives a task its place, and puts the machine back with what capacity is left.
     pub fn take(
         &mut self,
         task: u32,
--- a/src/replica.rs
+++ b/src/replica.rs
@@ -1,4 +1,4 @@
-//! The local replica of the state service: live jobs, who leads, the epoch counter and
+//! The local watch cache of the state service: live jobs, who leads, the epoch counter and
 //! the format version, fed by a watch, and a bounded memory of how jobs ended.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
@@ -50,7 +50,7 @@
     pub version: u64,
 }
 
-/// What a change of the replica means to the rest of the program.
+/// What a change of the watch cache means to the rest of the program.
 #[derive(Debug, Clone, PartialEq)]
 pub enum ReplicaChange {
     /// A job's record is new or has changed.
@@ -61,7 +61,7 @@
     LeaderChanged,
 }
 
-/// The local replica of the state service.
+/// The local watch cache of the state service.
 #[derive(Debug, Default)]
 pub struct Replica {
     /// All of it has been read since the last restart.
--- a/src/scheduler/agent_status.rs
+++ b/src/scheduler/agent_status.rs
@@ -12,11 +12,11 @@
 use crate::wire::{self, AgentStatus, Command};
 
 /// How often a start on record is sent at most, before the place is given up.
-const SENDS_MAX: u32 = 3;
+const START_ATTEMPTS_MAX: u32 = 3;
 /// A machine that was answered within this share of a lease must not have lost it.
 const ANSWERED_LEASE_SHARE: (u64, u64) = (3, 4);
 /// Longest rests after failures, as powers of two.
-const REST_DOUBLINGS_MAX: u32 = 5;
+const FAILURE_DOUBLINGS_MAX: u32 = 5;
 const REFUSED_DOUBLINGS_MAX: u32 = 4;
 
 /// How a report came.
@@ -29,26 +29,26 @@
 }
 
 /// What a report says of a task on record.
-enum Finding {
+enum TaskObservation {
     /// The task is there, in this state.
     Present(TaskPhase),
     /// The task is not there, and its place is proven empty.
-    ProvenAbsent,
+    ConfirmedAbsent,
     /// The task is not there, but a start may still be on its way.
-    MayBeStarted,
+    MayStillStart,
 }
 
 /// What a report's tasks brought.
 #[derive(Default)]
 struct StatusEffects {
-    /// Room came free.
-    freed_room: bool,
+    /// Capacity came free.
+    freed_capacity: bool,
     /// A direct start may still be on its way.
     start_pending: bool,
 }
 
 impl Scheduler {
-    /// Takes in an agent's report. True if it tells of room that waiting tasks could have:
+    /// Takes in an agent's report. True if it tells of capacity that waiting tasks could have:
     /// an answer that waits a moment can carry their starts, instead of the next one a
     /// Heartbeat interval later.
     pub fn on_agent_status(
@@ -73,7 +73,7 @@
         let free = !machine.is_occupied()
             && (became_schedulable || machine.idle_since == Some(now) || report.tasks.is_empty());
         let mut effects = StatusEffects {
-            freed_room: free,
+            freed_capacity: free,
             start_pending: false,
         };
         // A report without our epoch may be a copy from before an earlier leader cleared a
@@ -85,7 +85,7 @@
             }
         }
         self.complete_status(&name, effects.start_pending, became_schedulable, now);
-        effects.freed_room && may_start && self.jobs_wait
+        effects.freed_capacity && may_start && self.has_pending_jobs
     }
 
     /// Takes the report into the machine's state. `None` if it is not new; else whether
@@ -113,7 +113,7 @@
             return None;
         }
         if had_orphans || machine.orphans().next().is_some() {
-            self.team_limits.on_change();
+            self.quota_cache.on_change();
         }
         self.last_status_at = now;
         let verifies = origin == StatusOrigin::DirectResponse && machine.reachability_unverified;
@@ -161,53 +161,53 @@
         if overtakes_second_start(placement, report, origin) {
             return;
         }
-        match self.finding(recorded, placement, report, origin) {
-            Finding::Present(TaskPhase::Exited(cause)) => {
+        match self.observe_task(recorded, placement, report, origin) {
+            TaskObservation::Present(TaskPhase::Exited(cause)) => {
                 let timed_out = cause == ExitCause::GangTimeout;
-                if timed_out && may_start && self.is_gathering(id, now) {
+                if timed_out && may_start && self.is_gang_forming(id, now) {
                     // The image of another took longer than it may wait. The
                     // answer clears it, then starts it anew: the attempt is
                     // the same, as the protocol has it for replacements.
                     self.restart_in_place(id, task);
                 } else {
-                    effects.freed_room = true;
+                    effects.freed_capacity = true;
                     self.on_exit(id, task, &report.machine, cause, now);
                 }
             }
-            Finding::Present(phase) => self.update_phase(recorded, report, phase, now),
-            Finding::MayBeStarted => {
+            TaskObservation::Present(phase) => self.update_phase(recorded, report, phase, now),
+            TaskObservation::MayStillStart => {
                 let direct = matches!(placement.delivery, Some(StartDelivery::Direct { .. }));
                 effects.start_pending |= direct;
             }
-            Finding::ProvenAbsent => {
+            TaskObservation::ConfirmedAbsent => {
                 // It is on record, so it may as well be started: also what
                 // an earlier leader did not come to.
                 let startable = placement.phase.is_none()
-                    && placement.sends < SENDS_MAX
+                    && placement.start_attempts < START_ATTEMPTS_MAX
                     && placement.stop.is_none();
                 let cancelled = self.jobs.get(&**id).is_none_or(|job| job.cancelled);
                 if startable
                     && may_start
                     && !cancelled
-                    && self.has_room_for(recorded, &report.machine)
+                    && self.has_capacity_for(recorded, &report.machine)
                 {
                     self.restart_in_place(id, task);
                 } else {
                     debug!("{} is not on {}", task_name(id, task), report.machine);
-                    effects.freed_room = true;
+                    effects.freed_capacity = true;
                     self.remove_placement(id, task, now);
                 }
             }
         }
     }
 
-    fn finding(
+    fn observe_task(
         &self,
         recorded: &BoundTask,
         placement: &Placement,
         report: &AgentStatus,
         origin: StatusOrigin,
-    ) -> Finding {
+    ) -> TaskObservation {
         let reported = self.machines[&report.machine]
             .reported_tasks
             .iter()
@@ -215,9 +215,9 @@
                 t.task == recorded.task && t.attempt == recorded.attempt && *t.job == *recorded.job
             });
         match reported {
-            Some(reported) => Finding::Present(reported.phase),
-            None if proves_absence(placement, report, origin) => Finding::ProvenAbsent,
-            None => Finding::MayBeStarted,
+            Some(reported) => TaskObservation::Present(reported.phase),
+            None if confirms_absence(placement, report, origin) => TaskObservation::ConfirmedAbsent,
+            None => TaskObservation::MayStillStart,
         }
     }
 
@@ -244,9 +244,11 @@
             placement.running_since = Some(now);
             machine.view = None;
         }
-        let was_fetching = placement.phase.is_none_or(|old| old == TaskPhase::Fetching);
+        let was_fetching = placement
+            .phase
+            .is_none_or(|old| old == TaskPhase::PullingImage);
         placement.phase = Some(phase);
-        if was_fetching && phase != TaskPhase::Fetching {
+        if was_fetching && phase != TaskPhase::PullingImage {
             let mut types = self.machine_types.iter();
             let machine_type = types.find(|t| t.name == report.machine_type);
             machine.add_image(&spec.image, spec.image_gb, machine_type);
@@ -281,16 +283,17 @@
     }
 
     /// Whether a place on record that is proven empty may still be used. Not if its
-    /// task was stopped to make room, the room was given to another and that recorded,
-    /// and the leader ended before it removed the first: then the machine's room or
+    /// task was stopped to make capacity, the capacity was given to another and that recorded,
+    /// and the leader ended before it removed the first: then the machine's capacity or
     /// the team's limit is given out twice.
-    fn has_room_for(&mut self, recorded: &BoundTask, machine: &str) -> bool {
+    fn has_capacity_for(&mut self, recorded: &BoundTask, machine: &str) -> bool {
         let machine = self.machines.get(machine);
         let (Some(machine), Some(job)) = (machine, self.jobs.get(&*recorded.job)) else {
             return false;
         };
         let spec = job.spec.clone();
-        self.free_resources(machine).fits(Resources::default()) && self.is_within_limit(&spec.team)
+        self.free_resources(machine).fits(Resources::default())
+            && self.is_team_within_limit(&spec.team)
     }
 
     /// A task has exited, or was refused.
@@ -299,11 +302,13 @@
         match cause {
             ExitCause::Done => self.on_task_done(id, task, machine),
             ExitCause::Error => self.on_task_error(id, task, machine, now),
-            ExitCause::NoRoom | ExitCause::InUse | ExitCause::UnknownTask => {
+            ExitCause::InsufficientCapacity | ExitCause::InUse | ExitCause::UnknownTask => {
                 let unit_s = self.cluster.workers.report_s / 4.0;
-                self.rest(id, unit_s, f64::INFINITY, now);
+                self.back_off_after_refusal(id, unit_s, f64::INFINITY, now);
+            }
+            ExitCause::GangTimeout => {
+                self.back_off_after_refusal(id, 1.0, self.operator.backoff_max_s, now)
             }
-            ExitCause::GangTimeout => self.rest(id, 1.0, self.operator.backoff_max_s, now),
             ExitCause::Stopped { .. } | ExitCause::GangMemberLost => {}
         }
         self.remove_placement(id, task, now);
@@ -348,23 +353,23 @@
             }
             at_fault
         });
-        if !machine_at_fault && now >= job.rest_until {
+        if !machine_at_fault && now >= job.retry_after {
             job.failures += 1;
-            let doublings = (job.failures - 1).min(REST_DOUBLINGS_MAX);
+            let doublings = (job.failures - 1).min(FAILURE_DOUBLINGS_MAX);
             let rest_s = report_s * f64::from(1u32 << doublings);
-            job.rest_until = now + to_ms(rest_s.min(lease_s));
+            job.retry_after = now + to_ms(rest_s.min(lease_s));
         }
     }
 
     /// A job rests after a refusal, twice as long each time.
-    fn rest(&mut self, id: &str, unit_s: f64, max_s: f64, now: u64) {
+    fn back_off_after_refusal(&mut self, id: &str, unit_s: f64, max_s: f64, now: u64) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
         job.failures += 1;
         let doublings = job.failures.min(REFUSED_DOUBLINGS_MAX);
         let rest_s = (unit_s * f64::from(1u32 << doublings)).min(max_s);
-        job.rest_until = now + to_ms(rest_s);
+        job.retry_after = now + to_ms(rest_s);
     }
 }
 
@@ -383,18 +388,18 @@
         return false;
     };
     let is_later_heartbeat = origin == StatusOrigin::Heartbeat && report.serial > serial;
-    placement.restarts && report.incarnation == incarnation && !is_later_heartbeat
+    placement.restarts_in_place && report.incarnation == incarnation && !is_later_heartbeat
 }
 
 /// Whether a report that lacks a task proves that its place is empty.
-fn proves_absence(placement: &Placement, report: &AgentStatus, origin: StatusOrigin) -> bool {
+fn confirms_absence(placement: &Placement, report: &AgentStatus, origin: StatusOrigin) -> bool {
     if placement.phase.is_some() {
         return true;
     }
     match (placement.change, placement.delivery) {
         // An earlier leader's start can't be taken any more once the agent
         // has seen this epoch.
-        (0, None) => !placement.restarts,
+        (0, None) => !placement.restarts_in_place,
         (_, None) => false,
         // A start travels in the answer to a heartbeat, and the next heartbeat
         // comes after it was taken or dropped. Other bodies may overtake the
--- a/src/scheduler/arrivals.rs
+++ b/src/scheduler/arrivals.rs
@@ -5,7 +5,7 @@
 use crate::job::JobSpec;
 
 /// How far back arrivals count, in boot times.
-const FADE_BOOTS: f64 = 3.0;
+const DECAY_BOOTS: f64 = 3.0;
 /// How long after the first job of a class others count as having been there
 /// with it, in boot times.
 const START_BOOTS: f64 = 0.25;
@@ -40,14 +40,14 @@
         if (at - self.first_at) as f64 <= START_BOOTS * boot_s * 1000.0 {
             return;
         }
-        let fade_ms = FADE_BOOTS * boot_s * 1000.0;
+        let decay_ms = DECAY_BOOTS * boot_s * 1000.0;
         let tasks = f64::from(spec.tasks);
         if at >= self.updated_at {
-            let faded = (-(at - self.updated_at) as f64 / fade_ms).exp();
-            self.weight = self.weight * faded + tasks;
+            let decayed = (-(at - self.updated_at) as f64 / decay_ms).exp();
+            self.weight = self.weight * decayed + tasks;
             self.updated_at = at;
         } else {
-            self.weight += tasks * (-(self.updated_at - at) as f64 / fade_ms).exp();
+            self.weight += tasks * (-(self.updated_at - at) as f64 / decay_ms).exp();
         }
         self.spec = spec.clone();
     }
@@ -55,13 +55,13 @@
     /// Tasks a second.
     pub fn per_second(&self, now: u64, boot_s: f64) -> f64 {
         let now = now as i64;
-        let fade_s = FADE_BOOTS * boot_s;
+        let decay_s = DECAY_BOOTS * boot_s;
         let age_s = (now - self.updated_at).max(0) as f64 / 1000.0;
         let start_s = START_BOOTS * boot_s;
         let observed_s = (now - self.first_at) as f64 / 1000.0 - start_s;
         let observed_s = observed_s.max(2.0 * start_s);
         // Not yet observed for as long as it would take to fade.
-        let observed_share = 1.0 - (-observed_s / fade_s).exp();
-        self.weight * (-age_s / fade_s).exp() / (fade_s * observed_share)
+        let observed_share = 1.0 - (-observed_s / decay_s).exp();
+        self.weight * (-age_s / decay_s).exp() / (decay_s * observed_share)
     }
 }
--- a/src/scheduler/commands.rs
+++ b/src/scheduler/commands.rs
@@ -111,8 +111,8 @@
             let stuck = now > stop.since + to_ms(stop.grace_s + slack_s);
             let grace_s = if stuck { 0.0 } else { stop.grace_s };
             let just_sent = stop.sent_at.is_some_and(|at| now < at + STOP_REPEAT_MS);
-            let saving = placement.phase == Some(TaskPhase::Saving);
-            if !just_sent && (stuck || !saving) && answer.commands.len() < COMMANDS_MAX {
+            let is_checkpointing = placement.phase == Some(TaskPhase::Checkpointing);
+            if !just_sent && (stuck || !is_checkpointing) && answer.commands.len() < COMMANDS_MAX {
                 stop.sent_at = Some(now);
                 let name = task_name(&task.job, task.task);
                 let command = wire::stop_command(name, placement.attempt, grace_s);
--- a/src/scheduler/decisions.rs
+++ b/src/scheduler/decisions.rs
@@ -38,7 +38,7 @@
                 "{}/{} makes room for {}",
                 stop.job, stop.task, stop.preemptor
             );
-            self.stop_and_save(&stop.job, stop.task, now);
+            self.stop_gracefully(&stop.job, stop.task, now);
         }
         for reservation in decision.reservations {
             self.apply_reservation(reservation, now);
@@ -46,14 +46,14 @@
         for id in &decision.failed {
             self.back_off(id, now);
         }
-        for id in &decision.skipped_machines {
+        for id in &decision.skipped_uncached_machines {
             if let Some(job) = self.jobs.get_mut(&**id) {
-                job.skipping_since.get_or_insert(now);
+                job.waiting_for_cache_since.get_or_insert(now);
             }
         }
         for name in decision.unmet.iter().flat_map(|unmet| &unmet.machines) {
             if let Some(machine) = self.machines.get_mut(&**name) {
-                machine.wanted_at = now;
+                machine.needed_at = now;
             }
         }
         self.scale_out(&decision.unmet, calls, now, wall_ms);
@@ -161,8 +161,8 @@
         self.is_placeable(machine, now) && is_allowed(&job.spec, machine_type, zone, machine.spot)
     }
 
-    /// Whether a job's record has room for these places, too, whatever of it ends
-    /// first. Nothing is measured where there is room for the worst beside the longest
+    /// Whether a job's record has capacity for these places, too, whatever of it ends
+    /// first. Nothing is measured where there is capacity for the worst beside the longest
     /// lists that a submission may have, or the form of records allows for it in advance
     /// (`runs_max`).
     fn fits_record(&self, job: &Job, more: &[(u32, Arc<str>)]) -> bool {
@@ -198,12 +198,12 @@
         };
         job.failed_cycles = 0;
         job.placed_at = now;
-        job.skipping_since = None;
+        job.waiting_for_cache_since = None;
         let attempt = job.next_attempt;
         job.next_attempt += 1;
-        let change = job.note_change(now);
+        let change = job.record_change(now);
         job.urgent_change = change;
-        self.update_write_slot(id);
+        self.update_write_state(id);
         debug!("placing {id} attempt {attempt}: {tasks:?}");
         for (task, machine) in tasks {
             let placement = Placement::new(task, attempt, machine, change, now);
--- a/src/scheduler/dependency_links.rs
+++ b/src/scheduler/dependency_links.rs
@@ -94,7 +94,7 @@
             }
             if sooner || more_urgent {
                 changed.push(job.id.clone());
-                self.dirty = true;
+                self.needs_planning = true;
             }
         }
         changed
--- a/src/scheduler/gangs.rs
+++ b/src/scheduler/gangs.rs
@@ -35,14 +35,14 @@
             .fold(0.0, f64::max);
         // Over a slow link the image may take many times as long as it should:
         // stopped in the middle of it each time, the gang would never begin.
-        let patience = f64::from(1 + job.failed_gatherings);
+        let patience = f64::from(1 + job.failed_formations);
         let report_s = self.cluster.workers.report_s;
         to_ms(patience * (GANG_WAIT_INTERVALS * report_s + WAIT_FETCHES * slowest_fetch_s))
     }
 
     /// Whether a gang is still coming together: a task of it that gave up waiting for the
     /// others' images is started again in its place, and they meet.
-    pub(super) fn is_gathering(&self, id: &str, now: u64) -> bool {
+    pub(super) fn is_gang_forming(&self, id: &str, now: u64) -> bool {
         let not_begun = |p: &Placement| p.stop.is_none() && p.running_since.is_none();
         self.jobs.get(id).is_some_and(|job| {
             job.is_gang()
@@ -66,7 +66,7 @@
         }
         for id in review.timed_out {
             if let Some(job) = self.jobs.get_mut(&*id) {
-                job.failed_gatherings += 1;
+                job.failed_formations += 1;
             }
         }
         for (id, task) in review.stops {
@@ -80,7 +80,7 @@
 
     fn find_lost_starts(&self, job: &Job, review: &mut GangReview, now: u64) {
         let silence_tolerance_ms = self.silence_tolerance_ms();
-        for placement in job.placements.iter().filter(|p| p.is_unsent()) {
+        for placement in job.placements.iter().filter(|p| p.is_start_pending()) {
             let machine = self.machines.get(&*placement.machine);
             let gone = machine.is_none_or(|machine| {
                 !machine.is_retained() || self.silent_ms(machine, now) > silence_tolerance_ms
@@ -115,7 +115,7 @@
         review.stops.extend(stops);
     }
 
-    /// Held room is given up once it can't serve any more: a machine of it is gone, or all
+    /// Held capacity is given up once it can't serve any more: a machine of it is gone, or all
     /// victims have left and the gang still has no place. The gang may then choose victims
     /// anew.
     fn release_stale_reservations(&mut self, now: u64) {
--- a/src/scheduler/job_state.rs
+++ b/src/scheduler/job_state.rs
@@ -40,10 +40,10 @@
     pub(super) change: u64,
     pub(super) delivery: Option<StartDelivery>,
     /// How often its start went out.
-    pub(super) sends: u32,
+    pub(super) start_attempts: u32,
     /// On record and proven not to be there: to be started in its place under
     /// the attempt that it has.
-    pub(super) restarts: bool,
+    pub(super) restarts_in_place: bool,
     /// Its state by the last report that shows it.
     pub phase: Option<TaskPhase>,
     /// When its start last went out, or when it was placed.
@@ -67,8 +67,8 @@
             machine,
             change,
             delivery: None,
-            sends: 0,
-            restarts: false,
+            start_attempts: 0,
+            restarts_in_place: false,
             phase: None,
             since: now,
             running_since: None,
@@ -77,14 +77,16 @@
     }
 
     /// Its start has not gone out: the machine can't know of it.
-    pub(super) fn is_unsent(&self) -> bool {
-        (self.change > 0 || self.restarts) && self.delivery.is_none() && self.phase.is_none()
+    pub(super) fn is_start_pending(&self) -> bool {
+        (self.change > 0 || self.restarts_in_place)
+            && self.delivery.is_none()
+            && self.phase.is_none()
     }
 }
 
 /// Where a job stands among the records that are to be written.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum WriteSlot {
+pub(super) enum WriteState {
     /// Nothing is to be written, or a change is being written.
     None,
     /// A change waits that has to be on record before something else can happen.
@@ -105,7 +107,7 @@
     /// Not all of its dependencies are known to be done: it holds nothing and asks for
     /// nothing.
     pub(super) is_waiting: bool,
-    /// Time of day from which its aims count: since when it could have started.
+    /// Time of day from which its objectives count: since when it could have started.
     pub(super) ready_at: u64,
     /// When it has to be done for its dependents to meet their deadlines, in seconds of
     /// the time of day.
@@ -137,25 +139,25 @@
     pub(super) write_after: u64,
     pub(super) write_after_revision: u64,
     /// Where it stands among the records that are to be written.
-    pub(super) write_slot: WriteSlot,
+    pub(super) write_state: WriteState,
     /// It rests until then after a failure.
-    pub(super) rest_until: u64,
+    pub(super) retry_after: u64,
     /// Failures in a row.
     pub(super) failures: u32,
-    /// Cycles in a row that found no room.
+    /// Cycles in a row that found no capacity.
     pub(super) failed_cycles: u32,
     pub(super) backoff_until: u64,
     /// Machines on which it failed.
     pub(super) avoided_machines: HashSet<Arc<str>>,
-    /// Machines with room held for it.
+    /// Machines with capacity held for it.
     pub(super) reserved_machines: BTreeSet<Arc<str>>,
     pub(super) reserved_at: u64,
     /// When its latest places were given, or found on record.
     pub(super) placed_at: u64,
     /// Since when it has skipped machines without its image.
-    pub(super) skipping_since: Option<u64>,
+    pub(super) waiting_for_cache_since: Option<u64>,
     /// How often it did not come together within its wait.
-    pub(super) failed_gatherings: u32,
+    pub(super) failed_formations: u32,
 }
 
 impl Job {
@@ -186,8 +188,8 @@
             writing_done: TaskSet::default(),
             write_after: 0,
             write_after_revision: 0,
-            write_slot: WriteSlot::None,
-            rest_until: 0,
+            write_state: WriteState::None,
+            retry_after: 0,
             failures: 0,
             failed_cycles: 0,
             backoff_until: 0,
@@ -195,8 +197,8 @@
             reserved_machines: BTreeSet::new(),
             reserved_at: 0,
             placed_at: now,
-            skipping_since: None,
-            failed_gatherings: 0,
+            waiting_for_cache_since: None,
+            failed_formations: 0,
         }
     }
 
@@ -230,7 +232,7 @@
     }
 
     /// Counts a change, which is to be written.
-    pub(super) fn note_change(&mut self, now: u64) -> u64 {
+    pub(super) fn record_change(&mut self, now: u64) -> u64 {
         if self.change <= self.committed_change {
             self.changed_at = now;
         }
@@ -239,13 +241,13 @@
     }
 
     /// Where it belongs among the records that are to be written.
-    pub(super) fn wanted_write_slot(&self) -> WriteSlot {
+    pub(super) fn required_write_state(&self) -> WriteState {
         if self.change <= self.committed_change || self.writing_change.is_some() {
-            WriteSlot::None
+            WriteState::None
         } else if self.urgent_change > self.committed_change || self.final_state().is_some() {
-            WriteSlot::Urgent
+            WriteState::Urgent
         } else {
-            WriteSlot::Deferred(self.changed_at)
+            WriteState::Deferred(self.changed_at)
         }
     }
 
--- a/src/scheduler/job_views.rs
+++ b/src/scheduler/job_views.rs
@@ -12,14 +12,14 @@
 const PENDING_MAX: usize = 256;
 /// Boot times after which a job of which nothing has begun is not overtaken any
 /// more: many small jobs in time must not starve the largest.
-const OVERTAKEN_BOOTS: f64 = 3.0;
+const OVERDUE_BOOTS: f64 = 3.0;
 /// However slowly machines boot: the users' rule is that the largest jobs begin
-/// within four minutes, and room has yet to come free.
-const OVERTAKEN_MAX_S: f64 = 0.75 * 240.0;
+/// within four minutes, and capacity has yet to come free.
+const OVERDUE_MAX_S: f64 = 0.75 * 240.0;
 /// An array's turn then is for this part of its tasks, one in so many.
-const TURN_PART: u32 = 4;
+const OVERDUE_SHARE_PARTS: u32 = 4;
 /// For how many fetches of its image an array skips machines without it.
-const SKIP_FETCHES: f64 = 1.0;
+const CACHE_WAIT_FETCHES: f64 = 1.0;
 /// A run's numbers and separators in a record that is not packed, and all of the record
 /// that is not runs.
 const RUN_BYTES: f64 = 26.0;
@@ -83,20 +83,20 @@
         let overdue = self.is_overdue(job, context.now_s);
         if overdue && !is_gang {
             // Its turn is to begin, not to push all others aside.
-            pending.truncate(job.spec.tasks.div_ceil(TURN_PART) as usize);
+            pending.truncate(job.spec.tasks.div_ceil(OVERDUE_SHARE_PARTS) as usize);
         }
         let zones = self.zones_of(job, context)?;
-        let skipping_ended = |since: u64| context.now > since + self.skipping_ms(job);
+        let cache_wait_ended = |since: u64| context.now > since + self.cache_wait_ms(job);
         Some(JobView {
-            backing_off: context.now < job.rest_until.max(job.backoff_until),
+            backing_off: context.now < job.retry_after.max(job.backoff_until),
             overdue,
-            skips_uncached: !overdue && !job.skipping_since.is_some_and(skipping_ended),
+            prefers_cached: !overdue && !job.waiting_for_cache_since.is_some_and(cache_wait_ended),
             ..self.plain_view(job, pending, zones, context)
         })
     }
 
     /// A gang that has lost a member, or is being stopped, takes no part until all its
-    /// places are proven empty. What it will lack then is looked for now, and the room that
+    /// places are proven empty. What it will lack then is looked for now, and the capacity that
     /// its others leave is not given away meanwhile: one machine that falls silent would
     /// else empty all the others of its gang, just to rent them anew.
     pub(super) fn incomplete_gang(&self, job: &Job, context: &SnapshotContext) -> Option<JobView> {
@@ -144,59 +144,63 @@
             backing_off: false,
             incomplete: false,
             overdue: false,
-            skips_uncached: false,
+            prefers_cached: false,
         }
     }
 
     /// Whether a job of which nothing has begun has waited so long that its turn has come.
     pub(super) fn is_overdue(&self, job: &Job, now_s: f64) -> bool {
-        let wait_s = (OVERTAKEN_BOOTS * self.boot_s()).min(OVERTAKEN_MAX_S);
+        let wait_s = (OVERDUE_BOOTS * self.boot_s()).min(OVERDUE_MAX_S);
         let not_begun = job.placements.is_empty() && job.done.is_empty();
         not_begun && now_s > job.ready_at as f64 / 1000.0 + wait_s
     }
 
     /// Machines that a job is not tried on again, as it failed there. The faulty
     /// ones are returned meanwhile, and for its own fault it rests: after that
-    /// it must not wait beside machines with room.
+    /// it must not wait beside machines with capacity.
     pub(super) fn avoided_machines(&self, job: &Job, now: u64) -> HashSet<Arc<str>> {
-        if now > job.rest_until + to_ms(self.cluster.workers.lease_s) {
+        if now > job.retry_after + to_ms(self.cluster.workers.lease_s) {
             return HashSet::new();
         }
         job.avoided_machines.clone()
     }
 
     /// How long an array skips machines without its image.
-    pub(super) fn skipping_ms(&self, job: &Job) -> u64 {
+    pub(super) fn cache_wait_ms(&self, job: &Job) -> u64 {
         let fetch_times = self
             .machine_types
             .iter()
             .map(|t| fetch_s(job.spec.image_gb, t.fetch_gb_per_s));
-        to_ms(SKIP_FETCHES * fetch_times.fold(0.0, f64::max))
+        to_ms(CACHE_WAIT_FETCHES * fetch_times.fold(0.0, f64::max))
     }
 
-    /// When a job should start to meet the next of the aims that the settings state for
+    /// When a job should start to meet the next of the objectives that the settings state for
     /// its class. Estimates are rough: half a run time late is not yet lost.
     pub(super) fn start_by_s(&self, job: &Job, now_s: f64) -> Option<f64> {
-        let aims = self.start_aims(job);
-        if aims.is_empty() {
-            // No aim is stated: first come, first served among the others.
+        let objectives = self.start_objectives(job);
+        if objectives.is_empty() {
+            // No objective is stated: first come, first served among the others.
             return Some(job.ready_at as f64 / 1000.0 + self.boot_s());
         }
-        let reachable = aims.into_iter().filter(|aim| aim.0 + aim.1 >= now_s);
-        reachable.map(|aim| aim.0).min_by(f64::total_cmp)
+        let reachable = objectives
+            .into_iter()
+            .filter(|objective| objective.0 + objective.1 >= now_s);
+        reachable
+            .map(|objective| objective.0)
+            .min_by(f64::total_cmp)
     }
 
-    /// When a job should start for each of its aims, and how late it may be.
-    pub(super) fn start_aims(&self, job: &Job) -> Vec<(f64, f64)> {
+    /// When a job should start for each of its objectives, and how late it may be.
+    pub(super) fn start_objectives(&self, job: &Job) -> Vec<(f64, f64)> {
         let submitted_s = job.submitted_at as f64 / 1000.0;
         let ready_s = job.ready_at as f64 / 1000.0;
         let run_s = job.spec.expected_s;
         let to_be_done_by = |at_s: f64| (at_s - run_s, run_s / 2.0);
-        let mut aims: Vec<(f64, f64)> = Vec::new();
+        let mut objectives: Vec<(f64, f64)> = Vec::new();
         if let Some(deadline_s) = job.spec.deadline_s {
-            aims.push(to_be_done_by(submitted_s + deadline_s));
+            objectives.push(to_be_done_by(submitted_s + deadline_s));
         }
-        aims.extend(job.due_at_s.map(to_be_done_by));
+        objectives.extend(job.due_at_s.map(to_be_done_by));
         for objective in &self.cluster.objectives {
             let class = objective.class.as_ref();
             if class.is_some_and(|class| *class != job.spec.class) {
@@ -207,15 +211,17 @@
                 objective.within_s,
                 job.spec.deadline_s,
             ) {
-                ("wait", Some(within_s), _) => aims.push((ready_s + within_s, 0.0)),
-                ("finished", Some(within_s), _) => aims.push(to_be_done_by(ready_s + within_s)),
+                ("wait", Some(within_s), _) => objectives.push((ready_s + within_s, 0.0)),
+                ("finished", Some(within_s), _) => {
+                    objectives.push(to_be_done_by(ready_s + within_s))
+                }
                 ("deadline", _, Some(deadline_s)) => {
                     let times = objective.times.unwrap_or(1.0);
-                    aims.push(to_be_done_by(submitted_s + deadline_s * times));
+                    objectives.push(to_be_done_by(submitted_s + deadline_s * times));
                 }
                 _ => {}
             }
         }
-        aims
+        objectives
     }
 }
--- a/src/scheduler/machine_list.rs
+++ b/src/scheduler/machine_list.rs
@@ -17,7 +17,7 @@
     /// Takes in a whole list, asked for at `asked_at`.
     pub fn on_machine_list(&mut self, list: &[ListedMachine], asked_at: u64, now: u64) {
         let lag_ms = 2 * to_ms(self.cluster.cloud.list_lag_s) + LAG_MARGIN_MS;
-        self.listed_once = true;
+        self.has_machine_list = true;
         let mut names = HashSet::new();
         for listed in list {
             names.insert(listed.name.as_str());
@@ -44,7 +44,7 @@
         let memory_ms = 4 * lag_ms + TERMINATED_MEMORY_MS;
         self.terminated_machines
             .retain(|_, at| now < *at + memory_ms);
-        self.dirty = true;
+        self.needs_planning = true;
     }
 
     fn apply_listed(&mut self, listed: &ListedMachine, now: u64) {
@@ -102,7 +102,7 @@
             self.release_reservations(&held.job);
         }
         self.machines.remove(name);
-        self.team_limits.on_change();
-        self.dirty = true;
+        self.quota_cache.on_change();
+        self.needs_planning = true;
     }
 }
--- a/src/scheduler/machine_views.rs
+++ b/src/scheduler/machine_views.rs
@@ -96,8 +96,8 @@
             .iter()
             .filter_map(|task| {
                 let (job, placement) = self.placement_of(task)?;
-                let saves = job.spec.checkpoint_interval_s > 0.0;
-                let running_since = placement.running_since.filter(|_| !saves);
+                let has_checkpoints = job.spec.checkpoint_interval_s > 0.0;
+                let running_since = placement.running_since.filter(|_| !has_checkpoints);
                 Some(TaskView {
                     job: task.job.clone(),
                     task: task.task,
@@ -105,15 +105,19 @@
                     priority: job.spec.priority,
                     team: job.spec.team.as_str().into(),
                     stoppable: placement.stop.is_none(),
-                    stop_cost_s: if saves { job.spec.save_s } else { STOP_COST_S },
+                    stop_cost_s: if has_checkpoints {
+                        job.spec.checkpoint_grace_s
+                    } else {
+                        STOP_COST_S
+                    },
                     running_since_s: running_since.map(seconds_of),
                 })
             })
             .collect();
         MachineView {
             name: machine.name.clone(),
-            machine_type: self.shared_name(&machine.machine_type),
-            zone: self.shared_name(&machine.zone),
+            machine_type: self.interned_name(&machine.machine_type),
+            zone: self.interned_name(&machine.zone),
             spot: machine.spot,
             total: cloud::capacity(machine_type),
             free: self.free_resources(machine),
@@ -141,8 +145,8 @@
     }
 
     /// One copy of a name that many machines have.
-    pub(super) fn shared_name(&self, name: &Arc<str>) -> Arc<str> {
-        let known = self.shared_names.iter().find(|known| *known == name);
+    pub(super) fn interned_name(&self, name: &Arc<str>) -> Arc<str> {
+        let known = self.interned_names.iter().find(|known| *known == name);
         known.unwrap_or(name).clone()
     }
 }
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -6,6 +6,7 @@
 mod commands;
 mod decisions;
 mod dependency_links;
+mod dirty_jobs;
 mod effects;
 mod gangs;
 mod job_state;
@@ -15,15 +16,14 @@
 mod placements;
 mod probes;
 mod provisioning;
+mod quota_cache;
+mod reconcile;
 mod records;
 mod scale_in;
 mod scale_out;
 mod snapshots;
 mod standby_capacity;
 mod starts;
-mod team_limits;
-mod unwritten;
-mod upkeep;
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
@@ -32,7 +32,7 @@
 pub use effects::{DirectStart, Effect};
 pub use job_state::{Job, Placement};
 pub use provisioning::ProvisioningOutcome;
-pub use upkeep::Reachability;
+pub use reconcile::Reachability;
 
 use crate::machine::Machine;
 use crate::rate_limit::TokenBucket;
@@ -42,9 +42,9 @@
 use crate::wire::{Command, Condition, MachineType};
 use arrivals::ArrivalRate;
 use dependency_links::DependencyLinks;
+use dirty_jobs::DirtyJobs;
 use provisioning::ProvisioningRequests;
-use team_limits::TeamLimits;
-use unwritten::UnwrittenJobs;
+use quota_cache::QuotaCache;
 
 /// Commands that one answer or request may carry.
 const COMMANDS_MAX: usize = 300;
@@ -90,15 +90,15 @@
     /// Live jobs.
     pub jobs: BTreeMap<String, Job>,
     dependency_links: DependencyLinks,
-    unwritten: UnwrittenJobs,
-    team_limits: TeamLimits,
+    dirty_jobs: DirtyJobs,
+    quota_cache: QuotaCache,
     /// The form in which records are written.
     format: u64,
     /// Provisioned machines, and those that a record or a report names.
     pub machines: BTreeMap<String, Machine>,
     machine_types: Arc<Vec<MachineType>>,
     /// The names of machine types and zones, one copy for all machines.
-    shared_names: Vec<Arc<str>>,
+    interned_names: Vec<Arc<str>>,
     provisioning: ProvisioningRequests,
     /// Commands that are to go straight to agents.
     direct_commands: BTreeMap<Arc<str>, Vec<Command>>,
@@ -108,19 +108,19 @@
     newly_startable: Vec<Arc<str>>,
     effects: Vec<Effect>,
     /// Something changed that the planner should look at.
-    pub dirty: bool,
+    pub needs_planning: bool,
     /// The next snapshot ends all backoffs.
     end_backoffs: bool,
     direct_start_limit: TokenBucket,
     /// Jobs waited for places when the last snapshot was taken.
-    jobs_wait: bool,
+    has_pending_jobs: bool,
     /// The cloud's list has been read in this term.
-    listed_once: bool,
+    has_machine_list: bool,
     /// Machines whose deletion was confirmed, and when.
     terminated_machines: HashMap<String, u64>,
     /// How often work came that needs on-demand machines, by class.
     arrivals: BTreeMap<String, ArrivalRate>,
-    next_upkeep_at: u64,
+    next_reconcile_at: u64,
     /// Machines that can't be reached were returned.
     has_terminated_unreachable: bool,
     /// Agents that other controllers redirected lately, if most of them are heard.
@@ -137,7 +137,7 @@
 }
 
 impl Scheduler {
-    /// The state that follows from a replica which holds the election of this term.
+    /// The state that follows from a watch cache which holds the election of this term.
     pub fn new(
         term: Term,
         cluster: &ClusterSettings,
@@ -154,25 +154,25 @@
             began_at: now,
             jobs: BTreeMap::new(),
             dependency_links: DependencyLinks::default(),
-            unwritten: UnwrittenJobs::default(),
-            team_limits: TeamLimits::default(),
+            dirty_jobs: DirtyJobs::default(),
+            quota_cache: QuotaCache::default(),
             format: 0,
             machines: BTreeMap::new(),
-            shared_names: shared_names(&machine_types),
+            interned_names: interned_names(&machine_types),
             machine_types,
             provisioning: ProvisioningRequests::default(),
             direct_commands: BTreeMap::new(),
             startable: BTreeSet::new(),
             newly_startable: vec![],
             effects: vec![],
-            dirty: true,
+            needs_planning: true,
             end_backoffs: false,
             direct_start_limit: TokenBucket::new(direct_starts.max(1.0)),
-            jobs_wait: true,
-            listed_once: false,
+            has_pending_jobs: true,
+            has_machine_list: false,
             terminated_machines: HashMap::new(),
             arrivals: BTreeMap::new(),
-            next_upkeep_at: 0,
+            next_reconcile_at: 0,
             has_terminated_unreachable: false,
             redirected_elsewhere: None,
             recorded_terminations: BTreeSet::new(),
@@ -212,12 +212,12 @@
 
     /// The cloud's machine types were read.
     pub fn set_machine_types(&mut self, machine_types: Arc<Vec<MachineType>>) {
-        self.shared_names = shared_names(&machine_types);
+        self.interned_names = interned_names(&machine_types);
         self.machine_types = machine_types;
         for machine in self.machines.values_mut() {
             machine.view = None;
         }
-        self.dirty = true;
+        self.needs_planning = true;
     }
 
     fn machine_type(&self, name: &str) -> Option<&MachineType> {
@@ -235,10 +235,10 @@
         std::mem::take(&mut self.effects)
     }
 
-    /// Room came free somewhere: gangs that back off for want of it look again.
+    /// Capacity came free somewhere: gangs that back off for want of it look again.
     fn retry_backed_off(&mut self) {
         self.end_backoffs = true;
-        self.dirty = true;
+        self.needs_planning = true;
     }
 
     /// The state in a line, for the log.
@@ -257,7 +257,7 @@
     }
 }
 
-fn shared_names(machine_types: &[MachineType]) -> Vec<Arc<str>> {
+fn interned_names(machine_types: &[MachineType]) -> Vec<Arc<str>> {
     let names = machine_types
         .iter()
         .flat_map(|machine_type| machine_type.zones.iter().chain([&machine_type.name]));
--- a/src/scheduler/placements.rs
+++ b/src/scheduler/placements.rs
@@ -10,7 +10,7 @@
 use crate::wire;
 
 /// Added to the time that a task needs to save when it is stopped.
-const SAVE_MARGIN_S: f64 = 0.5;
+const CHECKPOINT_MARGIN_S: f64 = 0.5;
 
 impl Scheduler {
     /// A task gets a place: the job and the machine know of it from here on.
@@ -33,7 +33,7 @@
         machine.idle_since = None;
         machine.view = None;
         job.placements.push(placement);
-        self.team_limits.on_change();
+        self.quota_cache.on_change();
     }
 
     /// A task's place is proven empty.
@@ -45,9 +45,9 @@
             return;
         };
         let placement = job.placements.remove(index);
-        job.note_change(now);
-        self.update_write_slot(id);
-        self.team_limits.on_change();
+        job.record_change(now);
+        self.update_write_state(id);
+        self.quota_cache.on_change();
         if let Some(machine) = self.machines.get_mut(&*placement.machine) {
             machine.unbind(id, Some(task));
         }
@@ -60,7 +60,7 @@
         Some((job, job.placement(recorded.task)?))
     }
 
-    /// Gives up the room that is held for a job.
+    /// Gives up the capacity that is held for a job.
     pub(super) fn release_reservations(&mut self, id: &str) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
@@ -71,21 +71,21 @@
                 machine.view = None;
             }
         }
-        self.dirty = true;
+        self.needs_planning = true;
     }
 
     /// Stops all tasks of a cancelled job at once.
     pub(super) fn stop_cancelled(&mut self, id: &str, now: u64) {
         self.release_reservations(id);
-        self.dirty = true;
+        self.needs_planning = true;
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
         if job.placements.is_empty() {
-            job.note_change(now);
+            job.record_change(now);
         }
         let tasks: Vec<u32> = job.placements.iter().map(|p| p.task).collect();
-        self.update_write_slot(id);
+        self.update_write_state(id);
         for task in tasks {
             self.stop_task(id, task, 0.0, now);
         }
@@ -99,7 +99,7 @@
         let Some(placement) = job.placement_mut(task) else {
             return;
         };
-        if placement.is_unsent() {
+        if placement.is_start_pending() {
             // Its start has not gone out, and will not: no report can ever
             // prove the place empty, so it is removed here.
             self.remove_placement(id, task, now);
@@ -123,9 +123,9 @@
     }
 
     /// Stops a task so that it can save; a gang is always stopped as a whole.
-    pub(super) fn stop_and_save(&mut self, id: &str, task: u32, now: u64) {
+    pub(super) fn stop_gracefully(&mut self, id: &str, task: u32, now: u64) {
         let Some(job) = self.jobs.get(id) else { return };
-        let grace_s = job.spec.save_s + SAVE_MARGIN_S;
+        let grace_s = job.spec.checkpoint_grace_s + CHECKPOINT_MARGIN_S;
         let tasks: Vec<u32> = match job.spec.shape {
             Shape::Array | Shape::Service => vec![task],
             Shape::Gang => job.placements.iter().map(|p| p.task).collect(),
@@ -136,13 +136,13 @@
     }
 
     /// A machine's start commands may have come due: it is looked at with the next answer.
-    pub(super) fn note_startable(&mut self, id: &str) {
+    pub(super) fn mark_startable_machines(&mut self, id: &str) {
         let Some(job) = self.jobs.get(id) else { return };
-        let due = |p: &&Placement| p.is_unsent() && p.change <= job.committed_change;
+        let due = |p: &&Placement| p.is_start_pending() && p.change <= job.committed_change;
         let due = job.placements.iter().filter(due);
         let machines: Vec<Arc<str>> = due.map(|p| p.machine.clone()).collect();
         for machine in machines {
-            self.add_startable(machine);
+            self.mark_startable(machine);
         }
     }
 
@@ -153,7 +153,7 @@
         let Some(placement) = job.and_then(|job| job.placement_mut(task)) else {
             return;
         };
-        placement.restarts = true;
+        placement.restarts_in_place = true;
         placement.delivery = None;
         placement.phase = None;
     }
--- a/src/scheduler/probes.rs
+++ b/src/scheduler/probes.rs
@@ -1,6 +1,6 @@
 //! Asking machines directly that should report and don't.
 
-use super::upkeep::UPKEEP_SHARE;
+use super::reconcile::RECONCILE_SHARE;
 use super::{to_ms, Effect, Scheduler};
 use crate::machine::CloudStatus;
 
@@ -66,7 +66,7 @@
     /// come by themselves: on a small share of a processor a successor must not spend it
     /// all on asking.
     fn probes_per_tick(&self) -> usize {
-        let tick_s = self.cluster.workers.gang_peer_s * UPKEEP_SHARE;
+        let tick_s = self.cluster.workers.gang_peer_s * RECONCILE_SHARE;
         let affordable = self.cluster.limits.cpu_share * PROBES_PER_CORE * tick_s;
         1 + (self.machines.len() / PROBE_PARTS).min(affordable as usize)
     }
--- a/src/scheduler/provisioning.rs
+++ b/src/scheduler/provisioning.rs
@@ -127,16 +127,16 @@
             ProvisioningOutcome::Provisioned(names) => {
                 let provisioning_request = self.provisioning.open.remove(index);
                 self.add_provisioned(&provisioning_request, names, now);
-                self.dirty = true;
+                self.needs_planning = true;
             }
             ProvisioningOutcome::Unavailable => {
                 let provisioning_request = self.provisioning.open.remove(index);
                 self.mark_sold_out(&provisioning_request.kind, now);
-                self.dirty = true;
+                self.needs_planning = true;
             }
             ProvisioningOutcome::Cancelled => {
                 self.provisioning.open.remove(index);
-                self.dirty = true;
+                self.needs_planning = true;
             }
             ProvisioningOutcome::Failed => {
                 let provisioning_request = &mut self.provisioning.open[index];
@@ -185,7 +185,7 @@
         }
     }
 
-    /// The limit of calls to the cloud has no room for a provisioning request yet.
+    /// The limit of calls to the cloud has no capacity for a provisioning request yet.
     pub fn on_provisioning_postponed(&mut self, idempotency_key: &str, now: u64) {
         if let Some(index) = self.provisioning.position(idempotency_key) {
             let provisioning_request = &mut self.provisioning.open[index];
--- a/src/scheduler/upkeep.rs
+++ b/src/scheduler/reconcile.rs
@@ -5,7 +5,7 @@
 
 /// How often machines and gangs are reviewed, as a share of the time in which the tasks of
 /// a gang miss one another.
-pub(super) const UPKEEP_SHARE: f64 = 0.1;
+pub(super) const RECONCILE_SHARE: f64 = 0.1;
 /// What comes in waits for longer: nothing is asked for that may come by itself.
 const OVERLOADED_MS: u64 = 400;
 /// An agent drops an answer after 4 s: with a wait like this before a heartbeat is
@@ -34,9 +34,9 @@
     /// Does what has come due. `spare_writes`: changes of records that may wait and yet go
     /// out now.
     pub fn tick(&mut self, now: u64, revision: u64, spare_writes: usize) {
-        if now >= self.next_upkeep_at {
-            let interval_ms = to_ms(self.cluster.workers.gang_peer_s * UPKEEP_SHARE);
-            self.next_upkeep_at = now + interval_ms;
+        if now >= self.next_reconcile_at {
+            let interval_ms = to_ms(self.cluster.workers.gang_peer_s * RECONCILE_SHARE);
+            self.next_reconcile_at = now + interval_ms;
             self.drain_interrupted_machines(now);
             self.review_gangs(now);
             self.terminate_machines(now);
@@ -123,7 +123,8 @@
                 let Some((job, placement)) = self.placement_of(task) else {
                     continue;
                 };
-                let last_moment = now + to_ms(job.spec.save_s) + margin_ms >= interruption_deadline;
+                let last_moment =
+                    now + to_ms(job.spec.checkpoint_grace_s) + margin_ms >= interruption_deadline;
                 let not_running = placement.phase != Some(TaskPhase::Running);
                 if placement.stop.is_none() && (not_running || last_moment) {
                     stops.push((task.job.clone(), task.task));
@@ -133,10 +134,10 @@
         for (id, task) in stops {
             let job = self.jobs.get(&*id);
             let placement = job.and_then(|job| job.placement(task));
-            if placement.is_some_and(|p| p.is_unsent()) {
+            if placement.is_some_and(|p| p.is_start_pending()) {
                 self.remove_placement(&id, task, now);
             } else {
-                self.stop_and_save(&id, task, now);
+                self.stop_gracefully(&id, task, now);
             }
         }
     }
--- a/src/scheduler/records.rs
+++ b/src/scheduler/records.rs
@@ -1,4 +1,4 @@
-//! Jobs' records: what the replica shows of them, and writing what has changed.
+//! Jobs' records: what the watch cache shows of them, and writing what has changed.
 
 use std::sync::Arc;
 
@@ -14,13 +14,13 @@
 
 /// How long a change that nobody waits for may stay off the record, so that others go with
 /// it, as a share of the time in which the tasks of a gang miss one another.
-const LAZY_WRITE_SHARE: f64 = 0.25;
+const DEFERRED_WRITE_SHARE: f64 = 0.25;
 /// Pauses before a change is written again, after a rejection and without an answer.
 const REJECTED_PAUSE_MS: u64 = 150;
 const UNKNOWN_PAUSE_MS: u64 = 50;
 
 impl Scheduler {
-    /// The replica shows a job's record and how it stands with its dependencies; if they
+    /// The watch cache shows a job's record and how it stands with its dependencies; if they
     /// are done, it counts as ready since `ready_at`.
     pub fn apply_job(
         &mut self,
@@ -39,7 +39,7 @@
         }
     }
 
-    /// The replica shows a job's record.
+    /// The watch cache shows a job's record.
     pub fn apply_record(&mut self, id: &str, live: &LiveJob, now: u64) {
         if self.jobs.contains_key(id) {
             self.update_from_record(id, live, now);
@@ -64,9 +64,9 @@
             if job.writing_change == Some(writer.change) {
                 job.writing_change = None;
             }
-            self.update_write_slot(id);
+            self.update_write_state(id);
             if newer {
-                self.note_startable(id);
+                self.mark_startable_machines(id);
             }
         }
         if record.cancelled {
@@ -79,14 +79,14 @@
         debug!("{id} is new: {:?}", record.spec);
         let mut job = Job::new(id, live, now);
         if record.runs.is_empty() && job.final_state().is_some() {
-            job.note_change(now);
+            job.record_change(now);
         }
         if !record.spec.spot && !record.cancelled {
             self.record_arrival(&job, now);
         }
         self.jobs.insert(id.to_string(), job);
-        self.team_limits.on_change();
-        self.update_write_slot(id);
+        self.quota_cache.on_change();
+        self.update_write_state(id);
         self.link_dependencies(id);
         for run in &record.runs {
             let machine: Arc<str> = run.machine.as_str().into();
@@ -99,7 +99,7 @@
         if record.cancelled {
             self.stop_cancelled(id, now);
         }
-        self.dirty = true;
+        self.needs_planning = true;
     }
 
     /// Counts an arrival by when it was submitted: a successor sees all at once.
@@ -125,17 +125,17 @@
     /// A job is not live any more.
     pub fn remove_job(&mut self, id: &str) {
         self.release_reservations(id);
-        self.team_limits.on_change();
+        self.quota_cache.on_change();
         if let Some(job) = self.jobs.remove(id) {
             self.dependency_links.remove(&job);
-            self.unwritten.remove(&job.id, job.write_slot);
+            self.dirty_jobs.remove(&job.id, job.write_state);
             for placement in &job.placements {
                 if let Some(machine) = self.machines.get_mut(&*placement.machine) {
                     machine.unbind(id, None);
                 }
             }
         }
-        self.dirty = true;
+        self.needs_planning = true;
     }
 
     /// The state service has answered a change of a job's record.
@@ -169,15 +169,15 @@
                     job.changed_at = now;
                 }
                 job.write_after = now;
-                self.note_startable(id);
+                self.mark_startable_machines(id);
             }
             CommitResult::Conflict { revision, .. } => job.write_after_revision = *revision,
             CommitResult::Rejected => job.write_after = now + REJECTED_PAUSE_MS,
             // The same change under the same condition: if the first one did
-            // get through, this one fails and the replica tells.
+            // get through, this one fails and the watch cache tells.
             CommitResult::Unknown => job.write_after = now + UNKNOWN_PAUSE_MS,
         }
-        self.update_write_slot(id);
+        self.update_write_state(id);
     }
 
     /// Writes what has changed. Placements and ends go at once; of the rest, those that
@@ -190,10 +190,10 @@
                 .get(&***id)
                 .is_some_and(|job| now >= job.write_after && revision >= job.write_after_revision)
         };
-        let urgent = self.unwritten.urgent.iter();
+        let urgent = self.dirty_jobs.urgent.iter();
         let mut due: Vec<Arc<str>> = urgent.filter(&mut may_write).cloned().collect();
-        let wait_ms = to_ms(self.cluster.workers.gang_peer_s * LAZY_WRITE_SHARE);
-        let deferred = self.unwritten.deferred.iter();
+        let wait_ms = to_ms(self.cluster.workers.gang_peer_s * DEFERRED_WRITE_SHARE);
+        let deferred = self.dirty_jobs.deferred.iter();
         let waited = deferred.take_while(|(since, _)| now >= since + wait_ms);
         let waited = waited.map(|(_, id)| id).filter(&mut may_write);
         due.extend(waited.take(spare_writes).cloned());
@@ -229,6 +229,6 @@
             conditions,
             writes,
         });
-        self.update_write_slot(id);
+        self.update_write_state(id);
     }
 }
