--- a/src/scheduler/scale_in.rs
+++ b/src/scheduler/scale_in.rs
@@ -6,7 +6,7 @@
 use tracing::info;
 
 use super::job_state::StartDelivery;
-use super::upkeep::Reachability;
+use super::reconcile::Reachability;
 use super::{to_ms, Effect, Scheduler};
 use crate::machine::{CloudStatus, Machine, TerminationClass, TerminationReason};
 
@@ -15,7 +15,7 @@
 const INEFFECTIVE_ANSWERS_MAX: u32 = 2;
 /// Of the silent machines, one in so many that others redirected lately shows that the
 /// silence is ours.
-const REDIRECTED_PART: usize = 4;
+const REDIRECTED_FRACTION: usize = 4;
 /// Fewer machines that should report say nothing about who is cut off.
 const PARTITION_MACHINES_MIN: usize = 3;
 /// Leases after which a silent machine is returned in any case.
@@ -55,7 +55,7 @@
         let half_interval_ms = to_ms(self.cluster.workers.report_s / 2.0);
         let heard = now < self.last_status_at + half_interval_ms;
         self.redirected_elsewhere
-            .map_or(!heard, |n| n as usize * REDIRECTED_PART >= silent)
+            .map_or(!heard, |n| n as usize * REDIRECTED_FRACTION >= silent)
     }
 
     /// Whether machines that can't be reached were returned in this term.
@@ -108,7 +108,7 @@
             if let Some(machine) = self.machines.get_mut(name) {
                 if machine.termination_reason.is_none() {
                     machine.termination_reason = Some(TerminationReason::OnRecord);
-                    self.dirty = true;
+                    self.needs_planning = true;
                 }
             }
         }
@@ -128,7 +128,7 @@
                 machine.next_termination_at = 0;
                 machine.idle_since = None;
                 machine.view = None;
-                self.dirty = true;
+                self.needs_planning = true;
             }
         }
     }
@@ -170,8 +170,9 @@
         }
         if machine.cloud_status == CloudStatus::NotListed && machine.machine_type.is_empty() {
             // On record only: nobody has seen it since this leader began.
-            let unknown =
-                self.listed_once && silent_ms > context.lost_after_ms && !context.is_partitioned;
+            let unknown = self.has_machine_list
+                && silent_ms > context.lost_after_ms
+                && !context.is_partitioned;
             return unknown.then_some(TerminationReason::Unknown);
         }
         let boot_ms = to_ms(self.boot_s_of(machine) * NEVER_BOOTED_BOOTS);
@@ -222,7 +223,7 @@
         machine
             .idle_since
             .is_some_and(|since| now > since + idle_ms)
-            && (machine.wanted_at == 0 || now > machine.wanted_at + peer_ms)
+            && (machine.needed_at == 0 || now > machine.needed_at + peer_ms)
             && machine.last_status_at.is_some()
     }
 
@@ -255,7 +256,7 @@
             return false;
         };
         if machine.termination_reason.is_none() {
-            self.dirty = true;
+            self.needs_planning = true;
         }
         // One that was drained and is lost meanwhile is not waited for any more.
         if machine.termination_reason.is_none() || reason.group() == TerminationClass::Lost {
@@ -276,7 +277,7 @@
         true
     }
 
-    /// The limit of calls to the cloud has no room for a deletion yet. It is asked for again
+    /// The limit of calls to the cloud has no capacity for a deletion yet. It is asked for again
     /// as soon as a call may be made, not only when an answer would be overdue: after the
     /// loss of a third of the fleet there are many calls.
     pub fn on_termination_postponed(&mut self, machines: &[String], now: u64) {
--- a/src/scheduler/scale_out.rs
+++ b/src/scheduler/scale_out.rs
@@ -56,7 +56,7 @@
         // be rented again.
         let lag_ms = to_ms(self.cluster.cloud.list_lag_s);
         let settled = self.term.epoch <= 1 || now >= self.began_at + lag_ms;
-        if calls == 0 || !settled || !self.listed_once {
+        if calls == 0 || !settled || !self.has_machine_list {
             return;
         }
         let demands = self.demands(unmet, now, wall_ms);
--- a/src/scheduler/snapshots.rs
+++ b/src/scheduler/snapshots.rs
@@ -24,12 +24,12 @@
     /// to be rented or returned waits for the list.
     pub fn is_ready(&self, now: u64) -> bool {
         let heard = now > self.began_at + to_ms(self.cluster.workers.report_s);
-        !self.machine_types.is_empty() && (self.listed_once || heard)
+        !self.machine_types.is_empty() && (self.has_machine_list || heard)
     }
 
     /// A snapshot to plan on. `wall_ms` is the time of day, as job records hold it.
     pub fn snapshot(&mut self, now: u64, wall_ms: u64) -> Snapshot {
-        self.dirty = false;
+        self.needs_planning = false;
         if std::mem::take(&mut self.end_backoffs) {
             for job in self.jobs.values_mut() {
                 job.backoff_until = 0;
@@ -51,7 +51,7 @@
         let jobs: Vec<JobView> = jobs
             .filter_map(|job| self.view_of_job(job, &context))
             .collect();
-        self.jobs_wait = !jobs.is_empty();
+        self.has_pending_jobs = !jobs.is_empty();
         Snapshot {
             machines,
             jobs,
@@ -67,8 +67,8 @@
             let view = TeamView {
                 cpus_max: team.cpus_max,
                 gpus_max: team.gpus_max,
-                cpus_guaranteed: team.cpus,
-                gpus_guaranteed: team.gpus,
+                nominal_cpus: team.cpus,
+                nominal_gpus: team.gpus,
                 ..TeamView::default()
             };
             (team.name.clone(), view)
@@ -81,8 +81,8 @@
             view.add_tasks(Resources::of(&job.spec), job.placements.len());
             if !job.is_waiting {
                 let left = (u64::from(job.spec.tasks) - job.done.len()) as f64;
-                view.cpus_demanded += job.spec.cpus * left;
-                view.gpus_demanded += job.spec.gpus * left;
+                view.requested_cpus += job.spec.cpus * left;
+                view.requested_gpus += job.spec.gpus * left;
             }
         }
         for machine in self.machines.values() {
--- a/src/scheduler/starts.rs
+++ b/src/scheduler/starts.rs
@@ -20,7 +20,7 @@
     }
 
     /// A machine has starts on record that may not be on their way.
-    pub(super) fn add_startable(&mut self, machine: Arc<str>) {
+    pub(super) fn mark_startable(&mut self, machine: Arc<str>) {
         self.newly_startable.push(machine.clone());
         self.startable.insert(machine);
     }
@@ -55,8 +55,8 @@
             };
             placement.delivery = None;
             let machine = placement.machine.clone();
-            self.add_startable(machine);
-            self.dirty = true;
+            self.mark_startable(machine);
+            self.needs_planning = true;
         }
     }
 
@@ -87,12 +87,12 @@
             let Some(placement) = job.placement_mut(recorded.task) else {
                 continue;
             };
-            let due = placement.is_unsent()
+            let due = placement.is_start_pending()
                 && placement.change <= committed_change
                 && placement.stop.is_none();
-            if due && !(direct && placement.restarts) {
+            if due && !(direct && placement.restarts_in_place) {
                 placement.delivery = Some(delivery);
-                placement.sends += 1;
+                placement.start_attempts += 1;
                 placement.since = now;
                 starts.push(DirectStart {
                     job: recorded.job.clone(),
@@ -110,7 +110,7 @@
         if !may_start || self.is_overloaded(now) {
             return;
         }
-        // What the limit leaves no room for stays: a heartbeat may come first.
+        // What the limit leaves no capacity for stays: a heartbeat may come first.
         while self.direct_start_limit.available(now, 0.0) > 0 {
             let Some(name) = self.startable.pop_first() else {
                 return;
--- a/src/serve.rs
+++ b/src/serve.rs
@@ -10,7 +10,7 @@
 use mio::Waker;
 use tracing::info;
 
-use crate::fleet_capacity::grant_capacities;
+use crate::fleet_capacity::limit_capacities;
 use crate::net::{Action, ConnectionLimits, Event, EventLoop};
 use crate::node::{Node, Timestamp};
 use crate::plan::{self, Snapshot};
@@ -87,7 +87,7 @@
 
 /// Runs until killed, or until the event loop fails.
 pub fn serve(settings: Settings, operator: OperatorSettings) -> io::Result<()> {
-    if let Some(least) = grant_capacities(&settings.cluster).first() {
+    if let Some(least) = limit_capacities(&settings.cluster).first() {
         info!("{least}");
     }
     let limits = connection_limits(&settings);
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -123,7 +123,7 @@
     pub teams: Vec<Team>,
     /// Aims on starting and finishing.
     #[serde(default)]
-    pub objectives: Vec<Objective>,
+    pub objectives: Vec<ServiceLevelObjective>,
     /// Times of agents.
     pub workers: AgentTimings,
     /// Limits of the state service.
@@ -137,7 +137,7 @@
     pub clock_off_ms: f64,
 }
 
-/// A team's guarantee and limit; 0 stands for none.
+/// A team's nominal quota and limit; 0 stands for none.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Team {
     /// Its name.
@@ -156,9 +156,9 @@
     pub gpus_max: f64,
 }
 
-/// An aim on starting or finishing.
+/// An objective on starting or finishing.
 #[derive(Debug, Clone, Deserialize)]
-pub struct Objective {
+pub struct ServiceLevelObjective {
     /// `wait`, `finished`, `deadline` or another.
     pub kind: String,
     /// The class of jobs that it is for; `None` for all.
@@ -286,7 +286,7 @@
     /// cheapest spot machine.
     #[serde(alias = "dear_times")]
     pub ordinary_price_ratio: f64,
-    /// Longest backoff of a gang that found no room, in seconds.
+    /// Longest backoff of a gang that found no capacity, in seconds.
     pub backoff_max_s: f64,
     /// Duties that this controller may hold; without them it holds none.
     pub duties: Option<DutySettings>,
--- a/src/settings/duties.rs
+++ b/src/settings/duties.rs
@@ -10,9 +10,9 @@
 
 /// Longest life of a duty's lease, as a share of an agent's lease: a machine that a holder
 /// was to return must be returned by its successor before the agent gives up.
-const LIFE_SHARE_MAX: f64 = 0.5;
+const TTL_SHARE_MAX: f64 = 0.5;
 /// Lives until a successor gives orders, at the most.
-const TAKEOVER_LIVES: f64 = 2.0;
+const TAKEOVER_TTLS: f64 = 2.0;
 /// Most records that are removed in a second: a look at the clock finds one.
 const CLEANING_PER_S_MAX: f64 = 10.0;
 /// Changes of the largest transaction, the election of a leader out of reach of versions
@@ -66,7 +66,7 @@
 
     /// Checks them against the platform's settings.
     pub fn check(&self, settings: &Settings) -> Result<(), SettingsError> {
-        self.check_life(settings)?;
+        self.check_ttl(settings)?;
         let cleaning_per_s = self.cleaning_per_s;
         if !(cleaning_per_s > 0.0 && cleaning_per_s <= CLEANING_PER_S_MAX) {
             let problem =
@@ -89,25 +89,25 @@
         Ok(())
     }
 
-    fn check_life(&self, settings: &Settings) -> Result<(), SettingsError> {
+    fn check_ttl(&self, settings: &Settings) -> Result<(), SettingsError> {
         let refuse = |problem: String| Err(SettingsError::invalid("duties.life_share", problem));
         let workers = &settings.cluster.workers;
         let share = self.life_share;
-        if !(share.is_finite() && share > 0.0 && share <= LIFE_SHARE_MAX) {
-            let problem = format!("must be above 0 and at most {LIFE_SHARE_MAX}, not {share}");
+        if !(share.is_finite() && share > 0.0 && share <= TTL_SHARE_MAX) {
+            let problem = format!("must be above 0 and at most {TTL_SHARE_MAX}, not {share}");
             return refuse(problem);
         }
-        let life_s = workers.lease_s * share;
+        let ttl_s = workers.lease_s * share;
         let stall_s = settings.cluster.limits.stall_s();
-        if life_s < stall_s {
+        if ttl_s < stall_s {
             return refuse(format!(
-                "a lease of {life_s:.2} s is shorter than a stall of {stall_s:.2} s with this cpu_share"
+                "a lease of {ttl_s:.2} s is shorter than a stall of {stall_s:.2} s with this cpu_share"
             ));
         }
-        if TAKEOVER_LIVES * life_s > workers.cancel_s {
+        if TAKEOVER_TTLS * ttl_s > workers.cancel_s {
             return refuse(format!(
                 "a successor may take {:.2} s, longer than cancel_s",
-                TAKEOVER_LIVES * life_s
+                TAKEOVER_TTLS * ttl_s
             ));
         }
         match self.timing(workers.lease_s).check() {
--- a/src/wire/agents.rs
+++ b/src/wire/agents.rs
@@ -110,9 +110,9 @@
 /// its place until a report shows otherwise.
 pub fn task_phase(status: &str, cause: Option<&str>, kept: Option<bool>) -> TaskPhase {
     match status {
-        "pulling" => TaskPhase::Fetching,
-        "gathering" => TaskPhase::Waiting,
-        "flushing" => TaskPhase::Saving,
+        "pulling" => TaskPhase::PullingImage,
+        "gathering" => TaskPhase::AwaitingGang,
+        "flushing" => TaskPhase::Checkpointing,
         "ended" => TaskPhase::Exited(exit_cause(cause, kept)),
         _ => TaskPhase::Running,
     }
@@ -122,11 +122,11 @@
     match cause {
         Some("done") => ExitCause::Done,
         Some("stopped") => ExitCause::Stopped {
-            kept: kept.unwrap_or(false),
+            checkpointed: kept.unwrap_or(false),
         },
         Some("mates_gone") => ExitCause::GangMemberLost,
         Some("alone") => ExitCause::GangTimeout,
-        Some("full") => ExitCause::NoRoom,
+        Some("full") => ExitCause::InsufficientCapacity,
         Some("in_use") => ExitCause::InUse,
         Some("no_such") => ExitCause::UnknownTask,
         _ => ExitCause::Error,
--- a/src/wire/cloud.rs
+++ b/src/wire/cloud.rs
@@ -33,7 +33,7 @@
     /// Memory of a machine.
     #[serde(rename = "memGb", deserialize_with = "number")]
     pub memory_gb: f64,
-    /// Room for cached images.
+    /// Capacity for cached images.
     #[serde(rename = "cacheGb", deserialize_with = "number")]
     pub cache_gb: f64,
     /// How fast images are fetched.
--- a/src/wire/mod.rs
+++ b/src/wire/mod.rs
@@ -21,7 +21,7 @@
 };
 pub use submission::{is_job_id, parse_submission, MalformedSubmission};
 pub use users::{
-    reports_cancelled, ErrorReply, JobStatusReply, DONE, HEALTH_PATH, JOBS_PATH, PENDING, RUNNING,
+    is_cancelled_reply, ErrorReply, JobStatusReply, DONE, HEALTH_PATH, JOBS_PATH, PENDING, RUNNING,
     WITHDRAWN,
 };
 
--- a/src/wire/state_service.rs
+++ b/src/wire/state_service.rs
@@ -142,7 +142,7 @@
 pub struct GrantRequest {
     /// How long it lives without a renewal.
     #[serde(rename = "lifeMs")]
-    pub life_ms: u64,
+    pub ttl_ms: u64,
 }
 
 /// A grant to which keys may be attached.
--- a/src/wire/submission.rs
+++ b/src/wire/submission.rs
@@ -64,7 +64,7 @@
         image_gb: fields.amount("imageGb")?,
         expected_s: fields.amount("expectedS")?,
         checkpoint_interval_s: fields.amount("snapshotEveryS")?,
-        save_s: fields.amount("snapshotS")?,
+        checkpoint_grace_s: fields.amount("snapshotS")?,
         deadline_s: fields.optional_amount("dueS")?,
         dependencies: fields.dependencies()?,
     };
--- a/src/wire/users.rs
+++ b/src/wire/users.rs
@@ -42,7 +42,7 @@
 }
 
 /// Whether an answer to a user calls the job cancelled.
-pub fn reports_cancelled(body: &[u8]) -> bool {
+pub fn is_cancelled_reply(body: &[u8]) -> bool {
     #[derive(Deserialize)]
     struct StatusOnly {
         #[serde(default)]
--- a/tests/combined_failures.rs
+++ b/tests/combined_failures.rs
@@ -638,8 +638,8 @@
     sim.assert_known();
 }
 
-/// More work than room, urgent and not, over slow links: the largest jobs begin
-/// within four minutes, and nothing waits while there is room for it.
+/// More work than capacity, urgent and not, over slow links: the largest jobs begin
+/// within four minutes, and nothing waits while there is capacity for it.
 #[test]
 fn more_work_than_room_over_slow_links() {
     let mut sim = Sim::new();
--- a/tests/common/agent_events.rs
+++ b/tests/common/agent_events.rs
@@ -357,13 +357,13 @@
                 agent.next = now + 1000;
             }
         }
-        let early_ms = self.grants.heartbeat_interval_ms - 500;
+        let early_ms = self.limits.heartbeat_interval_ms - 500;
         let changed = agent.changed && now >= agent.next.saturating_sub(early_ms);
         if agent.waiting.is_some() || !(changed || now >= agent.next) {
             return None;
         }
         agent.changed = false;
-        agent.next = now + self.grants.heartbeat_interval_ms;
+        agent.next = now + self.limits.heartbeat_interval_ms;
         let report = agent.report(&self.cloud.machines[name]);
         agent.waiting = Some((report.serial, now));
         Some(Msg::Heartbeat {
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -31,6 +31,6 @@
 pub use messages::{Job, UserAnswer, Writes};
 pub use meter::{Meter, Spent};
 pub use production::{OldRecord, OldSpec};
-pub use settings::{settings, settings_with, submission, Grants};
+pub use settings::{settings, settings_with, submission, PlatformLimits};
 pub use sim::Sim;
 pub use state_service::{Low, Served, StateService};
--- a/tests/common/production.rs
+++ b/tests/common/production.rs
@@ -64,7 +64,7 @@
     #[serde(rename = "ck", deserialize_with = "wire::number")]
     pub(super) checkpoint_interval_s: f64,
     #[serde(rename = "sv", deserialize_with = "wire::number")]
-    pub(super) save_s: f64,
+    pub(super) checkpoint_grace_s: f64,
     #[serde(rename = "d", default, skip_serializing_if = "Option::is_none")]
     pub(super) deadline_s: Option<f64>,
 }
--- a/tests/common/settings.rs
+++ b/tests/common/settings.rs
@@ -5,7 +5,7 @@
 
 /// What the platform grants, where it differs between tests.
 #[derive(Clone, Debug)]
-pub struct Grants {
+pub struct PlatformLimits {
     pub heartbeat_interval_ms: u64,
     pub state_rps: f64,
     pub write_rps: f64,
@@ -14,9 +14,9 @@
     pub fd_limit: usize,
 }
 
-impl Default for Grants {
-    fn default() -> Grants {
-        Grants {
+impl Default for PlatformLimits {
+    fn default() -> PlatformLimits {
+        PlatformLimits {
             heartbeat_interval_ms: 3000,
             state_rps: 200.0,
             write_rps: 50.0,
@@ -27,10 +27,10 @@
     }
 }
 
-impl Grants {
+impl PlatformLimits {
     /// Those of a deployment with thousands of machines.
-    pub fn large() -> Grants {
-        Grants {
+    pub fn large() -> PlatformLimits {
+        PlatformLimits {
             heartbeat_interval_ms: 8000,
             state_rps: 100.0,
             write_rps: 25.0,
@@ -42,11 +42,11 @@
 }
 
 pub fn settings(member: usize, teams: &str) -> Settings {
-    settings_with(member, teams, "", &Grants::default())
+    settings_with(member, teams, "", &PlatformLimits::default())
 }
 
 /// `next`: limits to come, as the settings have them behind the present ones.
-pub fn settings_with(member: usize, teams: &str, next: &str, grants: &Grants) -> Settings {
+pub fn settings_with(member: usize, teams: &str, next: &str, limits: &PlatformLimits) -> Settings {
     let known: Vec<String> = (0..3)
         .filter(|i| *i != member)
         .map(|i| {
@@ -56,15 +56,15 @@
             )
         })
         .collect();
-    let Grants {
+    let PlatformLimits {
         state_rps,
         write_rps,
         cloud_rps,
         cpu_share,
         fd_limit,
         ..
-    } = grants;
-    let report_s = grants.heartbeat_interval_ms as f64 / 1000.0;
+    } = limits;
+    let report_s = limits.heartbeat_interval_ms as f64 / 1000.0;
     let text = format!(
         r#"{{"member":"c{member}","zone":"a","front":"10.0.0.{n}:80","mesh_addr":"10.0.0.{n}:81",
         "known":[{}],"endpoints":{{"cloud":"10.2.0.2:1","state":"10.2.0.1:1"}},"news_field":1,
--- a/tests/common/sim.rs
+++ b/tests/common/sim.rs
@@ -102,7 +102,7 @@
     pub team_cores: f64,
     pub(super) team: String,
     pub(super) told: HashMap<String, String>,
-    pub grants: Grants,
+    pub limits: PlatformLimits,
     /// How often agents are looked at, in milliseconds.
     pub agent_tick_ms: u64,
     /// On which machines each task was ever started, and tasks of each job.
@@ -197,7 +197,7 @@
             team_cores,
             team: team.to_string(),
             told: HashMap::new(),
-            grants: Grants::default(),
+            limits: PlatformLimits::default(),
             agent_tick_ms: 10,
             places: HashMap::new(),
             reply_max: usize::MAX,
@@ -217,10 +217,10 @@
         s
     }
 
-    /// With room for so many machines of a large deployment.
+    /// With capacity for so many machines of a large deployment.
     pub fn large(machines: usize) -> Sim {
         let mut s = Sim::new();
-        s.grants = Grants::large();
+        s.limits = PlatformLimits::large();
         s.agent_tick_ms = 100;
         s.cloud.most = machines;
         for node in 0..3 {
@@ -449,7 +449,7 @@
             if self.back_at[i].is_some_and(|t| self.now >= t) {
                 self.back_at[i] = None;
                 let seed = 10 * self.lives[i] + i as u64;
-                let set = settings_with(i, &self.team, &self.next, &self.grants);
+                let set = settings_with(i, &self.team, &self.next, &self.limits);
                 let operator = self.operator_of(i);
                 self.nodes[i] = Some(Node::new(set, operator, seed));
             }
--- a/tests/common/state_service.rs
+++ b/tests/common/state_service.rs
@@ -9,7 +9,7 @@
     pub keys: BTreeMap<String, (Value, u64, Option<u64>)>,
     pub revision: u64,
     pub(super) log: Vec<KeyChange>,
-    pub(super) grants: HashMap<u64, (u64, u64)>,
+    pub(super) limits: HashMap<u64, (u64, u64)>,
     pub(super) next_grant: u64,
     /// How many requests came.
     pub requests: u64,
@@ -27,7 +27,7 @@
 impl StateService {
     pub fn expire(&mut self, now: u64) {
         let dead: Vec<u64> = self
-            .grants
+            .limits
             .iter()
             .filter(|(_, g)| now > g.0)
             .map(|(id, _)| *id)
@@ -39,13 +39,13 @@
 
     /// After an outage every grant has its full time again.
     pub fn refresh(&mut self, now: u64) {
-        for g in self.grants.values_mut() {
+        for g in self.limits.values_mut() {
             g.0 = now + g.1;
         }
     }
 
     pub(super) fn end_grant(&mut self, id: u64) {
-        self.grants.remove(&id);
+        self.limits.remove(&id);
         let keys: Vec<String> = self
             .keys
             .iter()
@@ -148,8 +148,8 @@
             ("POST", "/grants") => {
                 let ask: GrantRequest = wire::decode(body).expect("a grant request");
                 self.next_grant += 1;
-                self.grants
-                    .insert(self.next_grant, (now + ask.life_ms, ask.life_ms));
+                self.limits
+                    .insert(self.next_grant, (now + ask.ttl_ms, ask.ttl_ms));
                 Served::Now(
                     200,
                     wire::encode(&Grant {
@@ -163,7 +163,7 @@
                     .nth(2)
                     .and_then(|s| s.parse().ok())
                     .unwrap_or(0);
-                match self.grants.get_mut(&id) {
+                match self.limits.get_mut(&id) {
                     Some(g) => {
                         g.0 = now + g.1;
                         Served::Now(200, vec![])
@@ -215,7 +215,7 @@
         }
         if t.writes
             .iter()
-            .any(|w| w.grant.is_some_and(|p| !self.grants.contains_key(&p)))
+            .any(|w| w.grant.is_some_and(|p| !self.limits.contains_key(&p)))
         {
             return Served::Now(400, vec![]);
         }
--- a/tests/duties.rs
+++ b/tests/duties.rs
@@ -14,7 +14,7 @@
 
 const FENCES: [DutyFence; 2] = [DutyFence::Booking, DutyFence::ProviderToken];
 /// Life of a duty's lease with the settings of the tests.
-const LIFE_MS: u64 = 7200;
+const TTL_MS: u64 = 7200;
 /// Orders' steps, as their records show them.
 const STEPS: [(&str, &str); 5] = [
     ("rent", "needed"),
@@ -71,7 +71,7 @@
 /// Waits until a controller has decided on an order of a duty and stands still with it.
 fn until_still(sim: &mut Sim, duty: &str) -> usize {
     let holder = sim.holder_of(duty).expect("a holder");
-    sim.still_on_order.insert(holder, 4 * LIFE_MS);
+    sim.still_on_order.insert(holder, 4 * TTL_MS);
     let stands = |sim: &Sim| !sim.still_on_order.contains_key(&holder);
     assert!(sim.until(60_000, stands), "no order of {duty}");
     holder
@@ -125,7 +125,7 @@
             let token = sim.state.keys[&format!("g/d/l/{duty}/token")].0.clone();
             let passed_on = |sim: &Sim| sim.holder_of(duty).is_some_and(|h| h != paused);
             assert!(
-                sim.until(3 * LIFE_MS, passed_on),
+                sim.until(3 * TTL_MS, passed_on),
                 "{duty} stays with c{paused}"
             );
             finish(&mut sim, true);
@@ -171,7 +171,7 @@
             sim.run(3000);
             let at = sim.now + 60_000;
             sim.stopped_clocks.insert(node, at);
-            sim.run(2 * LIFE_MS);
+            sim.run(2 * TTL_MS);
             sim.stopped_clocks.clear();
             finish(&mut sim, false);
         }
@@ -216,7 +216,7 @@
         sim.until(60_000, |sim| sim.asked(duty) > 0);
         let holder = sim.holder_of(duty).expect("a holder");
         sim.refused.insert(holder);
-        sim.run(LIFE_MS / 2);
+        sim.run(TTL_MS / 2);
         sim.state_out = true;
         sim.run(70_000);
         sim.refused.clear();
@@ -496,12 +496,12 @@
 #[test]
 fn an_outage_moves_no_duty() {
     let mut sim = Sim::with_duties(DutyFence::Booking);
-    sim.run(2 * LIFE_MS);
+    sim.run(2 * TTL_MS);
     let before = tokens(&sim);
     sim.state_out = true;
     sim.run(30_000);
     sim.end_outage();
-    sim.run(2 * LIFE_MS);
+    sim.run(2 * TTL_MS);
     assert!(sim.are_duties_held());
     assert_eq!(tokens(&sim), before);
 }
@@ -511,14 +511,14 @@
 #[test]
 fn nothing_is_handed_to_one_that_does_not_stay() {
     let mut sim = Sim::with_duties(DutyFence::Booking);
-    sim.run(2 * LIFE_MS);
-    sim.crash(1, 3 * LIFE_MS);
-    sim.run(3 * LIFE_MS - 100);
+    sim.run(2 * TTL_MS);
+    sim.crash(1, 3 * TTL_MS);
+    sim.run(3 * TTL_MS - 100);
     let before = tokens(&sim);
     for _ in 0..4 {
-        sim.run(LIFE_MS / 2);
-        sim.crash(1, LIFE_MS);
-        sim.run(LIFE_MS - 100);
+        sim.run(TTL_MS / 2);
+        sim.crash(1, TTL_MS);
+        sim.run(TTL_MS - 100);
     }
     assert!(sim.are_duties_held());
     assert_eq!(tokens(&sim), before);
@@ -551,9 +551,9 @@
         };
         longest_free_ms = longest_free_ms.max(free_ms);
     }
-    assert!(longest_free_ms > LIFE_MS, "c1 was assigned some");
+    assert!(longest_free_ms > TTL_MS, "c1 was assigned some");
     assert!(
-        longest_free_ms < 4 * LIFE_MS,
+        longest_free_ms < 4 * TTL_MS,
         "free for {longest_free_ms} ms"
     );
 }
@@ -602,7 +602,7 @@
     for node in 0..3 {
         sim.crash(node, 300);
     }
-    sim.run(3 * LIFE_MS);
+    sim.run(3 * TTL_MS);
     submit_two(&mut sim);
     sim.run(60_000);
     assert!(sim.duty_history.is_empty(), "{:?}", sim.duty_history);
@@ -770,7 +770,7 @@
     })]
 
     /// Whatever own changes run ahead of the watch, and however pages and the watch tell of
-    /// the same changes again, the replica ends with what the state service holds, and never
+    /// the same changes again, the watch cache ends with what the state service holds, and never
     /// shows an older record after a newer one.
     #[test]
     fn records_are_the_same_in_any_order_of_news(
--- a/tests/life.rs
+++ b/tests/life.rs
@@ -317,7 +317,7 @@
     sim.assert_sound();
 }
 
-/// Found on a steady day: a task that was to make room before its start had
+/// Found on a steady day: a task that was to make capacity before its start had
 /// gone out kept its place for good, and its machine was never given back.
 #[test]
 fn a_victim_whose_start_never_went_out_is_removed() {
--- a/tests/parts/leader_lease.rs
+++ b/tests/parts/leader_lease.rs
@@ -1,6 +1,8 @@
 //! The leader lease.
 
-use gaugesill::leader_lease::{lease_life_ms, Election, LeaderLease, LeaseRequest, LeaseResponse};
+use gaugesill::leader_lease::{
+    leader_lease_ttl_ms, Election, LeaderLease, LeaseRequest, LeaseResponse,
+};
 use gaugesill::leadership_keys::{Fence, LeaderKey};
 use gaugesill::replica::Replica;
 use gaugesill::settings::OperatorSettings;
@@ -72,7 +74,7 @@
             "limits":{{"cpu_share":{share},"ram_mb":123,"fd_limit":1000}}}}"#
         );
         let cluster = serde_json::from_str(&text).expect("settings");
-        lease_life_ms(&cluster, &OperatorSettings::default())
+        leader_lease_ttl_ms(&cluster, &OperatorSettings::default())
     };
     assert_eq!(life(0.16), 2988, "a twelfth of a lease");
     assert_eq!(life(0.04), 5000, "0.2 core-seconds at that share");
--- a/tests/parts/plan.rs
+++ b/tests/parts/plan.rs
@@ -44,20 +44,20 @@
     assert!(d.stops.is_empty());
     let mut s = snapshot(vec![m1], vec![gang]);
     let own = TeamView {
-        cpus_guaranteed: 4.0,
-        cpus_demanded: 4.0,
+        nominal_cpus: 4.0,
+        requested_cpus: 4.0,
         ..TeamView::default()
     };
     let borrower = TeamView {
         cpus: 8.0,
-        cpus_guaranteed: 4.0,
+        nominal_cpus: 4.0,
         ..TeamView::default()
     };
     s.teams = HashMap::from([("t".to_string(), own), ("u".to_string(), borrower)]);
     assert_eq!(cycle(s).stops.len(), 1);
 }
 
-/// One place, three jobs: what has missed all its aims goes last, and of the
+/// One place, three jobs: what has missed all its objectives goes last, and of the
 /// others the one with little left to do goes first.
 #[test]
 fn queue_order_puts_lost_jobs_last_and_small_ones_first() {
@@ -93,7 +93,7 @@
         vec![gang.clone(), small],
     ));
     assert!(d.stops.is_empty() && d.placements.is_empty());
-    // Other room came free meanwhile: it may take that.
+    // Other capacity came free meanwhile: it may take that.
     let d = cycle(snapshot(vec![m1, machine("m3", "a", 8.0)], vec![gang]));
     assert_eq!(d.placements[0].tasks, [(0, "m3".into())]);
 }
@@ -118,17 +118,17 @@
 fn arrays_prefer_machines_with_their_image() {
     let mut m = machine("m1", "a", 4.0);
     m.images = vec!["img".into()];
-    let first = |skips_uncached| {
+    let first = |prefers_cached| {
         let mut s = spec(Shape::Array, 2, 4.0, Priority::Low);
         s.image = "other".into();
         JobView {
-            skips_uncached,
+            prefers_cached,
             ..job("first", s)
         }
     };
     let second = JobView {
         start_by_s: Some(90.0),
-        skips_uncached: true,
+        prefers_cached: true,
         ..job("second", spec(Shape::Array, 1, 4.0, Priority::Low))
     };
     let placed = |jobs: Vec<JobView>| {
@@ -139,12 +139,12 @@
             .map(|p| (p.job.to_string(), p.tasks.len()));
         (
             place,
-            d.skipped_machines.len(),
+            d.skipped_uncached_machines.len(),
             d.unmet.iter().map(|u| u.count).sum(),
         )
     };
     let one = |id: &str| Some((id.to_string(), 1));
-    let both = |skips_uncached| vec![first(skips_uncached), second.clone()];
+    let both = |prefers_cached| vec![first(prefers_cached), second.clone()];
     assert_eq!(placed(both(true)), (one("second"), 1, 2u32));
     assert_eq!(placed(vec![first(true)]), (one("first"), 1, 1));
     assert_eq!(placed(both(false)), (one("first"), 0, 2));
--- a/tests/parts/replica.rs
+++ b/tests/parts/replica.rs
@@ -1,4 +1,4 @@
-//! The replica of the state service.
+//! The watch cache of the state service.
 
 use crate::support::*;
 use gaugesill::job::{FinalState, JobRecord, Priority, Shape};
--- a/tests/parts/reports.rs
+++ b/tests/parts/reports.rs
@@ -134,13 +134,13 @@
     assert!(c.jobs["run-1"].placements.is_empty());
 }
 
-/// Found by `new_machines_at_once_while_writes_lag`: a task was stopped to make room, or
+/// Found by `new_machines_at_once_while_writes_lag`: a task was stopped to make capacity, or
 /// ended, another was placed and recorded, and the leader ended before it could strike the
 /// first off. Its successor finds both on record and one on the machine: to start the other
-/// in its place would go beyond the machine's room or the team's limit.
+/// in its place would go beyond the machine's capacity or the team's limit.
 #[test]
 fn a_place_that_was_given_away_is_not_used_again() {
-    // Room for both and no limit; too little room; too low a limit.
+    // capacity for both and no limit; too little capacity; too low a limit.
     for (cpus, limit, kept) in [(4.0, 0.0, 1), (20.0, 0.0, 0), (4.0, 7.0, 0)] {
         let mut c = control_of(
             &format!(r#"[{{"name":"t","cpus_max":{limit:.1}}}]"#),
--- a/tests/parts/size.rs
+++ b/tests/parts/size.rs
@@ -1,7 +1,7 @@
 //! What work costs does not grow with the fleet, by counts.
 
 use crate::support::*;
-use gaugesill::fleet_capacity::grant_capacities;
+use gaugesill::fleet_capacity::limit_capacities;
 use gaugesill::job::{JobRecord, Priority, Shape};
 use gaugesill::plan::{self, JobView, MachineView};
 use gaugesill::replica::LiveJob;
@@ -115,7 +115,7 @@
     );
 }
 
-/// A third of 4,000 machines is lost: fourteen calls. Those that the limit had no room for
+/// A third of 4,000 machines is lost: fourteen calls. Those that the limit had no capacity for
 /// waited for as long as an answer may take, so that it took twelve seconds.
 #[test]
 fn deletions_wait_for_the_limit_and_not_for_an_answer() {
@@ -148,12 +148,12 @@
 fn grants_are_told_by_the_machines_that_they_suffice_for() {
     let mut cluster = cluster("[]", "[]", "8.0");
     cluster.limits.cpu_share = 0.04;
-    let capacities = grant_capacities(&cluster);
+    let capacities = limit_capacities(&cluster);
     let least = capacities[0];
-    assert_eq!(least.grant, "cluster.limits.cpu_share");
+    assert_eq!(least.limit, "cluster.limits.cpu_share");
     assert!((1000..2500).contains(&least.machines), "{least}");
     assert!(!least.is_near(least.machines / 2) && least.is_near(least.machines * 9 / 10));
     cluster.limits.cpu_share = 0.5;
     cluster.limits.ram_mb = 16.0;
-    assert_eq!(grant_capacities(&cluster)[0].grant, "cluster.limits.ram_mb");
+    assert_eq!(limit_capacities(&cluster)[0].limit, "cluster.limits.ram_mb");
 }
--- a/tests/parts/snapshots.rs
+++ b/tests/parts/snapshots.rs
@@ -7,8 +7,8 @@
 use gaugesill::scheduler::{Effect, StatusOrigin};
 use std::sync::Arc;
 
-/// Found in inc-8ccc: gangs that had missed every aim were overtaken by fresh
-/// ones for minutes. The next aim counts as long as there is one, then nothing,
+/// Found in inc-8ccc: gangs that had missed every objective were overtaken by fresh
+/// ones for minutes. The next objective counts as long as there is one, then nothing,
 /// and after three boot times it is their turn.
 #[test]
 fn no_job_is_overtaken_for_ever() {
--- a/tests/parts/support.rs
+++ b/tests/parts/support.rs
@@ -33,7 +33,7 @@
         image_gb: 1.0,
         expected_s: 10.0,
         checkpoint_interval_s: 2.0,
-        save_s: 1.0,
+        checkpoint_grace_s: 1.0,
         deadline_s: None,
         dependencies: vec![],
     }
@@ -72,7 +72,7 @@
         backing_off: false,
         incomplete: false,
         overdue: false,
-        skips_uncached: false,
+        prefers_cached: false,
     }
 }
 
@@ -155,7 +155,7 @@
     )
 }
 
-/// A leader's state of this epoch that follows from a replica.
+/// A leader's state of this epoch that follows from a watch cache.
 pub fn control_from(
     cluster: &ClusterSettings,
     epoch: u64,
--- a/tests/pipelines.rs
+++ b/tests/pipelines.rs
@@ -452,7 +452,7 @@
         // run-5 is due at 1300, so run-4 by 1292, run-3 by 1272, run-1 by 1182.
         let sim = c.snapshot(1000, 1_000_000);
         assert_eq!(sim.jobs.len(), 1, "the others wait");
-        assert_eq!(sim.teams["t"].cpus_demanded, 1.0, "and ask for nothing");
+        assert_eq!(sim.teams["t"].requested_cpus, 1.0, "and ask for nothing");
         assert_eq!(&*sim.jobs[0].id, "run-1");
         assert_eq!(sim.jobs[0].spec.priority, Priority::High);
         assert_eq!(sim.jobs[0].start_by_s, Some(1182.0 - 15.0));
--- a/tests/real/sockets.rs
+++ b/tests/real/sockets.rs
@@ -11,7 +11,7 @@
 
 /// Found with a fleet half as large again: after a mass failure the leader's own
 /// calls to agents took every socket that the agents' and users' connections
-/// left. Each has its part: users make room before agents do, and calls to the
+/// left. Each has its part: users make capacity before agents do, and calls to the
 /// state service get through however many agents are called.
 #[test]
 fn sockets_are_shared_out() {
@@ -123,7 +123,7 @@
 }
 
 /// With more machines than places for their connections each would lose its own just
-/// before its next report, if the idlest made room: nobody would keep one. Those that are
+/// before its next report, if the least recently used made capacity: nobody would keep one. Those that are
 /// there keep theirs, and the others are served on connections of one request.
 #[test]
 fn more_machines_than_sockets() {
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -87,7 +87,7 @@
         status.leading_epoch,
         status.redirected_agents,
         status.process_age_ms,
-        status.told_cancelled
+        status.acknowledged_cancellations
     );
     assert_eq!(in_old_names, readable);
     // The field that has come since is at its default, and not written then.
