--- a/examples/scheduling_cost.rs
+++ b/examples/scheduling_cost.rs
@@ -146,7 +146,7 @@
                 continue;
             };
             let value = writes.iter().find_map(|write| write.value.as_ref());
-            if let Some(record) = value.and_then(JobRecord::from_value) {
+            if let Some(record) = value.and_then(|value| JobRecord::from_value(value).ok()) {
                 let live = LiveJob {
                     record: Arc::new(record),
                     version: VERSION,
@@ -226,7 +226,7 @@
             self.machines,
             || {
                 for body in &bodies {
-                    if let Some(report) = wire::decode::<AgentStatus>(body) {
+                    if let Ok(report) = wire::decode::<AgentStatus>(body) {
                         let commands = self.heartbeat(&report);
                         black_box(wire::encode(&wire::CommandBatch {
                             epoch: 1,
--- a/src/controller/calls.rs
+++ b/src/controller/calls.rs
@@ -4,13 +4,14 @@
 use std::sync::Arc;
 
 use duty_lease::Duty;
-use prost::Message;
 use tracing::warn;
 
 use super::duties::SentOrder;
+use super::responses::{self, AgentResponse, ProviderError};
+use super::store_sync::ChangeRead;
 use super::{Controller, EventTime};
 use crate::leader_lease::LeaseRequest;
-use crate::net::{Action, Outcome};
+use crate::net::{status, Action, Outcome};
 use crate::peer_protocol::{ForwardedReply, PeerStatus};
 use crate::scheduler::{DirectStart, ProvisioningOutcome, StatusOrigin};
 use crate::wire;
@@ -198,11 +199,11 @@
             PendingCall::LoadJobs => self.on_jobs_page(&outcome),
             PendingCall::Watch { from, asked } => {
                 self.store_sync.watching = false;
-                self.on_changes(&outcome, from, asked, false);
+                self.on_changes(&outcome, from, asked, ChangeRead::Watch);
             }
             PendingCall::ReadChanges { from, asked } => {
                 self.store_sync.reading = false;
-                self.on_changes(&outcome, from, asked, true);
+                self.on_changes(&outcome, from, asked, ChangeRead::ForWaitingUsers);
             }
             PendingCall::Transaction => {
                 self.on_store_refusal(&outcome);
@@ -235,11 +236,7 @@
                 epoch,
             } => self.on_provisioning_outcome(&idempotency_key, epoch, &outcome),
             PendingCall::Terminate { machines, epoch } => {
-                let now = self.now.steady;
-                let confirmed = matches!(outcome, Outcome::Answer { status: 200, .. });
-                if let Some(scheduler) = self.scheduler_of(epoch) {
-                    scheduler.on_termination_outcome(&machines, confirmed, now);
-                }
+                self.on_termination_outcome(&machines, epoch, &outcome);
             }
             PendingCall::Agent {
                 machine,
@@ -258,23 +255,26 @@
         let Some(scheduler) = self.scheduler_of(epoch) else {
             return;
         };
-        let rental = match outcome {
-            Outcome::Answer { status: 200, body } => {
-                let machines = wire::decode::<wire::MachineNames>(body);
-                machines.map_or(ProvisioningOutcome::Failed, |m| {
-                    ProvisioningOutcome::Provisioned(m.names)
-                })
-            }
-            Outcome::Answer { status: 503, body } if wire::is_no_capacity(body) => {
+        let result = match responses::provisioned_machines(outcome) {
+            Ok(names) => ProvisioningOutcome::Provisioned(names),
+            Err(ProviderError::NoCapacity) => ProvisioningOutcome::Unavailable,
+            Err(ProviderError::Malformed) => {
+                warn!(idempotency_key, "malformed provisioning request");
                 ProvisioningOutcome::Unavailable
             }
-            Outcome::Answer { status: 400, .. } => {
-                warn!("the cloud refuses {idempotency_key} as malformed");
-                ProvisioningOutcome::Unavailable
+            Err(ProviderError::Fenced | ProviderError::Throttled | ProviderError::Unknown) => {
+                ProvisioningOutcome::Failed
             }
-            _ => ProvisioningOutcome::Failed,
         };
-        scheduler.on_provisioning_outcome(idempotency_key, rental, now);
+        scheduler.on_provisioning_outcome(idempotency_key, result, now);
+    }
+
+    fn on_termination_outcome(&mut self, machines: &[String], epoch: u64, outcome: &Outcome) {
+        let now = self.now.steady;
+        let confirmed = responses::termination(outcome).is_ok();
+        if let Some(scheduler) = self.scheduler_of(epoch) {
+            scheduler.on_termination_outcome(machines, confirmed, now);
+        }
     }
 
     fn on_agent_outcome(
@@ -288,54 +288,29 @@
         let Some(scheduler) = self.scheduler_of(epoch) else {
             return;
         };
-        // A start that was refused, or never sent, may go out anew; of one without an
-        // answer nothing is known.
-        let not_sent = *outcome == Outcome::NotSent;
-        let refused = matches!(
-            outcome,
-            Outcome::Answer {
-                status: 400 | 409,
-                ..
-            }
-        );
-        if not_sent || refused {
-            scheduler.on_start_failed(machine, starts, not_sent, now);
+        let response = AgentResponse::new(outcome, machine);
+        if let Some(failure) = response.failure {
+            scheduler.on_start_failed(machine, starts, failure, now);
         }
-        let Outcome::Answer {
-            status: 200 | 409,
-            body,
-        } = outcome
-        else {
-            return;
-        };
-        let Some(report) = wire::decode::<wire::AgentStatus>(body) else {
+        let Some(agent_status) = response.status else {
             return;
         };
-        if *report.machine != *machine {
-            return;
+        if agent_status.epoch > epoch {
+            return self.resign("an agent has seen a higher epoch", 0);
         }
-        if report.epoch > epoch {
-            return self.resign("a worker has seen a higher epoch", 0);
-        }
-        scheduler.on_agent_status(&report, StatusOrigin::DirectResponse, now);
+        scheduler.on_agent_status(&agent_status, StatusOrigin::DirectResponse, now);
     }
 
     fn on_status_outcome(&mut self, member: &str, sent_at: u64, outcome: &Outcome) {
-        if let Outcome::Answer { status: 200, body } = outcome {
-            if let Ok(status) = PeerStatus::decode(body.as_slice()) {
-                self.sync_cancellations(member, &status, sent_at);
-                self.on_peer_status(member, status);
-            }
+        if let Some(status) = responses::decode_peer::<PeerStatus>(outcome) {
+            self.sync_cancellations(member, &status, sent_at);
+            self.on_peer_status(member, status);
         }
     }
 
     fn on_forward_outcome(&mut self, user: u64, outcome: &Outcome) {
-        let reply = match outcome {
-            Outcome::Answer { status: 200, body } => ForwardedReply::decode(body.as_slice()).ok(),
-            _ => None,
-        };
-        let Some(reply) = reply else {
-            return self.finish_user(user, 503, Some(1), vec![]);
+        let Some(reply) = responses::decode_peer::<ForwardedReply>(outcome) else {
+            return self.finish_user(user, status::UNAVAILABLE, Some(1), vec![]);
         };
         if wire::is_cancelled_reply(&reply.body) {
             if let Some(id) = self.users.get(&user).map(|p| p.id.clone()) {
--- a/src/controller/cloud_inventory.rs
+++ b/src/controller/cloud_inventory.rs
@@ -2,11 +2,11 @@
 
 use std::sync::Arc;
 
-use tracing::error;
+use tracing::{debug, error};
 
 use super::calls::{HttpCall, PendingCall};
 use super::machine_list_reader::PageResult;
-use super::Controller;
+use super::{responses, Controller};
 use crate::net::Outcome;
 use crate::time_units::to_ms;
 use crate::wire;
@@ -41,11 +41,9 @@
     }
 
     pub(super) fn on_machine_types(&mut self, outcome: &Outcome) {
-        let Outcome::Answer { status: 200, body } = outcome else {
-            return;
-        };
-        let Some(reply) = wire::decode::<wire::MachineTypes>(body) else {
-            return;
+        let reply = match responses::decode_success::<wire::MachineTypes>(outcome) {
+            Ok(reply) => reply,
+            Err(error) => return debug!(%error, "machine types not read"),
         };
         self.machine_types = Arc::new(reply.types);
         if let Some(scheduler) = &mut self.scheduler {
@@ -83,12 +81,12 @@
         if self.scheduler_of(epoch).is_none() {
             return self.machine_list.restart(now);
         }
-        let page = match outcome {
-            Outcome::Answer { status: 200, body } => wire::decode::<wire::MachineList>(body),
-            _ => None,
-        };
-        let Some(page) = page else {
-            return self.machine_list.on_failure(now);
+        let page = match responses::decode_success::<wire::MachineList>(outcome) {
+            Ok(page) => page,
+            Err(error) => {
+                debug!(%error, "page of the machine list not read");
+                return self.machine_list.on_failure(now);
+            }
         };
         let machines_max = self.listed_machines_max();
         match self.machine_list.on_page(page, machines_max, now) {
--- a/src/controller/dependencies.rs
+++ b/src/controller/dependencies.rs
@@ -3,7 +3,10 @@
 
 use std::collections::BTreeSet;
 
+use tracing::warn;
+
 use super::calls::{HttpCall, PendingCall};
+use super::responses::{self, KeyRead};
 use super::user_types::{RequestStage, UserRequest};
 use super::Controller;
 use crate::dependencies::{DependencyEvent, DependencyState};
@@ -88,8 +91,8 @@
         is_final: bool,
         outcome: &Outcome,
     ) {
-        match outcome {
-            Outcome::Answer { status: 200, body } => {
+        match responses::key_read(outcome) {
+            KeyRead::Found(body) => {
                 if is_final {
                     self.record_final_reply(&dependency, body);
                 }
@@ -98,17 +101,17 @@
                 }
                 self.resolve_dependencies(user);
             }
-            Outcome::Answer { status: 404, .. } if !is_final => {
+            KeyRead::NotFound if !is_final => {
                 self.read_dependency(user, dependency, true);
             }
-            Outcome::Answer { status: 404, .. } => {
+            KeyRead::NotFound => {
                 let after = self.event_count;
                 if let Some(pending) = self.users.get_mut(&user) {
                     pending.names_unknown_job = true;
                     pending.stage = RequestStage::AwaitCache { after, revision: 0 };
                 }
             }
-            _ => self.forward_user(user),
+            KeyRead::Failed => self.forward_user(user),
         }
     }
 
@@ -138,18 +141,26 @@
 
     pub(super) fn on_dependency_lookup(&mut self, dependency: &str, outcome: &Outcome) {
         self.lookups.in_flight.remove(dependency);
-        match outcome {
-            Outcome::Answer { status: 200, body } => {
+        match responses::key_read(outcome) {
+            KeyRead::Found(body) => {
                 self.record_final_reply(dependency, body);
             }
             // Alive, and not in the watch cache yet; or the service is in trouble.
-            _ => self.lookups.next_at = self.now.steady + LOOKUP_RETRY_MS,
+            KeyRead::NotFound | KeyRead::Failed => {
+                self.lookups.next_at = self.now.steady + LOOKUP_RETRY_MS
+            }
         }
     }
 
-    /// Takes in how a job ended. `None` if the answer can't be read.
+    /// Records how a job ended. `None` if the response can't be read.
     pub(super) fn record_final_reply(&mut self, id: &str, body: &[u8]) -> Option<FinalState> {
-        let state = wire::final_state_reply(body)?;
+        let state = match wire::final_state_reply(body) {
+            Ok(state) => state,
+            Err(error) => {
+                warn!(job = id, %error, "unreadable final state");
+                return None;
+            }
+        };
         self.watch_cache.record_final(id, state);
         self.forward_dependency_events();
         Some(state)
--- a/src/controller/duties/leases.rs
+++ b/src/controller/duties/leases.rs
@@ -8,11 +8,12 @@
 
 use super::Controller;
 use crate::controller::calls::{HttpCall, PendingCall};
+use crate::controller::responses::{self, CallError};
 use crate::duties::{
     holder_key, token_key, DutyRecords, StoredHolder, DUTIES_PREFIX, LEASES_PREFIX,
 };
-use crate::net::Outcome;
-use crate::wire::{self, Condition, Transaction, Write};
+use crate::net::{status, Outcome};
+use crate::wire::{self, Condition, DecodeError, Transaction, Write};
 
 /// Keys of one lease.
 const LEASE_KEYS: usize = 10;
@@ -170,41 +171,43 @@
 }
 
 fn response_to(duty: Duty, request: &LeaseRequest, outcome: &Outcome) -> LeaseResponse {
-    let (status, body) = match outcome {
-        Outcome::Answer { status, body } => (*status, body),
-        Outcome::NotSent => return LeaseResponse::Refused,
-        Outcome::NoAnswer | Outcome::TooLarge => return LeaseResponse::NoAnswer,
-    };
-    match (request, status) {
-        (LeaseRequest::Read, 200) => {
-            read_view(duty, body).map_or(LeaseResponse::Refused, LeaseResponse::View)
-        }
-        (LeaseRequest::CreateGrant { .. }, 200) => {
-            let granted = wire::decode::<wire::Grant>(body);
-            granted.map_or(LeaseResponse::Refused, |g| LeaseResponse::Granted(g.grant))
-        }
-        (LeaseRequest::Acquire { .. }, 200) => {
-            let reply = wire::decode::<wire::TransactionReply>(body);
-            reply.map_or(LeaseResponse::NoAnswer, |reply| LeaseResponse::Acquired {
-                version: reply.revision,
-            })
+    match (request, responses::success(outcome)) {
+        (LeaseRequest::Read, Ok(body)) => match read_view(duty, body) {
+            Ok(view) => LeaseResponse::View(view),
+            Err(_) => LeaseResponse::Refused,
+        },
+        (LeaseRequest::CreateGrant { .. }, Ok(body)) => match wire::decode::<wire::Grant>(body) {
+            Ok(reply) => LeaseResponse::Granted(reply.grant),
+            Err(_) => LeaseResponse::Refused,
+        },
+        (LeaseRequest::Acquire { .. }, Ok(body)) => {
+            match wire::decode::<wire::TransactionReply>(body) {
+                Ok(reply) => LeaseResponse::Acquired {
+                    version: reply.revision,
+                },
+                Err(_) => LeaseResponse::NoAnswer,
+            }
         }
-        (LeaseRequest::Acquire { .. }, 409) => LeaseResponse::Conflict,
-        (LeaseRequest::Renew { .. }, 200) => LeaseResponse::Renewed,
-        (LeaseRequest::Release { .. }, 200) => LeaseResponse::Released,
-        (LeaseRequest::Renew { .. } | LeaseRequest::Release { .. }, 404) => {
-            LeaseResponse::GrantEnded
+        (LeaseRequest::Renew { .. }, Ok(_)) => LeaseResponse::Renewed,
+        (LeaseRequest::Release { .. }, Ok(_)) => LeaseResponse::Released,
+        (LeaseRequest::Acquire { .. }, Err(CallError::Status(status::CONFLICT))) => {
+            LeaseResponse::Conflict
         }
-        _ => LeaseResponse::Refused,
+        (
+            LeaseRequest::Renew { .. } | LeaseRequest::Release { .. },
+            Err(CallError::Status(status::NOT_FOUND)),
+        ) => LeaseResponse::GrantEnded,
+        (_, Err(CallError::NoResponse | CallError::TooLarge)) => LeaseResponse::NoAnswer,
+        (_, Err(_)) => LeaseResponse::Refused,
     }
 }
 
-fn read_view(duty: Duty, body: &[u8]) -> Option<LeaseView> {
+fn read_view(duty: Duty, body: &[u8]) -> Result<LeaseView, DecodeError> {
     let page = wire::decode::<wire::Page>(body)?;
     let mut records = DutyRecords::default();
     let pairs = page.pairs.iter();
     for pair in pairs.filter(|pair| pair.key.starts_with(DUTIES_PREFIX)) {
         records.apply_set(&pair.key, &pair.value, pair.version);
     }
-    Some(records.lease(duty))
+    Ok(records.lease(duty))
 }
--- a/src/controller/duties/orders.rs
+++ b/src/controller/duties/orders.rs
@@ -11,6 +11,7 @@
 use super::{Controller, DutyWrite, WritePurpose};
 use crate::controller::calls::{HttpCall, PendingCall};
 use crate::controller::effects::CLOUD_TIMEOUT_MS;
+use crate::controller::responses::{self, ProviderError};
 use crate::controller::WriteOwner;
 use crate::duties::{refusal_key, OrderKey, OrderPhase, OrderRecord, RefusalRecord};
 use crate::net::Outcome;
@@ -192,30 +193,27 @@
             is_provisioning,
             ..
         } = sent;
-        let order_outcome = match outcome {
-            Outcome::Answer { status: 200, body } if is_provisioning => {
-                let machines = wire::decode::<wire::MachineNames>(body);
-                machines.map_or(OrderOutcome::Unknown, |machines| {
-                    OrderOutcome::Done(OrderResult::Rented(machines.names))
-                })
+        let result = if is_provisioning {
+            responses::provisioned_machines(outcome).map(OrderResult::Rented)
+        } else {
+            responses::termination(outcome).map(|()| OrderResult::Deleted)
+        };
+        let order_outcome = match result {
+            Ok(result) => OrderOutcome::Done(result),
+            Err(ProviderError::NoCapacity) => OrderOutcome::Done(OrderResult::NoCapacity),
+            Err(ProviderError::Malformed) => {
+                error!(order = %id, "malformed order");
+                OrderOutcome::Done(OrderResult::Rejected)
             }
-            Outcome::Answer { status: 200, .. } => OrderOutcome::Done(OrderResult::Deleted),
-            Outcome::Answer { status: 409, .. } => {
+            Err(ProviderError::Fenced) => {
                 self.record_refusal(sent);
                 OrderOutcome::Fenced
             }
-            Outcome::Answer { status: 503, body } if wire::is_no_capacity(body) => {
-                OrderOutcome::Done(OrderResult::NoCapacity)
-            }
-            Outcome::Answer { status: 400, .. } => {
-                error!(order = %id, "the cloud refuses the order as malformed");
-                OrderOutcome::Done(OrderResult::Rejected)
-            }
-            Outcome::Answer { status: 429, .. } => {
+            Err(ProviderError::Throttled) => {
                 self.cloud_requests.drain();
                 OrderOutcome::Unknown
             }
-            _ => OrderOutcome::Unknown,
+            Err(ProviderError::Unknown) => OrderOutcome::Unknown,
         };
         self.on_order_outcome(id, order_outcome);
     }
--- a/src/controller/heartbeats.rs
+++ b/src/controller/heartbeats.rs
@@ -1,9 +1,10 @@
 //! Agents' heartbeats.
 
-use tracing::trace;
+use tracing::{debug, trace};
 
 use super::deferred_heartbeats::DeferredHeartbeat;
 use super::Controller;
+use crate::net::status;
 use crate::scheduler::StatusOrigin;
 use crate::time_units::to_ms;
 use crate::wire::{self, AgentStatus};
@@ -16,14 +17,18 @@
 
 impl Controller {
     pub(super) fn on_heartbeat(&mut self, connection: usize, body: &[u8]) {
-        let Some(report) = wire::decode::<AgentStatus>(body) else {
-            return self.answer(connection, 400, None, vec![]);
+        let report = match wire::decode::<AgentStatus>(body) {
+            Ok(report) => report,
+            Err(error) => {
+                debug!(%error, "malformed heartbeat");
+                return self.answer(connection, status::BAD_REQUEST, None, vec![]);
+            }
         };
         let Some(scheduler) = &self.scheduler else {
             return self.redirect(connection, report);
         };
         if report.epoch > scheduler.epoch() {
-            self.resign("a worker has seen a higher epoch", 0);
+            self.resign("an agent has seen a higher epoch", 0);
             return self.redirect(connection, report);
         }
         if !self.has_recent_cancellations() {
--- a/src/controller/leadership.rs
+++ b/src/controller/leadership.rs
@@ -3,10 +3,11 @@
 use tracing::{info, warn};
 
 use super::calls::{HttpCall, PendingCall};
+use super::responses::{self, CallError};
 use super::{Controller, WriteOwner};
 use crate::leader_lease::{Election, LeaseRequest, LeaseResponse};
 use crate::leadership_keys::{Fence, LeaderKey, EPOCH_KEY, LEADER_KEY, LEASE_KEY};
-use crate::net::Outcome;
+use crate::net::{status, Outcome};
 use crate::scheduler::{Scheduler, Term};
 use crate::wire::{self, Condition, Transaction, Write};
 use rand::Rng;
@@ -154,23 +155,26 @@
 }
 
 fn response_to(request: &LeaseRequest, outcome: &Outcome) -> LeaseResponse {
-    match (request, outcome) {
-        (LeaseRequest::Grant, Outcome::Answer { status: 200, body }) => {
-            let granted = wire::decode::<wire::Grant>(body);
-            granted.map_or(LeaseResponse::Unknown, |g| LeaseResponse::Granted(g.grant))
-        }
-        (LeaseRequest::Renew(_), Outcome::Answer { status: 200, .. }) => LeaseResponse::Renewed,
-        (LeaseRequest::Renew(_), Outcome::Answer { status: 404, .. }) => LeaseResponse::Lost,
-        (LeaseRequest::Elect(election), Outcome::Answer { status: 200, body }) => {
-            match wire::decode::<wire::TransactionReply>(body) {
-                Some(reply) => LeaseResponse::Elected {
+    match request {
+        LeaseRequest::Grant => match responses::decode_success::<wire::Grant>(outcome) {
+            Ok(reply) => LeaseResponse::Granted(reply.grant),
+            Err(_) => LeaseResponse::Unknown,
+        },
+        LeaseRequest::Renew(_) => match responses::success(outcome) {
+            Ok(_) => LeaseResponse::Renewed,
+            Err(CallError::Status(status::NOT_FOUND)) => LeaseResponse::Lost,
+            Err(_) => LeaseResponse::Unknown,
+        },
+        LeaseRequest::Elect(election) => {
+            match responses::decode_success::<wire::TransactionReply>(outcome) {
+                Ok(reply) => LeaseResponse::Elected {
                     epoch: election.epoch,
                     version: reply.revision,
                 },
-                None => LeaseResponse::Unknown,
+                Err(CallError::Status(_)) => LeaseResponse::Lost,
+                Err(_) => LeaseResponse::Unknown,
             }
         }
-        (LeaseRequest::Elect(_), Outcome::Answer { .. }) => LeaseResponse::Lost,
-        _ => LeaseResponse::Unknown,
+        LeaseRequest::Revoke(_) => LeaseResponse::Unknown,
     }
 }
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -13,6 +13,7 @@
 mod machine_list_reader;
 mod peers;
 mod planning;
+mod responses;
 mod stats;
 mod store_sync;
 mod user_replies;
--- a/src/controller/store_sync.rs
+++ b/src/controller/store_sync.rs
@@ -1,14 +1,15 @@
 //! Reading the store into the watch cache: first in whole, then by a watch, and at
 //! once when somebody waits for it.
 
-use tracing::{error, info, warn};
+use tracing::{debug, error, info, warn};
 
 use super::calls::{HttpCall, PendingCall, READ_TIMEOUT_MS, STORE_TIMEOUT_MS};
+use super::responses::{self, CallError};
 use super::user_types::RequestStage;
 use super::{Controller, EventTime};
 use crate::duties::DUTIES_PREFIX;
 use crate::leadership_keys::LEADERSHIP_PREFIX;
-use crate::net::Outcome;
+use crate::net::{status, Outcome};
 use crate::watch_cache::{CacheEvent, JOBS_PREFIX, ROOT_PREFIX};
 use crate::wire;
 
@@ -32,6 +33,15 @@
 const PAGE_RETRY_MS: u64 = 300;
 const READ_RETRY_MS: u64 = 200;
 
+/// For whom changes are read.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(super) enum ChangeRead {
+    /// For the watch cache, as changes come.
+    Watch,
+    /// For users whose requests wait for a newer watch cache.
+    ForWaitingUsers,
+}
+
 /// The reads in progress, and when the next ones are due.
 #[derive(Debug, Default)]
 pub(super) struct StoreSync {
@@ -164,14 +174,14 @@
     }
 
     fn decode_page(&mut self, outcome: &Outcome) -> Option<wire::Page> {
-        let page = match outcome {
-            Outcome::Answer { status: 200, body } => wire::decode::<wire::Page>(body),
-            _ => None,
-        };
-        if page.is_none() {
-            self.retry_load();
+        match responses::decode_success(outcome) {
+            Ok(page) => Some(page),
+            Err(error) => {
+                debug!(%error, "page of the store not read");
+                self.retry_load();
+                None
+            }
         }
-        page
     }
 
     fn retry_load(&mut self) {
@@ -256,40 +266,38 @@
         self.pending_term.is_some() || self.users.values().any(|user| waits(&user.stage))
     }
 
-    /// Takes in the answer to a watch, or to a read for somebody who waits.
+    /// Applies the response to a watch, or to a read for somebody who waits.
     pub(super) fn on_changes(
         &mut self,
         outcome: &Outcome,
         from: u64,
         asked: EventTime,
-        for_users: bool,
+        read: ChangeRead,
     ) {
-        let now = self.now.steady;
-        match outcome {
-            Outcome::Answer { status: 200, body } => match wire::decode::<wire::WatchReply>(body) {
-                Some(reply) => self.apply_changes(&reply, from, asked),
-                None => warn!("a watch's answer can't be read"),
-            },
-            Outcome::Answer { status: 410, .. } => {
+        match responses::decode_success::<wire::WatchReply>(outcome) {
+            Ok(reply) => self.apply_changes(&reply, from, asked),
+            Err(CallError::Malformed(error)) => warn!(%error, "unreadable watch response"),
+            Err(CallError::Status(status::GONE)) => {
                 warn!("the watch fell too far behind: reading everything again");
                 self.read_all_again();
             }
             // The same question would bring the same answer again and again; pages are
             // bounded.
-            Outcome::TooLarge => {
+            Err(CallError::TooLarge) => {
                 let revision = self.watch_cache.revision;
                 error!(
-                    "the state service's changes since revision {revision} are more than can \
-                     be held: reading everything again, by pages"
+                    revision,
+                    "too many changes in one watch response: reading everything again, by pages"
                 );
                 self.read_all_again();
             }
-            _ => {
-                if for_users {
+            Err(CallError::Status(_) | CallError::NoResponse | CallError::NotSent) => {
+                if read == ChangeRead::ForWaitingUsers {
                     self.forward_waiting_users();
                 }
-                self.store_sync.next_watch_at = now + READ_RETRY_MS;
-                self.store_sync.next_read_at = now + READ_RETRY_MS;
+                let retry_at = self.now.steady + READ_RETRY_MS;
+                self.store_sync.next_watch_at = retry_at;
+                self.store_sync.next_read_at = retry_at;
             }
         }
     }
--- a/src/controller/user_requests.rs
+++ b/src/controller/user_requests.rs
@@ -4,6 +4,7 @@
 use tracing::debug;
 
 use super::calls::{HttpCall, PendingCall};
+use super::responses::{self, KeyRead};
 use super::user_types::{Caller, PendingRequest, RequestStage, TaskCounts, UserRequest};
 use super::{Controller, WriteOwner};
 use crate::net::Outcome;
@@ -212,16 +213,16 @@
         let Some(pending) = self.users.get(&user) else {
             return;
         };
-        match outcome {
-            Outcome::Answer { status: 200, body } => {
+        match responses::key_read(outcome) {
+            KeyRead::Found(body) => {
                 let id = pending.id.clone();
                 match self.record_final_reply(&id, body) {
                     Some(state) => self.finish_status(user, 200, state.status(), None),
                     None => self.finish_user(user, 503, Some(RETRY_AFTER_S), vec![]),
                 }
             }
-            Outcome::Answer { status: 404, .. } => self.on_unknown_job(user),
-            _ => self.forward_user(user),
+            KeyRead::NotFound => self.on_unknown_job(user),
+            KeyRead::Failed => self.forward_user(user),
         }
     }
 
--- a/src/duties/query.rs
+++ b/src/duties/query.rs
@@ -94,7 +94,7 @@
             404 => Ok(0),
             200 => {
                 let pair = wire::decode::<KeyValue>(&body);
-                let format = pair.and_then(|pair| read_number(&pair.value));
+                let format = pair.ok().and_then(|pair| read_number(&pair.value));
                 format.ok_or(QueryError::Unreadable(self.address))
             }
             _ => Err(self.refused(status)),
@@ -113,7 +113,7 @@
                 return Err(self.refused(status));
             }
             let page = wire::decode::<wire::Page>(&body);
-            let page = page.ok_or(QueryError::Unreadable(self.address))?;
+            let page = page.map_err(|_| QueryError::Unreadable(self.address))?;
             let goes_on = page
                 .pairs
                 .last()
--- a/src/job.rs
+++ b/src/job.rs
@@ -2,8 +2,9 @@
 
 use ciborium::Value;
 use serde::{Deserialize, Serialize};
+use thiserror::Error;
 
-use crate::packed_record;
+use crate::packed_record::{self, UnpackError};
 pub use crate::task_runs::{TaskRun, TaskSet};
 
 /// How the tasks of a job belong together.
@@ -190,13 +191,17 @@
     }
 
     /// Reads a stored record of either form.
-    pub fn from_value(value: &Value) -> Option<JobRecord> {
+    ///
+    /// # Errors
+    ///
+    /// If the value is a record of neither form, or its packed body is malformed.
+    pub fn from_value(value: &Value) -> Result<JobRecord, RecordError> {
         if let Ok(record) = value.deserialized() {
-            return Some(record);
+            return Ok(record);
         }
-        let packed: PackedRecord = value.deserialized().ok()?;
+        let packed: PackedRecord = value.deserialized()?;
         let (done, runs) = packed_record::unpack(packed.spec.tasks, &packed.body)?;
-        Some(JobRecord {
+        Ok(JobRecord {
             spec: packed.spec,
             submitted_at: packed.submitted_at,
             cancelled: packed.cancelled,
@@ -239,6 +244,17 @@
     serde_json::to_vec(value).map_or(usize::MAX, |text| text.len())
 }
 
+/// Why a stored record can't be read.
+#[derive(Debug, Error)]
+pub enum RecordError {
+    /// It is not a record of a form that this version knows.
+    #[error("not a job record: {0}")]
+    NotARecord(#[from] ciborium::value::Error),
+    /// Its packed body is malformed.
+    #[error("malformed packed body: {0}")]
+    Body(#[from] UnpackError),
+}
+
 /// How a job ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FinalState {
--- a/src/machine.rs
+++ b/src/machine.rs
@@ -8,7 +8,7 @@
 use crate::job::parse_task_name;
 use crate::plan::{MachineView, Reservation, Resources};
 use crate::time_units::to_ms;
-use crate::wire::{self, AgentStatus, MachineType, TaskStatus};
+use crate::wire::{AgentStatus, MachineType, TaskStatus};
 
 /// The state of a task on its machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -355,7 +355,7 @@
                 last.task == number
                     && last.attempt == task.attempt
                     && last.job == job
-                    && last.phase == phase_of(task)
+                    && last.phase == task.phase()
             })
         });
         same && last.next().is_none()
@@ -507,7 +507,7 @@
         job: job.to_string(),
         task: number,
         attempt: task.attempt,
-        phase: phase_of(task),
+        phase: task.phase(),
     })
 }
 
@@ -518,7 +518,3 @@
         Some((job, number, task))
     })
 }
-
-fn phase_of(task: &TaskStatus) -> TaskPhase {
-    wire::task_phase(&task.status, task.cause.as_deref(), task.kept)
-}
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -7,6 +7,7 @@
 mod http_server;
 mod idle;
 mod lru_connections;
+pub mod status;
 
 use std::net::SocketAddr;
 
--- a/src/packed_record.rs
+++ b/src/packed_record.rs
@@ -12,6 +12,10 @@
 //!
 //! A task that ends makes no run longer, as it is no longer among the unfinished.
 
+use std::str::FromStr;
+
+use thiserror::Error;
+
 use crate::task_runs::{TaskRun, TaskSet};
 
 /// Characters with a meaning, which no machine name may contain.
@@ -82,28 +86,55 @@
     Some(merged)
 }
 
-/// Unpacks what [`pack`] packed. `None` if the text is malformed.
-pub fn unpack(tasks: u32, text: &str) -> Option<(TaskSet, Vec<TaskRun>)> {
+/// Why a packed body can't be read.
+#[derive(Debug, Clone, PartialEq, Eq, Error)]
+pub enum UnpackError {
+    /// One of the three parts is missing.
+    #[error("a part is missing")]
+    MissingPart,
+    /// A number is malformed or out of range.
+    #[error("invalid number {0:?}")]
+    Number(String),
+    /// It names more tasks than the job has unfinished.
+    #[error("more tasks than the job has")]
+    TooManyTasks,
+}
+
+fn parse_number<T: FromStr>(word: &str) -> Result<T, UnpackError> {
+    word.parse()
+        .map_err(|_| UnpackError::Number(word.to_string()))
+}
+
+/// Unpacks what [`pack`] packed.
+///
+/// # Errors
+///
+/// If the text is malformed, or does not suit a job of so many tasks.
+pub fn unpack(tasks: u32, text: &str) -> Result<(TaskSet, Vec<TaskRun>), UnpackError> {
     let mut parts = text.splitn(3, '|');
-    let done = unpack_done(tasks, parts.next()?)?;
-    let prefix = parts.next()?;
+    let mut next_part = || parts.next().ok_or(UnpackError::MissingPart);
+    let done = unpack_done(tasks, next_part()?)?;
+    let prefix = next_part()?;
+    let words = next_part()?.split_whitespace();
     let (mut next_position, mut attempt) = (0u32, 0u64);
     let mut unfinished = UnfinishedTasks::new(tasks, &done);
     let mut runs: Vec<TaskRun> = Vec::new();
-    for word in parts.next()?.split_whitespace() {
-        if let Some(position) = word.strip_prefix('>') {
-            let position: u32 = position.parse().ok()?;
-            unfinished.skip(position.checked_sub(next_position)?)?;
+    for word in words {
+        if let Some(number) = word.strip_prefix('>') {
+            let position: u32 = parse_number(number)?;
+            let gap = position.checked_sub(next_position);
+            let gap = gap.ok_or_else(|| UnpackError::Number(number.to_string()))?;
+            unfinished.skip(gap)?;
             next_position = position;
         } else if let Some(number) = word.strip_prefix('^') {
-            attempt = number.parse().ok()?;
+            attempt = parse_number(number)?;
         } else {
             let (name, count) = match word.rsplit_once('*') {
-                Some((name, count)) => (name, count.parse::<u32>().ok()?),
+                Some((name, count)) => (name, parse_number::<u32>(count)?),
                 None => (word, 1),
             };
             if count > tasks {
-                return None;
+                return Err(UnpackError::TooManyTasks);
             }
             let machine = format!("{prefix}{name}");
             for (first, count) in unfinished.take(count)? {
@@ -117,7 +148,7 @@
             next_position += count;
         }
     }
-    Some((done, runs))
+    Ok((done, runs))
 }
 
 /// The tasks that are not done, in stretches of `(first, count)`.
@@ -146,10 +177,11 @@
     }
 
     /// The next `count` of them.
-    fn take(&mut self, mut count: u32) -> Option<Vec<(u32, u32)>> {
+    fn take(&mut self, mut count: u32) -> Result<Vec<(u32, u32)>, UnpackError> {
         let mut taken = Vec::new();
         while count > 0 {
-            let stretch = self.stretches.get_mut(self.next_stretch)?;
+            let stretch = self.stretches.get_mut(self.next_stretch);
+            let stretch = stretch.ok_or(UnpackError::TooManyTasks)?;
             let part = stretch.1.min(count);
             taken.push((stretch.0, part));
             *stretch = (stretch.0 + part, stretch.1 - part);
@@ -158,10 +190,10 @@
                 self.next_stretch += 1;
             }
         }
-        Some(taken)
+        Ok(taken)
     }
 
-    fn skip(&mut self, count: u32) -> Option<()> {
+    fn skip(&mut self, count: u32) -> Result<(), UnpackError> {
         self.take(count).map(|_| ())
     }
 }
@@ -229,36 +261,45 @@
     lengths.join(" ")
 }
 
-fn unpack_done(tasks: u32, text: &str) -> Option<TaskSet> {
+fn unpack_done(tasks: u32, text: &str) -> Result<TaskSet, UnpackError> {
     let done = match text.strip_prefix('=') {
         Some(bits) => unpack_bits(bits)?,
         None => unpack_lengths(text)?,
     };
     let fits = done.0.last().is_none_or(|range| range.1 < tasks);
-    fits.then_some(done)
+    if fits {
+        Ok(done)
+    } else {
+        Err(UnpackError::TooManyTasks)
+    }
 }
 
-fn unpack_bits(bits: &str) -> Option<TaskSet> {
+fn unpack_bits(bits: &str) -> Result<TaskSet, UnpackError> {
     let mut done = TaskSet::default();
     for (index, digit) in (0u32..).zip(bits.chars()) {
-        let value = digit.to_digit(16)?;
+        let value = digit.to_digit(16);
+        let value = value.ok_or_else(|| UnpackError::Number(digit.to_string()))?;
         for bit in (0..4).filter(|bit| value & (1 << bit) != 0) {
             done.insert(4 * index + bit);
         }
     }
-    Some(done)
+    Ok(done)
 }
 
-fn unpack_lengths(text: &str) -> Option<TaskSet> {
+fn unpack_lengths(text: &str) -> Result<TaskSet, UnpackError> {
+    let out_of_range = |word: &str| UnpackError::Number(word.to_string());
     let mut done = TaskSet::default();
     let mut from = 0u32;
     let mut words = text.split_whitespace();
     while let Some(unfinished) = words.next() {
-        let first = from.checked_add(unfinished.parse().ok()?)?;
-        let count: u32 = words.next()?.parse().ok()?;
-        let last = first.checked_add(count)?.checked_sub(1)?;
+        let first = from.checked_add(parse_number(unfinished)?);
+        let first = first.ok_or_else(|| out_of_range(unfinished))?;
+        let word = words.next().ok_or(UnpackError::MissingPart)?;
+        let end = first.checked_add(parse_number(word)?);
+        let last = end.and_then(|end| end.checked_sub(1));
+        let last = last.ok_or_else(|| out_of_range(word))?;
         done.0.push((first, last));
         from = last + 1;
     }
-    Some(done)
+    Ok(done)
 }
--- a/src/scheduler/job_views.rs
+++ b/src/scheduler/job_views.rs
@@ -7,6 +7,7 @@
 use super::{to_ms, Job, Placement, Scheduler};
 use crate::job::PACKED_FORMAT;
 use crate::plan::{fetch_s, JobView, ZoneCounts};
+use crate::settings::ObjectiveKind;
 
 /// Most tasks of an array that one plan looks at.
 const PENDING_MAX: usize = 256;
@@ -206,16 +207,14 @@
             if class.is_some_and(|class| *class != job.spec.class) {
                 continue;
             }
-            match (
-                objective.kind.as_str(),
-                objective.within_s,
-                job.spec.deadline_s,
-            ) {
-                ("wait", Some(within_s), _) => objectives.push((ready_s + within_s, 0.0)),
-                ("finished", Some(within_s), _) => {
+            match (objective.kind, objective.within_s, job.spec.deadline_s) {
+                (ObjectiveKind::Wait, Some(within_s), _) => {
+                    objectives.push((ready_s + within_s, 0.0))
+                }
+                (ObjectiveKind::Finished, Some(within_s), _) => {
                     objectives.push(to_be_done_by(ready_s + within_s))
                 }
-                ("deadline", _, Some(deadline_s)) => {
+                (ObjectiveKind::Deadline, _, Some(deadline_s)) => {
                     let times = objective.times.unwrap_or(1.0);
                     objectives.push(to_be_done_by(submitted_s + deadline_s * times));
                 }
--- a/src/scheduler/machine_list.rs
+++ b/src/scheduler/machine_list.rs
@@ -5,7 +5,7 @@
 use super::scale_in::TERMINATION_RETRY_MS;
 use super::{to_ms, Scheduler};
 use crate::machine::{CloudStatus, Machine};
-use crate::wire::{self, ListedMachine};
+use crate::wire::ListedMachine;
 
 /// For how long deleted machines are remembered, beyond what the list lags: reports of
 /// machines that are gone may come minutes late.
@@ -65,7 +65,7 @@
             let endpoint = listed.endpoint.as_ref();
             machine.address = endpoint.and_then(|endpoint| endpoint.parse().ok());
         }
-        machine.cloud_status = match (machine.cloud_status, wire::cloud_status(&listed.status)) {
+        machine.cloud_status = match (machine.cloud_status, CloudStatus::from(listed.status)) {
             (CloudStatus::Failed, _) => CloudStatus::Failed,
             (CloudStatus::Running, CloudStatus::Starting) => CloudStatus::Running,
             (_, status) => status,
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -33,6 +33,7 @@
 pub use job_state::{Job, Placement};
 pub use provisioning::ProvisioningOutcome;
 pub use reconcile::Reachability;
+pub use starts::StartFailure;
 
 use crate::machine::Machine;
 use crate::rate_limit::TokenBucket;
--- a/src/scheduler/starts.rs
+++ b/src/scheduler/starts.rs
@@ -7,6 +7,15 @@
 use crate::job::task_name;
 use crate::wire;
 
+/// Why starts that were sent straight to an agent were surely not carried out.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum StartFailure {
+    /// No connection came about.
+    NotSent,
+    /// The agent has rejected the commands.
+    Rejected,
+}
+
 impl Scheduler {
     /// Starts for a machine may be on record and not on their way.
     pub fn is_startable(&self, machine: &str) -> bool {
@@ -26,15 +35,15 @@
     }
 
     /// An agent has said that it did not carry out a start that went straight to it, or
-    /// the start was never sent: it may go out anew. `refused`: no connection came about.
+    /// the start was never sent: it may go out anew.
     pub fn on_start_failed(
         &mut self,
         machine: &str,
         starts: &[DirectStart],
-        refused: bool,
+        failure: StartFailure,
         now: u64,
     ) {
-        if refused {
+        if failure == StartFailure::NotSent {
             if let Some(machine) = self.machines.get_mut(machine) {
                 machine.unreachable_until = now + to_ms(self.cluster.workers.report_s);
             }
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -156,11 +156,36 @@
     pub gpus_max: f64,
 }
 
-/// An objective on starting or finishing.
+/// What a service-level objective is about.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
+#[serde(from = "String")]
+pub enum ObjectiveKind {
+    /// The time until a job's tasks have started.
+    Wait,
+    /// The time until a job is done.
+    Finished,
+    /// The deadline that a job's owner has set.
+    Deadline,
+    /// One that does not concern the order of the queue.
+    Other,
+}
+
+impl From<String> for ObjectiveKind {
+    fn from(kind: String) -> ObjectiveKind {
+        match kind.as_str() {
+            "wait" => ObjectiveKind::Wait,
+            "finished" => ObjectiveKind::Finished,
+            "deadline" => ObjectiveKind::Deadline,
+            _ => ObjectiveKind::Other,
+        }
+    }
+}
+
+/// A service-level objective on starting or finishing.
 #[derive(Debug, Clone, Deserialize)]
 pub struct ServiceLevelObjective {
-    /// `wait`, `finished`, `deadline` or another.
-    pub kind: String,
+    /// What it is about.
+    pub kind: ObjectiveKind,
     /// The class of jobs that it is for; `None` for all.
     #[serde(default)]
     pub class: Option<String>,
--- a/src/watch_cache.rs
+++ b/src/watch_cache.rs
@@ -235,8 +235,9 @@
         if self.jobs.get(id).is_some_and(|job| job.version >= version) {
             return;
         }
-        let Some(record) = JobRecord::from_value(value) else {
-            return error!("the record of {id} can't be read");
+        let record = match JobRecord::from_value(value) {
+            Ok(record) => record,
+            Err(error) => return error!(job = id, %error, "unreadable job record"),
         };
         let was_cancelled = self.jobs.get(id).map(|job| job.record.cancelled);
         let events = &mut self.dependency_events;
--- a/src/wire/agents.rs
+++ b/src/wire/agents.rs
@@ -3,6 +3,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::optional_number;
+use super::words::{ExitReason, TaskState};
 use crate::machine::{ExitCause, TaskPhase};
 
 /// Where agents report, on the controllers.
@@ -54,21 +55,33 @@
     /// The attempt under which it was started.
     #[serde(rename = "try")]
     pub attempt: u64,
-    /// Its state, see [`task_phase`].
-    pub status: String,
+    /// Its state.
+    pub status: TaskState,
     /// Why it exited.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub cause: Option<String>,
+    pub cause: Option<ExitReason>,
     /// Whether its progress was saved as it was stopped.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub kept: Option<bool>,
 }
 
+/// What a command asks an agent to do.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
+#[serde(rename_all = "lowercase")]
+pub enum CommandVerb {
+    /// Start a task.
+    Start,
+    /// Stop a task.
+    Stop,
+    /// Remove an exited task from the status.
+    Clear,
+}
+
 /// A command to an agent.
 #[derive(Debug, Clone, Serialize, Deserialize, PartialEq)]
 pub struct Command {
-    /// `start`, `stop` or `clear`.
-    pub verb: String,
+    /// What is to be done.
+    pub verb: CommandVerb,
     /// The task's name.
     #[serde(rename = "piece")]
     pub task: String,
@@ -106,37 +119,38 @@
     pub reports_to: Option<String>,
 }
 
-/// Reads a task's state. One that is not known counts as running: it keeps
-/// its place until a report shows otherwise.
-pub fn task_phase(status: &str, cause: Option<&str>, kept: Option<bool>) -> TaskPhase {
-    match status {
-        "pulling" => TaskPhase::PullingImage,
-        "gathering" => TaskPhase::AwaitingGang,
-        "flushing" => TaskPhase::Checkpointing,
-        "ended" => TaskPhase::Exited(exit_cause(cause, kept)),
-        _ => TaskPhase::Running,
+impl TaskStatus {
+    /// The state of the task with the reason of its exit.
+    pub fn phase(&self) -> TaskPhase {
+        match self.status {
+            TaskState::PullingImage => TaskPhase::PullingImage,
+            TaskState::AwaitingGang => TaskPhase::AwaitingGang,
+            TaskState::Checkpointing => TaskPhase::Checkpointing,
+            TaskState::Running => TaskPhase::Running,
+            TaskState::Exited => TaskPhase::Exited(self.exit_cause()),
+        }
     }
-}
 
-fn exit_cause(cause: Option<&str>, kept: Option<bool>) -> ExitCause {
-    match cause {
-        Some("done") => ExitCause::Done,
-        Some("stopped") => ExitCause::Stopped {
-            checkpointed: kept.unwrap_or(false),
-        },
-        Some("mates_gone") => ExitCause::GangMemberLost,
-        Some("alone") => ExitCause::GangTimeout,
-        Some("full") => ExitCause::InsufficientCapacity,
-        Some("in_use") => ExitCause::InUse,
-        Some("no_such") => ExitCause::UnknownTask,
-        _ => ExitCause::Error,
+    fn exit_cause(&self) -> ExitCause {
+        match self.cause.unwrap_or(ExitReason::Error) {
+            ExitReason::Done => ExitCause::Done,
+            ExitReason::Stopped => ExitCause::Stopped {
+                checkpointed: self.kept.unwrap_or(false),
+            },
+            ExitReason::GangMemberLost => ExitCause::GangMemberLost,
+            ExitReason::GangTimeout => ExitCause::GangTimeout,
+            ExitReason::InsufficientCapacity => ExitCause::InsufficientCapacity,
+            ExitReason::InUse => ExitCause::InUse,
+            ExitReason::UnknownTask => ExitCause::UnknownTask,
+            ExitReason::Error => ExitCause::Error,
+        }
     }
 }
 
 /// Starts a task.
 pub fn start_command(task: String, attempt: u64) -> Command {
     Command {
-        verb: "start".into(),
+        verb: CommandVerb::Start,
         task,
         attempt,
         grace_s: None,
@@ -146,7 +160,7 @@
 /// Stops a task, which may save if the grace is long enough for it.
 pub fn stop_command(task: String, attempt: u64, grace_s: f64) -> Command {
     Command {
-        verb: "stop".into(),
+        verb: CommandVerb::Stop,
         task,
         attempt,
         grace_s: Some(grace_s),
@@ -156,7 +170,7 @@
 /// Removes an exited task from the reports.
 pub fn clear_command(task: String, attempt: u64) -> Command {
     Command {
-        verb: "clear".into(),
+        verb: CommandVerb::Clear,
         task,
         attempt,
         grace_s: None,
--- a/src/wire/cloud.rs
+++ b/src/wire/cloud.rs
@@ -2,6 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
+use super::words::ListedState;
 use super::{number, optional_number};
 use crate::machine::CloudStatus;
 
@@ -133,19 +134,20 @@
     /// Whether it is a spot machine.
     #[serde(rename = "loaner", default)]
     pub spot: bool,
-    /// Its state, see [`cloud_status`].
-    pub status: String,
+    /// Its state.
+    pub status: ListedState,
     /// Age since the provisioning request request.
     #[serde(rename = "heldS", default, deserialize_with = "optional_number")]
     pub age_s: Option<f64>,
 }
 
-/// Reads a machine's state in the list.
-pub fn cloud_status(status: &str) -> CloudStatus {
-    match status {
-        "starting" => CloudStatus::Starting,
-        "failed" => CloudStatus::Failed,
-        _ => CloudStatus::Running,
+impl From<ListedState> for CloudStatus {
+    fn from(state: ListedState) -> CloudStatus {
+        match state {
+            ListedState::Starting => CloudStatus::Starting,
+            ListedState::Running => CloudStatus::Running,
+            ListedState::Failed => CloudStatus::Failed,
+        }
     }
 }
 
--- a/src/wire/mod.rs
+++ b/src/wire/mod.rs
@@ -6,28 +6,33 @@
 mod store;
 mod submission;
 mod users;
+mod words;
 
 pub use agents::{
-    clear_command, start_command, stop_command, task_phase, AgentStatus, Command, CommandBatch,
+    clear_command, start_command, stop_command, AgentStatus, Command, CommandBatch, CommandVerb,
     Redirect, TaskStatus, COMMANDS_PATH, HEARTBEAT_PATH, INSPECT_PATH,
 };
 pub use cloud::{
-    cloud_status, is_no_capacity, FencingToken, ListedMachine, MachineList, MachineNames,
-    MachineType, MachineTypes, ProvisionRequest, TerminateRequest, PROVISION_PATH, TERMINATE_PATH,
+    is_no_capacity, FencingToken, ListedMachine, MachineList, MachineNames, MachineType,
+    MachineTypes, ProvisionRequest, TerminateRequest, PROVISION_PATH, TERMINATE_PATH,
 };
 pub use store::{
-    final_state_reply, Condition, Grant, GrantRequest, KeyChange, KeyValue, Page, Transaction,
-    TransactionReply, WatchReply, Write,
+    final_state_reply, Condition, FinalStateError, Grant, GrantRequest, KeyChange, KeyValue, Page,
+    Transaction, TransactionReply, WatchReply, Write,
 };
 pub use submission::{is_job_id, parse_submission, MalformedSubmission};
 pub use users::{
     is_cancelled_reply, ErrorReply, JobStatusReply, DONE, HEALTH_PATH, JOBS_PATH, PENDING, RUNNING,
     WITHDRAWN,
 };
+pub use words::{ExitReason, ListedState, TaskState};
+
+use std::io;
 
 use ciborium::Value;
 use serde::de::{self, DeserializeOwned, Deserializer, Visitor};
 use serde::{Deserialize, Serialize};
+use thiserror::Error;
 
 /// Longest text that [`readable`] returns, in characters.
 const READABLE_MAX: usize = 2000;
@@ -41,9 +46,31 @@
     out
 }
 
-/// Decodes a message; `None` if it is not CBOR or not of this type.
-pub fn decode<T: DeserializeOwned>(body: &[u8]) -> Option<T> {
-    ciborium::from_reader(body).ok()
+/// Why a message can't be read.
+#[derive(Debug, Error)]
+#[error("not a valid {message}: {source}")]
+pub struct DecodeError {
+    message: &'static str,
+    source: ciborium::de::Error<io::Error>,
+}
+
+impl DecodeError {
+    fn new<T>(source: ciborium::de::Error<io::Error>) -> DecodeError {
+        let path = std::any::type_name::<T>();
+        DecodeError {
+            message: path.rsplit("::").next().unwrap_or(path),
+            source,
+        }
+    }
+}
+
+/// Decodes a message.
+///
+/// # Errors
+///
+/// If the body is not CBOR, or not a message of this type.
+pub fn decode<T: DeserializeOwned>(body: &[u8]) -> Result<T, DecodeError> {
+    ciborium::from_reader(body).map_err(DecodeError::new::<T>)
 }
 
 /// A body in a form that people can read, for the log.
--- a/src/wire/store.rs
+++ b/src/wire/store.rs
@@ -2,8 +2,9 @@
 
 use ciborium::Value;
 use serde::{Deserialize, Serialize};
+use thiserror::Error;
 
-use super::decode;
+use super::{decode, DecodeError};
 use crate::job::FinalState;
 use crate::leadership_keys::LeaderKey;
 
@@ -181,12 +182,28 @@
     pub version: u64,
 }
 
+/// Why it can't be read how a job ended.
+#[derive(Debug, Error)]
+pub enum FinalStateError {
+    /// The reply is malformed.
+    #[error(transparent)]
+    Decode(#[from] DecodeError),
+    /// The value is no final state that this version knows.
+    #[error("unknown final state: {0:?}")]
+    Unknown(Value),
+}
+
 /// How a job ended, from the reply to a read of its final key.
-pub fn final_state_reply(body: &[u8]) -> Option<FinalState> {
+///
+/// # Errors
+///
+/// If the reply is malformed, or the state is not known.
+pub fn final_state_reply(body: &[u8]) -> Result<FinalState, FinalStateError> {
     #[derive(Deserialize)]
     struct ValueOnly {
         #[serde(rename = "data")]
         value: Value,
     }
-    FinalState::from_value(&decode::<ValueOnly>(body)?.value)
+    let value = decode::<ValueOnly>(body)?.value;
+    FinalState::from_value(&value).ok_or(FinalStateError::Unknown(value))
 }
--- a/src/wire/users.rs
+++ b/src/wire/users.rs
@@ -48,5 +48,5 @@
         #[serde(default)]
         status: String,
     }
-    decode::<StatusOnly>(body).is_some_and(|reply| reply.status == WITHDRAWN)
+    decode::<StatusOnly>(body).is_ok_and(|reply| reply.status == WITHDRAWN)
 }
--- a/src/write_queue.rs
+++ b/src/write_queue.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
-use crate::net::Outcome;
+use crate::net::{status, Outcome};
 use crate::rate_limit::TokenBucket;
 use crate::wire::{self, Condition, Transaction, TransactionReply, Write};
 
@@ -335,26 +335,8 @@
 
     fn result_of(&mut self, outcome: &Outcome) -> CommitResult {
         let result = match outcome {
-            Outcome::Answer { status: 200, body } => match wire::decode::<TransactionReply>(body) {
-                Some(reply) => CommitResult::Committed {
-                    revision: reply.revision,
-                },
-                None => CommitResult::Unknown,
-            },
-            Outcome::Answer { status: 409, body } => match wire::decode::<TransactionReply>(body) {
-                Some(reply) => CommitResult::Conflict {
-                    failed: reply.failed,
-                    revision: reply.revision,
-                },
-                None => CommitResult::Rejected,
-            },
-            Outcome::Answer { status: 429, .. } => {
-                self.stats.throttled += 1;
-                self.limit.drain();
-                self.duty_limit.drain();
-                CommitResult::Rejected
-            }
-            Outcome::Answer { .. } | Outcome::NotSent => CommitResult::Rejected,
+            Outcome::Answer { status, body } => self.result_of_status(*status, body),
+            Outcome::NotSent => CommitResult::Rejected,
             Outcome::NoAnswer | Outcome::TooLarge => CommitResult::Unknown,
         };
         match &result {
@@ -365,6 +347,27 @@
         result
     }
 
+    fn result_of_status(&mut self, status: u16, body: &[u8]) -> CommitResult {
+        let reply = wire::decode::<TransactionReply>(body);
+        match (status, reply) {
+            (status::OK, Ok(reply)) => CommitResult::Committed {
+                revision: reply.revision,
+            },
+            (status::OK, Err(_)) => CommitResult::Unknown,
+            (status::CONFLICT, Ok(reply)) => CommitResult::Conflict {
+                failed: reply.failed,
+                revision: reply.revision,
+            },
+            (status::TOO_MANY_REQUESTS, _) => {
+                self.stats.throttled += 1;
+                self.limit.drain();
+                self.duty_limit.drain();
+                CommitResult::Rejected
+            }
+            _ => CommitResult::Rejected,
+        }
+    }
+
     /// Removes what still waits and matches.
     pub fn remove_waiting(&mut self, matches: impl Fn(&W) -> bool) {
         for queue in self.waiting.values_mut() {
--- a/tests/common/agent_events.rs
+++ b/tests/common/agent_events.rs
@@ -1,6 +1,6 @@
 //! What agents do, and what they must not be told to do.
 
-use gaugesill::wire::{self, Command, CommandBatch};
+use gaugesill::wire::{self, Command, CommandBatch, CommandVerb};
 use prost::Message;
 use std::collections::{BTreeMap, HashMap};
 
@@ -49,7 +49,7 @@
                 self.commands(machine, o);
             }
             421 => {
-                let e: Option<wire::Redirect> = wire::decode(body);
+                let e: Option<wire::Redirect> = wire::decode(body).ok();
                 let to = e.and_then(|e| e.reports_to);
                 match to.and_then(|t| t[1..].parse::<usize>().ok()) {
                     Some(t) if t != from => {
@@ -84,9 +84,9 @@
             ..
         } in o.commands
         {
-            match verb.as_str() {
-                "start" => self.start(machine, &task, attempt),
-                "stop" => {
+            match verb {
+                CommandVerb::Start => self.start(machine, &task, attempt),
+                CommandVerb::Stop => {
                     let Some(agent) = self.agents.get_mut(machine) else {
                         continue;
                     };
@@ -102,7 +102,7 @@
                         }
                     }
                 }
-                _ => {
+                CommandVerb::Clear => {
                     if let Some(agent) = self.agents.get_mut(machine) {
                         agent.tasks.retain(|t| {
                             t.name != task || t.attempt != attempt || t.state != "ended"
--- a/tests/common/duties.rs
+++ b/tests/common/duties.rs
@@ -338,8 +338,8 @@
             .keys
             .iter()
             .filter(|(key, _)| key.starts_with("g/j/"));
-        let records =
-            records.filter_map(|(_, (value, ..))| gaugesill::job::JobRecord::from_value(value));
+        let records = records
+            .filter_map(|(_, (value, ..))| gaugesill::job::JobRecord::from_value(value).ok());
         records
             .flat_map(|r| r.runs)
             .map(|run| run.machine.to_string())
--- a/tests/common/store.rs
+++ b/tests/common/store.rs
@@ -263,7 +263,7 @@
 /// A change as people read it in a trace.
 pub(super) fn describe(key: &str, value: &Value) -> String {
     if let Some(id) = key.strip_prefix("g/j/") {
-        let Some(r) = gaugesill::job::JobRecord::from_value(value) else {
+        let Ok(r) = gaugesill::job::JobRecord::from_value(value) else {
             return format!("{id}: unreadable");
         };
         let mut s = format!("record {id}");
--- a/tests/processes/world.rs
+++ b/tests/processes/world.rs
@@ -8,7 +8,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-use gaugesill::wire::{self, AgentStatus, CommandBatch, TaskStatus};
+use gaugesill::wire::{self, AgentStatus, CommandBatch, CommandVerb, TaskStatus};
 
 use crate::common::{submission, Cloud, Served, Store, TokenCheck};
 use crate::http::{call, free_port, serve, Message};
@@ -300,7 +300,7 @@
                     self.obey(batch, world);
                 }
                 Some((421, body)) => {
-                    let redirect: Option<wire::Redirect> = wire::decode(&body);
+                    let redirect: Option<wire::Redirect> = wire::decode(&body).ok();
                     let member = redirect.and_then(|redirect| redirect.reports_to);
                     let member = member.and_then(|member| member[1..].parse().ok());
                     self.reports_to = member.unwrap_or(next);
@@ -348,7 +348,7 @@
         for command in batch.commands {
             let (name, attempt) = (command.task, command.attempt);
             let is_it = |task: &(String, u64, Instant)| task.0 == name && task.1 == attempt;
-            if command.verb != "start" {
+            if command.verb != CommandVerb::Start {
                 self.tasks.retain(|task| !is_it(task));
             } else if !self.tasks.iter().any(is_it) {
                 let mut world = world.lock().expect("lock");
--- a/tests/unit/job.rs
+++ b/tests/unit/job.rs
@@ -23,5 +23,5 @@
     r.runs.push(TaskRun::from((0, 3, 5, "m-000001".into())));
     let bytes = wire::encode(&r.to_value(0));
     let v: Value = wire::decode(&bytes).expect("a value");
-    assert_eq!(JobRecord::from_value(&v), Some(r));
+    assert_eq!(JobRecord::from_value(&v).ok(), Some(r));
 }
--- a/tests/unit/reports.rs
+++ b/tests/unit/reports.rs
@@ -6,7 +6,8 @@
 use gaugesill::plan::{self};
 use gaugesill::scheduler::{Effect, Scheduler, StatusOrigin};
 use gaugesill::watch_cache::LiveJob;
-use gaugesill::wire::{self, AgentStatus, TaskStatus};
+
+use gaugesill::wire::{self, AgentStatus, CommandVerb, TaskStatus};
 use std::sync::Arc;
 
 /// A report that was held back arrives after its machine's deletion: it does
@@ -176,12 +177,12 @@
     let alone = || vec![task("run-1/0", 1, "ended", Some("alone"))];
     let r = reports(3, 2, alone());
     c.on_agent_status(&r, StatusOrigin::Heartbeat, 1500);
-    let verbs: Vec<String> = c
+    let verbs: Vec<CommandVerb> = c
         .answer_commands(&r, true, 1500)
         .into_iter()
         .map(|o| o.verb)
         .collect();
-    assert_eq!(verbs, ["clear", "start"]);
+    assert_eq!(verbs, [CommandVerb::Clear, CommandVerb::Start]);
     // By now the gang's wait is over, so an end would be one.
     c.on_agent_status(
         &reports(4, 2, alone()),
--- a/tests/version_upgrade.rs
+++ b/tests/version_upgrade.rs
@@ -57,7 +57,7 @@
         assert!(r.spec.dependencies.is_empty());
         // Packed, it says the same, and that version can't take it for an empty one.
         let p = r.to_value(1);
-        assert_eq!(JobRecord::from_value(&p).as_ref(), Some(&r));
+        assert_eq!(JobRecord::from_value(&p).ok().as_ref(), Some(&r));
         assert!(p.deserialized::<PreviousRecord>().is_err());
     }
     for (name, f) in [
@@ -171,7 +171,7 @@
         }
         let text = packed_record::pack(tasks, &done, &runs).expect("names that suit");
         assert_eq!(
-            packed_record::unpack(tasks, &text),
+            packed_record::unpack(tasks, &text).ok(),
             Some((done, runs)),
             "{text}"
         );
@@ -184,7 +184,7 @@
         (3, "0 1"),
         (9, "|m-|>4 1 >2 1"),
     ] {
-        assert_eq!(packed_record::unpack(tasks, text), None, "{text}");
+        assert_eq!(packed_record::unpack(tasks, text).ok(), None, "{text}");
     }
     let odd = [TaskRun::single(0, 1, "m 1")];
     assert_eq!(packed_record::pack(2, &TaskSet::default(), &odd), None);
