--- a/src/wire/agents.rs
+++ b/src/wire/agents.rs
@@ -1,4 +1,4 @@
-//! What agents report, and the commands that they get.
+//! The status that agents send, and the commands that they receive.
 
 use serde::{Deserialize, Serialize};
 
@@ -6,14 +6,14 @@
 use super::words::{ExitReason, TaskState};
 use crate::machine::{ExitCause, TaskPhase};
 
-/// Where agents report, on the controllers.
+/// Where controllers receive heartbeats.
 pub const HEARTBEAT_PATH: &str = "/checkin";
 /// Where agents take commands.
 pub const COMMANDS_PATH: &str = "/orders";
-/// Where agents are asked for a report.
+/// Where agents are asked for their status.
 pub const INSPECT_PATH: &str = "/inspect";
 
-/// An agent's report.
+/// An agent's status, in a heartbeat or in the response to a request.
 #[derive(Debug, Clone, Deserialize, Serialize)]
 pub struct AgentStatus {
     /// The machine's name.
@@ -33,20 +33,21 @@
     /// The agent's incarnation, which increases each time its lease expires.
     #[serde(rename = "tenure")]
     pub incarnation: u64,
-    /// Orders the reports of an incarnation.
+    /// Increases with every status of an incarnation: the one with the larger pair of
+    /// incarnation and serial is newer.
     pub serial: u64,
     /// The highest epoch that the agent has seen.
     #[serde(default)]
     pub epoch: u64,
-    /// Seconds until the cloud takes the machine back, if it gave notice.
+    /// Seconds until the cloud takes the spot machine back, if it gave notice.
     #[serde(default, rename = "reclaimInS", deserialize_with = "optional_number")]
     pub interruption_in_s: Option<f64>,
-    /// All tasks on the machine.
+    /// All tasks on the machine, exited ones included until they are cleared.
     #[serde(rename = "pieces", default)]
     pub tasks: Vec<TaskStatus>,
 }
 
-/// A task in a report.
+/// A task in an agent's status.
 #[derive(Debug, Clone, Deserialize, Serialize)]
 pub struct TaskStatus {
     /// The task's name, see [`crate::job::task_name`].
@@ -60,7 +61,7 @@
     /// Why it exited.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub cause: Option<ExitReason>,
-    /// Whether its progress was saved as it was stopped.
+    /// Whether it saved a checkpoint when it was stopped.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub kept: Option<bool>,
 }
@@ -88,7 +89,7 @@
     /// The task's attempt.
     #[serde(rename = "try")]
     pub attempt: u64,
-    /// How long a stopped task may take to save.
+    /// How long a stopped task may take to save a checkpoint, in seconds.
     #[serde(
         rename = "windDownS",
         default,
@@ -98,7 +99,7 @@
     pub grace_s: Option<f64>,
 }
 
-/// Commands that go together, in a direct request or in the answer to a heartbeat.
+/// Commands that go together, in a direct request or in the response to a heartbeat.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct CommandBatch {
     /// The leader's fencing token.
@@ -157,7 +158,7 @@
     }
 }
 
-/// Stops a task, which may save if the grace is long enough for it.
+/// Stops a task, which may save a checkpoint if the grace period is long enough for it.
 pub fn stop_command(task: String, attempt: u64, grace_s: f64) -> Command {
     Command {
         verb: CommandVerb::Stop,
@@ -167,7 +168,7 @@
     }
 }
 
-/// Removes an exited task from the reports.
+/// Removes an exited task from the agent's status.
 pub fn clear_command(task: String, attempt: u64) -> Command {
     Command {
         verb: CommandVerb::Clear,
--- a/src/wire/cloud.rs
+++ b/src/wire/cloud.rs
@@ -8,7 +8,7 @@
 
 /// Where provisioning requests go.
 pub const PROVISION_PATH: &str = "/machines";
-/// Where deletions go.
+/// Where requests to terminate machines go.
 pub const TERMINATE_PATH: &str = "/machines/delete";
 
 /// All machine types of the cloud.
@@ -31,13 +31,13 @@
     /// GPUs of a machine.
     #[serde(deserialize_with = "number")]
     pub gpus: f64,
-    /// Memory of a machine.
+    /// Memory of a machine, in GB.
     #[serde(rename = "memGb", deserialize_with = "number")]
     pub memory_gb: f64,
-    /// Capacity for cached images.
+    /// Capacity of the image cache, in GB.
     #[serde(rename = "cacheGb", deserialize_with = "number")]
     pub cache_gb: f64,
-    /// How fast images are fetched.
+    /// Rate at which a machine pulls images, in GB a second.
     #[serde(rename = "fetchGbPerS", deserialize_with = "number")]
     pub fetch_gb_per_s: f64,
     /// Price of an on-demand machine for an hour.
@@ -46,7 +46,7 @@
     /// Present price of a spot machine for an hour.
     #[serde(rename = "spotPrice", deserialize_with = "number")]
     pub spot_price: f64,
-    /// How long a machine usually takes to boot.
+    /// How long a machine usually takes to boot, in seconds.
     #[serde(rename = "bootS", deserialize_with = "number")]
     pub boot_s: f64,
     /// Zones in which it is offered.
@@ -54,10 +54,10 @@
     pub zones: Vec<String>,
 }
 
-/// A request to rent machines.
+/// A request to provision machines.
 #[derive(Serialize)]
 pub struct ProvisionRequest<'a> {
-    /// Unique for each provisioning request; the same again rents nothing.
+    /// The idempotency key: a repeated request with the same key provisions nothing.
     pub booking: &'a str,
     /// The machine type's name.
     #[serde(rename = "flavor")]
@@ -76,7 +76,7 @@
     pub fencing: Option<FencingToken>,
 }
 
-/// A request to delete machines.
+/// A request to terminate machines.
 #[derive(Serialize)]
 pub struct TerminateRequest<'a> {
     /// Their names.
@@ -97,7 +97,7 @@
     pub token: u64,
 }
 
-/// Machines that were rented.
+/// Machines that were provisioned.
 #[derive(Serialize, Deserialize)]
 pub struct MachineNames {
     /// Their names.
@@ -111,7 +111,7 @@
     /// In the order of their names.
     #[serde(rename = "hosts")]
     pub machines: Vec<ListedMachine>,
-    /// Whether more follow.
+    /// Whether there are further pages.
     #[serde(default)]
     pub truncated: bool,
 }
@@ -136,7 +136,7 @@
     pub spot: bool,
     /// Its state.
     pub status: ListedState,
-    /// Age since the provisioning request request.
+    /// Age since the provisioning request, in seconds.
     #[serde(rename = "heldS", default, deserialize_with = "optional_number")]
     pub age_s: Option<f64>,
 }
--- a/src/wire/mod.rs
+++ b/src/wire/mod.rs
@@ -1,8 +1,12 @@
-//! The names that go over the wire: messages of users, agents, the cloud and the
-//! store, as `PROTOCOL` has them. The rest of the program uses its own terms.
+//! The edge of the program: messages of users, agents, the cloud and the store, and the paths
+//! of requests to them.
+//!
+//! PROTOCOL's words appear here and nowhere else in the sources. Each type maps them to the
+//! terms of the rest of the program, which `docs/architecture.md` lists side by side.
 
 mod agents;
 mod cloud;
+mod paths;
 mod store;
 mod submission;
 mod users;
@@ -16,6 +20,10 @@
     is_no_capacity, FencingToken, ListedMachine, MachineList, MachineNames, MachineType,
     MachineTypes, ProvisionRequest, TerminateRequest, PROVISION_PATH, TERMINATE_PATH,
 };
+pub use paths::{
+    cancellation_path, grant_path, grants_path, job_path, key_path, keys_path, machine_list_path,
+    machine_types_path, renewal_path, transaction_path, watch_path,
+};
 pub use store::{
     final_state_reply, Condition, FinalStateError, Grant, GrantRequest, KeyChange, KeyValue, Page,
     Transaction, TransactionReply, WatchReply, Write,
--- a/src/wire/store.rs
+++ b/src/wire/store.rs
@@ -26,7 +26,7 @@
 pub struct Page {
     /// In the order of their keys.
     pub pairs: Vec<KeyValue>,
-    /// Whether more follow.
+    /// Whether there are further pages.
     #[serde(default)]
     pub truncated: bool,
     /// The revision that the page was read at.
@@ -63,7 +63,7 @@
     /// Its value.
     #[serde(rename = "data", skip_serializing_if = "Option::is_none", default)]
     pub value: Option<Value>,
-    /// The grant that the key lives as long as.
+    /// The grant that the key is attached to: it is removed when the grant ends.
     #[serde(rename = "permit", skip_serializing_if = "Option::is_none", default)]
     pub grant: Option<u64>,
     /// The key that is deleted.
@@ -86,7 +86,7 @@
         Write::set(key, Value::serialized(record).unwrap_or(Value::Null))
     }
 
-    /// The same for a key that lives as long as a grant.
+    /// Attaches the key to a grant.
     pub fn attached_to(self, grant: u64) -> Write {
         Write {
             grant: Some(grant),
@@ -94,7 +94,7 @@
         }
     }
 
-    /// Says who leads, for as long as the grant lives if there is one.
+    /// Records who leads, attached to a grant if there is one.
     pub fn leader(key: &str, leader: &LeaderKey, grant: Option<u64>) -> Write {
         Write {
             grant,
@@ -117,7 +117,7 @@
     }
 }
 
-/// Changes that are made together if all conditions hold.
+/// A compare-and-swap of several keys: all writes are carried out if all conditions hold, else none.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Transaction {
     /// All have to hold.
@@ -127,7 +127,7 @@
     pub writes: Vec<Write>,
 }
 
-/// What became of a transaction.
+/// The result of a transaction.
 #[derive(Debug, Deserialize, Serialize)]
 pub struct TransactionReply {
     /// Keys whose conditions did not hold.
@@ -138,10 +138,10 @@
     pub revision: u64,
 }
 
-/// Asks for a grant.
+/// A request for a grant.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct GrantRequest {
-    /// How long it lives without a renewal.
+    /// Its time to live without a renewal, in milliseconds.
     #[serde(rename = "lifeMs")]
     pub ttl_ms: u64,
 }
@@ -154,7 +154,7 @@
     pub grant: u64,
 }
 
-/// Changes that a watch tells of.
+/// The response to a watch.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct WatchReply {
     /// Complete up to this revision.
@@ -182,7 +182,7 @@
     pub version: u64,
 }
 
-/// Why it can't be read how a job ended.
+/// Why a final state can't be read.
 #[derive(Debug, Error)]
 pub enum FinalStateError {
     /// The reply is malformed.
--- a/src/wire/submission.rs
+++ b/src/wire/submission.rs
@@ -38,7 +38,11 @@
         && digits.bytes().all(|b| b.is_ascii_digit())
 }
 
-/// Reads a submission: the job's id and what is asked for.
+/// Reads a submission: the job's id and its specification.
+///
+/// # Errors
+///
+/// If the body is not a CBOR map, or a field is missing or invalid.
 pub fn parse_submission(body: &[u8]) -> Result<(String, JobSpec), MalformedSubmission> {
     let value: Value = ciborium::from_reader(body).map_err(|_| MalformedSubmission::NotAMap)?;
     let fields = Fields(value.as_map().ok_or(MalformedSubmission::NotAMap)?);
