--- /dev/null
+++ b/src/write_queue/result.rs
@@ -0,0 +1,76 @@
+//! Classification of the outcomes of transactions.
+
+use crate::net::{status, Outcome};
+use crate::wire::{self, TransactionReply};
+
+/// The result of a write request.
+#[derive(Debug, Clone, PartialEq)]
+pub enum CommitResult {
+    /// The writes were made.
+    Committed {
+        /// The revision of the writes.
+        revision: u64,
+    },
+    /// The writes were not made, as conditions did not hold.
+    Conflict {
+        /// The keys of the conditions that did not hold.
+        failed: Vec<String>,
+        /// The revision at which the conditions were checked.
+        revision: u64,
+    },
+    /// The writes were not made.
+    Rejected,
+    /// Unknown outcome: the writes may have been made, or may yet be made later.
+    Unknown,
+}
+
+impl CommitResult {
+    /// Classifies the outcome of a transaction. Only a reply that was received and says so, or
+    /// a request that was never sent, shows that the writes were not made.
+    pub(super) fn from_outcome(outcome: &Outcome) -> CommitResult {
+        match outcome {
+            Outcome::Answer { status, body } => CommitResult::from_reply(*status, body),
+            Outcome::NotSent => CommitResult::Rejected,
+            Outcome::NoAnswer | Outcome::TooLarge => CommitResult::Unknown,
+        }
+    }
+
+    fn from_reply(status: u16, body: &[u8]) -> CommitResult {
+        match status {
+            status::OK => committed(body),
+            status::CONFLICT => conflict(body),
+            _ => CommitResult::Rejected,
+        }
+    }
+}
+
+/// A malformed body leaves open at which revision the writes were made.
+fn committed(body: &[u8]) -> CommitResult {
+    match wire::decode::<TransactionReply>(body) {
+        Ok(reply) => CommitResult::Committed {
+            revision: reply.revision,
+        },
+        Err(_) => CommitResult::Unknown,
+    }
+}
+
+fn conflict(body: &[u8]) -> CommitResult {
+    match wire::decode::<TransactionReply>(body) {
+        Ok(reply) => CommitResult::Conflict {
+            failed: reply.failed,
+            revision: reply.revision,
+        },
+        Err(_) => CommitResult::Rejected,
+    }
+}
+
+/// Returns whether the store refused the transaction because of its rate limits.
+pub(super) fn is_throttled(outcome: &Outcome) -> bool {
+    matches!(
+        outcome,
+        Outcome::Answer {
+            status: status::TOO_MANY_REQUESTS,
+            ..
+        }
+    )
+}
--- /dev/null
+++ b/src/write_queue/stats.rs
@@ -0,0 +1,28 @@
+//! Statistics of the write queue, for the log.
+
+use super::result::CommitResult;
+
+/// Counts since the statistics were last taken.
+#[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
+pub struct WriteStats {
+    /// Transactions sent.
+    pub transactions: u64,
+    /// Writes sent.
+    pub changes: u64,
+    /// Transactions that the store refused because of its rate limits.
+    pub throttled: u64,
+    /// Transactions with a condition that did not hold.
+    pub conflicts: u64,
+    /// Transactions with an unknown outcome.
+    pub unknown: u64,
+}
+
+impl WriteStats {
+    pub(super) fn record(&mut self, result: &CommitResult) {
+        match result {
+            CommitResult::Conflict { .. } => self.conflicts += 1,
+            CommitResult::Unknown => self.unknown += 1,
+            CommitResult::Committed { .. } | CommitResult::Rejected => {}
+        }
+    }
+}
