--- a/src/leader_lease.rs
+++ b/src/leader_lease.rs
@@ -1,124 +1,148 @@
-//! The leader lease: one key in the store that lives as long as its holder's
-//! grant, and an epoch that rises with each election and fences earlier leaders.
+//! Election and renewal of the leader lease.
+//!
+//! The leader is the controller whose name is in the leader key. That key is attached to a
+//! grant of the store, so it is deleted when the leader stops to renew the grant. Each election
+//! raises the epoch, which fences the commands of earlier leaders.
+//!
+//! [`LeaderLease`] is the state machine of one controller. It owns no sockets: the caller asks
+//! for the next request, sends it and reports the response. At most one request is in flight.
+//!
+//! ```text
+//!                 Grant                Elect                 Renew
+//!    Following ----------> Granting ----------> Electing ----------> Leading --+
+//!        ^                                         |                    |      |
+//!        +-- another controller leads, conflict ---+                    +------+
+//!        +-- the grant has ended, the key has changed, resigned --------+
+//! ```
+//!
+//! Times are in milliseconds of the controller's steady clock.
 
 use crate::job::PACKED_FORMAT;
-use crate::leadership_keys::{Fence, LeaderKey};
+use crate::leadership_keys::Fence;
 use crate::settings::{ClusterSettings, OperatorSettings};
 use crate::time_units::to_ms;
-use crate::watch_cache::WatchCache;
+use crate::watch_cache::{VersionedLeaderKey, WatchCache};
 
-/// Longest life of a grant, as a share of an agent's lease.
-const TTL_SHARE_MAX: f64 = 0.25;
-/// Shortest life that the store gives a grant.
+/// Longest time to live of the leader's grant, as a share of an agent's lease.
+const TTL_LEASE_SHARE_MAX: f64 = 0.25;
+/// Shortest time to live that the store gives a grant.
 const TTL_MIN_MS: u64 = 100;
+/// The grant is renewed at this fraction of its time to live.
+const RENEWALS_PER_TTL: u64 = 4;
+/// A request without success is repeated after this fraction of the time to live.
+const RETRIES_PER_TTL: u64 = 20;
+/// The share of the time to live in which the grant can't have ended, in tenths. The rest
+/// allows for clocks that drift.
+const CERTAIN_TENTHS: u64 = 9;
+/// Shortest pause after an election that another controller has won, as a share of the time to
+/// live, and the random part that is added to it.
+const LOST_ELECTION_PAUSE: f64 = 0.1;
+const LOST_ELECTION_JITTER: f64 = 0.1;
+/// Number of writes in the election that raises the fence.
+const FENCE_RAISE_WRITES: usize = 3;
 
-/// How long a leader's grant lives without a renewal.
+/// Returns the time to live of the leader's grant in milliseconds.
+///
+/// It is the operator's share of an agent's lease, but at least as long as the process may
+/// stall, and at most [`TTL_LEASE_SHARE_MAX`] of that lease.
 pub fn leader_lease_ttl_ms(cluster: &ClusterSettings, operator: &OperatorSettings) -> u64 {
     let lease_s = cluster.workers.lease_s;
-    let ttl = (lease_s * operator.leader_life_share)
+    let ttl_s = (lease_s * operator.leader_life_share)
         .max(cluster.limits.stall_s())
-        .min(lease_s * TTL_SHARE_MAX);
-    to_ms(ttl)
+        .min(lease_s * TTL_LEASE_SHARE_MAX);
+    to_ms(ttl_s)
 }
 
-/// Changes of the transaction that raises the fence.
-const RAISE_WRITES: usize = 3;
-
-/// What an election goes by.
+/// The parameters of an election. The leadership keys must still have the given versions.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Election {
     /// The grant that the key is attached to.
     pub grant: u64,
     /// The epoch of the new leadership.
     pub epoch: u64,
-    /// The version of [`crate::leadership_keys::LEADER_KEY`].
+    /// The version of [`crate::leadership_keys::LEADER_KEY`]; 0 if it does not exist.
     pub leader_version: u64,
-    /// The version of [`crate::leadership_keys::LEASE_KEY`].
+    /// The version of [`crate::leadership_keys::LEASE_KEY`]; 0 if it does not exist.
     pub lease_version: u64,
-    /// The version of [`crate::leadership_keys::EPOCH_KEY`].
+    /// The version of [`crate::leadership_keys::EPOCH_KEY`]; 0 if it does not exist.
     pub epoch_version: u64,
-    /// How the key is kept from the version in production.
+    /// How the version in production is kept from leading.
     pub fence: Fence,
 }
 
 /// A request to the store.
 #[derive(Debug, Clone, PartialEq)]
 pub enum LeaseRequest {
-    /// Ask for a grant.
+    /// Create a grant.
     Grant,
-    /// Take the key and raise the epoch; the keys must still have these versions.
+    /// Take the leader key and raise the epoch.
     Elect(Election),
     /// Renew this grant.
     Renew(u64),
-    /// End this grant.
+    /// End this grant. Its response is not reported to [`LeaderLease::on_response`].
     Revoke(u64),
 }
 
-/// What came of a request.
+/// The response to a request.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum LeaseResponse {
-    /// The grant that was asked for.
+    /// This grant was created.
     Granted(u64),
-    /// The key is ours.
+    /// The election was won.
     Elected {
         /// The epoch of the new leadership.
         epoch: u64,
-        /// The version of the key.
+        /// The version of the leader key.
         version: u64,
     },
-    /// Another controller was faster, or the grant has ended.
+    /// Another controller has won the election, or the grant has ended.
     Lost,
     /// The grant was renewed.
     Renewed,
-    /// No answer, or a refusal: nothing is known.
+    /// No response, or a refusal: unknown outcome.
     Unknown,
 }
 
-/// Where a controller stands.
+/// The state of a controller in the election.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum LeaseState {
-    /// Another controller leads, or nobody does.
+enum LeaseState {
+    /// Another controller leads, or none does.
     Following,
-    /// It asks for a grant.
+    /// A grant is requested.
     Granting,
-    /// It has a grant and tries to take the key.
-    Electing {
-        /// The grant.
-        grant: u64,
-    },
-    /// It has the key.
+    /// The controller has a grant and tries to take the leader key.
+    Electing { grant: u64 },
+    /// The controller has the leader key.
     Leading {
-        /// The grant that the key lives as long as.
         grant: u64,
-        /// The epoch of the leadership.
         epoch: u64,
-        /// The version of the key.
+        /// The version of the leader key.
         version: u64,
     },
 }
 
-/// A controller's part in the election and the renewal of its lease.
+/// The leader lease as seen by one controller, see the module's documentation.
 #[derive(Debug)]
 pub struct LeaderLease {
+    /// The id of this controller.
     member: String,
-    /// How long a grant lives without a renewal.
+    /// Time to live of the grant in milliseconds.
     pub ttl_ms: u64,
-    /// Where this controller stands.
-    pub state: LeaseState,
+    state: LeaseState,
     /// When the request in flight was sent.
     sent_at: Option<u64>,
-    /// When the last renewal that was answered had been sent.
-    pub renewed_at: u64,
+    /// When the last successful request that created or renewed the grant was sent.
+    renewed_at: u64,
     next_request_at: u64,
-    /// Until then others are to try first.
+    /// No campaign before this time, so that others can be elected first.
     standby_until: u64,
-    /// Most changes of a transaction.
+    /// Maximum number of writes in a transaction.
     writes_max: usize,
 }
 
 impl LeaderLease {
-    /// A controller that follows. `writes_max`: most changes of a transaction, now and
-    /// under limits to come.
+    /// Creates the lease of a controller that follows. `writes_max` is the maximum number of
+    /// writes in a transaction, under the present limits of the store and announced ones.
     pub fn new(member: &str, ttl_ms: u64, writes_max: usize) -> LeaderLease {
         LeaderLease {
             member: member.to_string(),
@@ -132,7 +156,7 @@
         }
     }
 
-    /// The epoch of its leadership, if it leads.
+    /// Returns the epoch of this controller's leadership, if it leads.
     pub fn epoch(&self) -> Option<u64> {
         match self.state {
             LeaseState::Leading { epoch, .. } => Some(epoch),
@@ -140,13 +164,17 @@
         }
     }
 
-    /// Whether it leads and the grant can't have ended, even on a clock that drifts.
+    /// Returns whether this controller leads and the grant can't have ended, even if clocks
+    /// drift.
     pub fn is_certain(&self, now: u64) -> bool {
-        let leads = matches!(self.state, LeaseState::Leading { .. });
-        leads && now < self.renewed_at + self.ttl_ms * 9 / 10
+        self.is_leading() && now < self.renewed_at + self.ttl_ms * CERTAIN_TENTHS / 10
     }
 
-    /// The next request, if it is time for one.
+    fn is_leading(&self) -> bool {
+        matches!(self.state, LeaseState::Leading { .. })
+    }
+
+    /// Returns the next request, if one is due. `jitter` is a random number from 0 to 1.
     pub fn tick(
         &mut self,
         now: u64,
@@ -157,23 +185,13 @@
             return None;
         }
         let request = match self.state {
-            LeaseState::Following => {
-                if !self.may_campaign(now, watch_cache) {
-                    return None;
-                }
-                self.state = LeaseState::Granting;
-                LeaseRequest::Grant
-            }
+            LeaseState::Following => self.begin_campaign(now, watch_cache)?,
             LeaseState::Granting => LeaseRequest::Grant,
+            LeaseState::Electing { grant } if self.is_led_by_another(watch_cache) => {
+                return Some(self.abandon_campaign(grant, now, jitter));
+            }
             LeaseState::Electing { grant } => {
-                let another = |key: &(LeaderKey, u64)| key.0.member != self.member;
-                if watch_cache.leader().is_some_and(another) {
-                    self.state = LeaseState::Following;
-                    let pause = self.ttl_ms as f64 * (0.1 + 0.1 * jitter);
-                    self.next_request_at = now + pause as u64;
-                    return Some(LeaseRequest::Revoke(grant));
-                }
-                LeaseRequest::Elect(election(grant, watch_cache, self.writes_max))
+                LeaseRequest::Elect(self.election(grant, watch_cache))
             }
             LeaseState::Leading { grant, .. } => LeaseRequest::Renew(grant),
         };
@@ -181,24 +199,63 @@
         Some(request)
     }
 
-    /// Whether the key is free, or of this process' earlier life.
-    fn may_campaign(&self, now: u64, watch_cache: &WatchCache) -> bool {
-        let free = match watch_cache.leader() {
-            None => true,
-            Some((leader, _)) => leader.member == self.member,
-        };
-        watch_cache.loaded && now >= self.standby_until && free
+    fn begin_campaign(&mut self, now: u64, watch_cache: &WatchCache) -> Option<LeaseRequest> {
+        let may_campaign =
+            watch_cache.loaded && now >= self.standby_until && !self.is_led_by_another(watch_cache);
+        if !may_campaign {
+            return None;
+        }
+        self.state = LeaseState::Granting;
+        Some(LeaseRequest::Grant)
+    }
+
+    /// Returns whether the leader key is held by another controller. A key that an earlier
+    /// process of this controller holds can be taken over at once.
+    fn is_led_by_another(&self, watch_cache: &WatchCache) -> bool {
+        let leader = watch_cache.leader();
+        leader.is_some_and(|(leader, _)| leader.member != self.member)
+    }
+
+    fn abandon_campaign(&mut self, grant: u64, now: u64, jitter: f64) -> LeaseRequest {
+        let pause = self.ttl_ms as f64 * (LOST_ELECTION_PAUSE + LOST_ELECTION_JITTER * jitter);
+        self.state = LeaseState::Following;
+        self.next_request_at = now + pause as u64;
+        LeaseRequest::Revoke(grant)
+    }
+
+    fn election(&self, grant: u64, watch_cache: &WatchCache) -> Election {
+        Election {
+            grant,
+            epoch: watch_cache.epoch + 1,
+            leader_version: version_of(watch_cache.leader_key.as_ref()),
+            lease_version: version_of(watch_cache.lease_key.as_ref()),
+            epoch_version: watch_cache.epoch_version,
+            fence: self.fence(watch_cache),
+        }
+    }
+
+    fn fence(&self, watch_cache: &WatchCache) -> Fence {
+        let is_packed = watch_cache.format >= PACKED_FORMAT;
+        if watch_cache.is_superseded() {
+            Fence::Raised
+        } else if is_packed && self.writes_max >= FENCE_RAISE_WRITES {
+            Fence::Raise
+        } else {
+            // Where a transaction is too small to raise it, the fence stays down.
+            Fence::None
+        }
     }
 
-    /// Takes in the response to the last request. True if leadership began or ended.
+    /// Handles the response to the request in flight. Returns whether leadership began or
+    /// ended.
     pub fn on_response(&mut self, now: u64, response: LeaseResponse) -> bool {
+        let was_leading = self.is_leading();
         let sent_at = self.sent_at.take().unwrap_or(now);
-        let soon = now + self.ttl_ms / 20;
         match (self.state, response) {
             (LeaseState::Granting, LeaseResponse::Granted(grant)) => {
                 self.state = LeaseState::Electing { grant };
-                self.next_request_at = now;
                 self.renewed_at = sent_at;
+                self.next_request_at = now;
             }
             (LeaseState::Electing { grant }, LeaseResponse::Elected { epoch, version }) => {
                 self.state = LeaseState::Leading {
@@ -206,29 +263,30 @@
                     epoch,
                     version,
                 };
-                self.next_request_at = now + self.ttl_ms / 4;
-                return true;
-            }
-            // The watch cache may lag: try again shortly. The grant runs out.
-            (LeaseState::Electing { .. }, _) => {
-                self.state = LeaseState::Following;
-                self.next_request_at = soon;
+                self.next_request_at = now + self.ttl_ms / RENEWALS_PER_TTL;
             }
             (LeaseState::Leading { .. }, LeaseResponse::Renewed) => {
                 self.renewed_at = self.renewed_at.max(sent_at);
-                self.next_request_at = sent_at + self.ttl_ms / 4;
+                self.next_request_at = sent_at + self.ttl_ms / RENEWALS_PER_TTL;
             }
-            (LeaseState::Leading { .. }, LeaseResponse::Lost) => {
+            // The watch cache may lag: campaign again shortly, with a new grant. The present
+            // one expires by itself.
+            (LeaseState::Electing { .. }, _)
+            | (LeaseState::Leading { .. }, LeaseResponse::Lost) => {
                 self.state = LeaseState::Following;
-                self.next_request_at = soon;
-                return true;
+                self.retry(now);
             }
-            _ => self.next_request_at = soon,
+            _ => self.retry(now),
         }
-        false
+        self.is_leading() != was_leading
     }
 
-    /// Gives leadership up and lets others try first.
+    fn retry(&mut self, now: u64) {
+        self.next_request_at = now + self.ttl_ms / RETRIES_PER_TTL;
+    }
+
+    /// Gives up leadership and does not campaign for `standby_ms`, so that others can be
+    /// elected first. Returns the request that ends the grant, if this controller leads.
     pub fn resign(&mut self, now: u64, standby_ms: u64) -> Option<LeaseRequest> {
         let LeaseState::Leading { grant, .. } = self.state else {
             return None;
@@ -238,13 +296,14 @@
         Some(LeaseRequest::Revoke(grant))
     }
 
-    /// The keys have changed in the watch cache. True if that ended leadership: the key is
-    /// another's, or gone.
+    /// Handles a change of the leadership keys in the watch cache. Returns whether it ended
+    /// this controller's leadership: the leader key has changed, or is deleted.
     pub fn on_cache_event(&mut self, watch_cache: &WatchCache) -> bool {
         let LeaseState::Leading { version, .. } = self.state else {
             return false;
         };
-        if watch_cache.leader().is_some_and(|key| key.1 == version) {
+        let leader = watch_cache.leader();
+        if leader.is_some_and(|(_, known)| *known == version) {
             return false;
         }
         self.state = LeaseState::Following;
@@ -252,22 +311,7 @@
     }
 }
 
-fn election(grant: u64, watch_cache: &WatchCache, writes_max: usize) -> Election {
-    // Where a transaction is too small for it, the fence stays down.
-    let fence = if watch_cache.is_superseded() {
-        Fence::Raised
-    } else if watch_cache.format >= PACKED_FORMAT && writes_max >= RAISE_WRITES {
-        Fence::Raise
-    } else {
-        Fence::None
-    };
-    let version = |key: &Option<(LeaderKey, u64)>| key.as_ref().map_or(0, |key| key.1);
-    Election {
-        grant,
-        epoch: watch_cache.epoch + 1,
-        leader_version: version(&watch_cache.leader_key),
-        lease_version: version(&watch_cache.lease_key),
-        epoch_version: watch_cache.epoch_version,
-        fence,
-    }
+/// Returns the version of a leadership key; 0 if it does not exist.
+fn version_of(key: Option<&VersionedLeaderKey>) -> u64 {
+    key.map_or(0, |(_, version)| *version)
 }
--- a/src/leadership_keys.rs
+++ b/src/leadership_keys.rs
@@ -1,35 +1,36 @@
-//! The keys of the store that say who leads and which format holds.
+//! The keys of the store that hold the leadership, the epoch and the format version.
 
 use ciborium::Value;
 use serde::{Deserialize, Serialize};
 
-/// Leadership and versions.
+/// Prefix of the keys of leadership and versions.
 pub const LEADERSHIP_PREFIX: &str = "g/l/";
-/// The format that all controllers know, a number that only rises. The version in
-/// production passes over what it does not know below [`LEADERSHIP_PREFIX`].
+/// The format that all controllers know, a number that only rises. The version in production
+/// ignores keys below [`LEADERSHIP_PREFIX`] that it does not know.
 pub const FORMAT_KEY: &str = "g/l/format";
-/// Held by the leader as long as its grant lives, before format 1. From then on it stays
-/// for good and names [`SUPERSEDED`].
+/// The leader key before format 1: held by the leader while its grant is valid. From format 1
+/// on it is never deleted and names [`SUPERSEDED`].
 pub const LEADER_KEY: &str = "g/l/leader";
-/// Held by the leader as long as its grant lives, from format 1 on.
+/// The leader key from format 1 on: held by the leader while its grant is valid.
 pub const LEASE_KEY: &str = "g/l/lease";
 /// The last epoch that was used.
 pub const EPOCH_KEY: &str = "g/l/epoch";
-/// The leader that the version in production sees from format 1 on. It is never a member,
-/// so a controller that comes back with that version follows and can't be elected: it
-/// could not read the records.
+/// The leader that the version in production sees from format 1 on. It is never a member, so a
+/// controller that is rolled back to that version follows and can't be elected: it could not
+/// read the records.
 pub const SUPERSEDED: &str = "superseded by format 1";
+
 /// The value of [`LEADER_KEY`] and [`LEASE_KEY`].
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct LeaderKey {
-    /// The leader's name.
+    /// The leader's id in the cluster.
     pub member: String,
     /// The epoch of its leadership.
     pub epoch: u64,
 }
 
 impl LeaderKey {
-    /// What [`LEADER_KEY`] holds from format 1 on.
+    /// Returns the value of [`LEADER_KEY`] from format 1 on.
     pub fn superseded() -> LeaderKey {
         LeaderKey {
             member: SUPERSEDED.into(),
@@ -41,17 +42,17 @@
 /// How an election keeps the version in production from leading.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fence {
-    /// Not at all: that version may run and lead.
+    /// Not at all: that version may run and lead. The lease is held by [`LEADER_KEY`].
     None,
-    /// The lease is held by the key that it does not know, and the one that it knows is
-    /// superseded in the same transaction.
+    /// The lease is held by [`LEASE_KEY`], and the same transaction sets [`LEADER_KEY`] to
+    /// [`LeaderKey::superseded`].
     Raise,
-    /// The lease is held by the key that it does not know; the other is superseded already.
+    /// The lease is held by [`LEASE_KEY`]; [`LEADER_KEY`] is superseded already.
     Raised,
 }
 
 impl Fence {
-    /// The key that holds the lease.
+    /// Returns the key that holds the lease.
     pub fn leader_key(self) -> &'static str {
         match self {
             Fence::None => LEADER_KEY,
@@ -60,6 +61,7 @@
     }
 }
 
+/// Reads a whole number; `None` if the value is anything else or out of range.
 pub(crate) fn read_number(value: &Value) -> Option<u64> {
     let integer = value.as_integer()?;
     u64::try_from(i128::from(integer)).ok()
--- /dev/null
+++ b/src/watch_cache/mod.rs
@@ -0,0 +1,346 @@
+//! The local watch cache of the store.
+//!
+//! The cache owns the state of all keys that the rest of the program reads: live jobs, who
+//! leads, the epoch counter, the format version, the announced members and the records of
+//! duties. It is fed by pages of keys at start and by a watch from then on. Own commits may be
+//! applied before the watch reports them.
+//!
+//! Invariants:
+//!
+//! - A value that is kept with its key's version is replaced only by a later version, so that
+//!   late changes don't undo what is known from an own commit.
+//! - A job whose final state is remembered never becomes live again.
+//! - The epoch and the format only rise.
+//! - The dependency graph holds each live job that has unfinished dependencies.
+
+mod final_states;
+mod keys;
+
+use std::collections::{BTreeMap, BTreeSet};
+use std::sync::Arc;
+
+use ciborium::Value;
+use tracing::error;
+
+use crate::dependencies::{DependencyEvent, DependencyGraph, DependencyState};
+use crate::duties::DutyRecords;
+use crate::job::{FinalState, JobRecord};
+use crate::leadership_keys::{read_number, Fence, LeaderKey, SUPERSEDED};
+use crate::wire::{KeyChange, Page};
+use final_states::FinalStates;
+use keys::{ClaimKey, KeyKind};
+
+pub use keys::{final_key, job_key, member_key, JOBS_PREFIX, ROOT_PREFIX};
+
+/// A live job as committed.
+#[derive(Debug, Clone)]
+pub struct LiveJob {
+    /// Its record.
+    pub record: Arc<JobRecord>,
+    /// The version of the record's key.
+    pub version: u64,
+}
+
+/// What a change of the watch cache means to the rest of the program.
+#[derive(Debug, Clone, PartialEq)]
+pub enum CacheEvent {
+    /// A job's record is new or has changed.
+    JobUpdated(String),
+    /// A job is no longer live.
+    JobRemoved(String),
+    /// A key that names the leader has changed.
+    LeaderChanged,
+}
+
+/// The value of a key that names the leader, and the version of that key.
+pub type VersionedLeaderKey = (LeaderKey, u64);
+
+/// The local watch cache of the store, see the module's documentation.
+#[derive(Debug, Default)]
+pub struct WatchCache {
+    /// Whether all keys have been read since the last restart.
+    pub loaded: bool,
+    /// The revision up to which all changes have been applied.
+    pub revision: u64,
+    /// Live jobs, by id.
+    pub jobs: BTreeMap<String, LiveJob>,
+    /// The value of [`crate::leadership_keys::LEADER_KEY`].
+    pub leader_key: Option<VersionedLeaderKey>,
+    /// The value of [`crate::leadership_keys::LEASE_KEY`].
+    pub lease_key: Option<VersionedLeaderKey>,
+    /// The last epoch that was used.
+    pub epoch: u64,
+    /// The version of [`crate::leadership_keys::EPOCH_KEY`]; 0 if it does not exist.
+    pub epoch_version: u64,
+    /// The format that all controllers know.
+    pub format: u64,
+    /// The version of [`crate::leadership_keys::FORMAT_KEY`]; 0 if it does not exist.
+    pub format_version: u64,
+    /// Controllers that have announced that they run this version, or a later one.
+    pub members: BTreeSet<String>,
+    /// The records of duties.
+    pub duties: DutyRecords,
+    /// The dependency graph of live jobs.
+    pub dependencies: DependencyGraph,
+    dependency_events: Vec<DependencyEvent>,
+    finals: FinalStates,
+}
+
+impl WatchCache {
+    /// Clears the cache before all keys are read again. What can't change is kept: final
+    /// states, the format, and the announced members.
+    pub fn restart(&mut self) {
+        self.loaded = false;
+        self.revision = 0;
+        self.jobs.clear();
+        self.leader_key = None;
+        self.lease_key = None;
+        self.epoch = 0;
+        self.epoch_version = 0;
+        self.duties.restart();
+        self.dependencies = DependencyGraph::default();
+        self.dependency_events.clear();
+    }
+
+    /// Returns who leads, with the version of the key that holds the lease.
+    pub fn leader(&self) -> Option<&VersionedLeaderKey> {
+        let unfenced = self.leader_key.as_ref();
+        self.lease_key
+            .as_ref()
+            .or(unfenced.filter(|(leader, _)| leader.member != SUPERSEDED))
+    }
+
+    /// Returns whether leaders are elected by [`crate::leadership_keys::LEASE_KEY`], which the
+    /// version in production does not know.
+    pub fn is_superseded(&self) -> bool {
+        let leader_key = self.leader_key.as_ref();
+        leader_key.is_some_and(|(leader, _)| leader.member == SUPERSEDED)
+    }
+
+    /// Applies an election that this controller has won, ahead of the watch. `version` is the
+    /// revision of the election's transaction.
+    pub fn apply_own_election(&mut self, key: LeaderKey, version: u64, fence: Fence) {
+        self.epoch = key.epoch;
+        self.epoch_version = version;
+        match fence {
+            Fence::None => self.leader_key = Some((key, version)),
+            Fence::Raise => {
+                self.leader_key = Some((LeaderKey::superseded(), version));
+                self.lease_key = Some((key, version));
+            }
+            Fence::Raised => self.lease_key = Some((key, version)),
+        }
+    }
+
+    /// Returns what changes since the last call mean for jobs with dependencies.
+    pub fn take_dependency_events(&mut self) -> Vec<DependencyEvent> {
+        std::mem::take(&mut self.dependency_events)
+    }
+
+    /// Returns the state of a job that another one may depend on.
+    pub fn dependency_state(&self, id: &str) -> DependencyState {
+        dependency_state(&self.jobs, &self.finals, id)
+    }
+
+    /// Returns whether users are told that a live job is cancelled: by its own record, or
+    /// because a job that it depends on is cancelled.
+    pub fn is_cancelled(&self, id: &str) -> bool {
+        let by_own_record = |job: &LiveJob| job.record.cancelled;
+        self.dependencies.is_cancelled(id) || self.jobs.get(id).is_some_and(by_own_record)
+    }
+
+    /// Returns how a job ended, if that is remembered.
+    pub fn final_state(&self, id: &str) -> Option<FinalState> {
+        self.finals.get(id)
+    }
+
+    /// Applies a page of keys that was read at start.
+    pub fn apply_page(&mut self, page: &Page) {
+        for pair in &page.pairs {
+            self.apply_set(&pair.key, &pair.value, pair.version);
+        }
+    }
+
+    /// Applies the changes that a watch reported. They are complete from revision `from`
+    /// (exclusive) to `revision` (inclusive).
+    pub fn apply_changes(
+        &mut self,
+        revision: u64,
+        from: u64,
+        changes: &[KeyChange],
+    ) -> Vec<CacheEvent> {
+        if from > self.revision {
+            // There would be a gap; not expected, as watches start at `revision`.
+            return vec![];
+        }
+        let mut events = Vec::new();
+        for change in changes {
+            if change.version > self.revision {
+                events.extend(self.apply_change(change));
+            }
+        }
+        self.revision = self.revision.max(revision);
+        self.duties.discard_removals_up_to(self.revision);
+        events
+    }
+
+    fn apply_change(&mut self, change: &KeyChange) -> Option<CacheEvent> {
+        if let (Some(key), Some(value)) = (&change.set, &change.value) {
+            return self.apply_set(key, value, change.version);
+        }
+        let key = change.delete.as_ref()?;
+        self.apply_delete(key, change.version)
+    }
+
+    fn apply_set(&mut self, key: &str, value: &Value, version: u64) -> Option<CacheEvent> {
+        match KeyKind::of(key) {
+            KeyKind::Job { id } => return self.apply_job(id, value, version),
+            KeyKind::FinalState { id } => return self.apply_final_state(id, value),
+            KeyKind::Claim(key) => return self.apply_claim(key, value, version),
+            KeyKind::Duties => self.duties.apply_set(key, value, version),
+            KeyKind::Member { member } => {
+                self.members.insert(member.to_string());
+            }
+            KeyKind::Format => self.apply_format(value, version),
+            KeyKind::Epoch => self.apply_epoch(value, version),
+            KeyKind::Other => {}
+        }
+        None
+    }
+
+    fn apply_job(&mut self, id: &str, value: &Value, version: u64) -> Option<CacheEvent> {
+        if !self.is_newer_record(id, version) {
+            return None;
+        }
+        let record = match JobRecord::from_value(value) {
+            Ok(record) => record,
+            Err(error) => {
+                error!(job = id, %error, "unreadable job record");
+                return None;
+            }
+        };
+        self.update_dependencies(id, &record);
+        let job = LiveJob {
+            record: Arc::new(record),
+            version,
+        };
+        self.jobs.insert(id.to_string(), job);
+        Some(CacheEvent::JobUpdated(id.to_string()))
+    }
+
+    /// An own commit may have been applied ahead of the watch: a job that is over does not
+    /// become live again, and a record is not replaced by an older one.
+    fn is_newer_record(&self, id: &str, version: u64) -> bool {
+        let known = self.jobs.get(id);
+        !self.finals.contains(id) && known.is_none_or(|job| job.version < version)
+    }
+
+    /// Updates the dependency graph before a job's record is inserted or replaced.
+    fn update_dependencies(&mut self, id: &str, record: &JobRecord) {
+        let was_cancelled = self.jobs.get(id).map(|job| job.record.cancelled);
+        let events = &mut self.dependency_events;
+        if was_cancelled.is_none() {
+            let state = |id: &str| dependency_state(&self.jobs, &self.finals, id);
+            let dependencies = &record.spec.dependencies;
+            self.dependencies.add(id, dependencies, state, events);
+        }
+        if record.cancelled && was_cancelled != Some(true) {
+            self.dependencies.on_cancelled(id, events);
+        }
+    }
+
+    fn apply_final_state(&mut self, id: &str, value: &Value) -> Option<CacheEvent> {
+        let state = FinalState::from_value(value)?;
+        self.jobs.remove(id);
+        self.record_final(id, state);
+        Some(CacheEvent::JobRemoved(id.to_string()))
+    }
+
+    fn apply_claim(&mut self, key: ClaimKey, value: &Value, version: u64) -> Option<CacheEvent> {
+        let claim = self.claim_older_than(key, version)?;
+        let leader = value.deserialized::<LeaderKey>().ok()?;
+        *claim = Some((leader, version));
+        Some(CacheEvent::LeaderChanged)
+    }
+
+    fn apply_format(&mut self, value: &Value, version: u64) {
+        if version > self.format_version {
+            // A value that can't be read was written by a later version.
+            let format = read_number(value).unwrap_or(u64::MAX);
+            self.format = format.max(self.format);
+            self.format_version = version;
+        }
+    }
+
+    fn apply_epoch(&mut self, value: &Value, version: u64) {
+        if version > self.epoch_version {
+            let epoch = read_number(value).unwrap_or(0);
+            self.epoch = epoch.max(self.epoch);
+            self.epoch_version = version;
+        }
+    }
+
+    fn apply_delete(&mut self, key: &str, version: u64) -> Option<CacheEvent> {
+        match KeyKind::of(key) {
+            KeyKind::Job { id } => {
+                self.jobs.remove(id);
+                Some(CacheEvent::JobRemoved(id.to_string()))
+            }
+            KeyKind::Duties => {
+                self.duties.apply_delete(key, version);
+                None
+            }
+            KeyKind::Claim(key) => self.delete_claim(key, version),
+            KeyKind::FinalState { .. }
+            | KeyKind::Member { .. }
+            | KeyKind::Format
+            | KeyKind::Epoch
+            | KeyKind::Other => None,
+        }
+    }
+
+    fn delete_claim(&mut self, key: ClaimKey, version: u64) -> Option<CacheEvent> {
+        let claim = self.claim_older_than(key, version)?;
+        claim.take().map(|_| CacheEvent::LeaderChanged)
+    }
+
+    /// Returns the place of a claim, unless it is known at this version or a later one. An own
+    /// election may be ahead of the watch, which reports the end of the old key only now.
+    fn claim_older_than(
+        &mut self,
+        key: ClaimKey,
+        version: u64,
+    ) -> Option<&mut Option<VersionedLeaderKey>> {
+        let claim = match key {
+            ClaimKey::Leader => &mut self.leader_key,
+            ClaimKey::Lease => &mut self.lease_key,
+        };
+        let is_older = claim.as_ref().is_none_or(|(_, known)| *known < version);
+        is_older.then_some(claim)
+    }
+
+    /// Remembers how a job ended, once that is committed, and updates the dependency graph.
+    pub fn record_final(&mut self, id: &str, state: FinalState) {
+        let events = &mut self.dependency_events;
+        match state {
+            FinalState::Done => self.dependencies.on_done(id, events),
+            FinalState::Cancelled => self.dependencies.on_cancelled(id, events),
+        }
+        self.dependencies.remove(id);
+        self.finals.insert(id, state);
+    }
+}
+
+fn dependency_state(
+    jobs: &BTreeMap<String, LiveJob>,
+    finals: &FinalStates,
+    id: &str,
+) -> DependencyState {
+    match (finals.get(id), jobs.get(id)) {
+        (Some(state), _) => DependencyState::Over(state),
+        (None, Some(job)) => DependencyState::Live {
+            cancelled: job.record.cancelled,
+        },
+        (None, None) => DependencyState::Unknown,
+    }
+}
