--- /dev/null
+++ b/src/job/final_state.rs
@@ -0,0 +1,45 @@
+//! How a job ended.
+
+use ciborium::Value;
+
+use crate::wire;
+
+const DONE: &str = "d";
+const CANCELLED: &str = "w";
+
+/// How a job ended. Stored as a text of one letter.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum FinalState {
+    /// All tasks are done.
+    Done,
+    /// The job was cancelled.
+    Cancelled,
+}
+
+impl FinalState {
+    /// Returns the stored form.
+    pub fn to_value(self) -> Value {
+        let letter = match self {
+            FinalState::Done => DONE,
+            FinalState::Cancelled => CANCELLED,
+        };
+        Value::Text(letter.into())
+    }
+
+    /// Reads the stored form; `None` if it is not known.
+    pub fn from_value(value: &Value) -> Option<FinalState> {
+        match value.as_text()? {
+            DONE => Some(FinalState::Done),
+            CANCELLED => Some(FinalState::Cancelled),
+            _ => None,
+        }
+    }
+
+    /// Returns the status that users are told.
+    pub fn status(self) -> &'static str {
+        match self {
+            FinalState::Done => wire::DONE,
+            FinalState::Cancelled => wire::WITHDRAWN,
+        }
+    }
+}
--- a/src/task_runs.rs
+++ b/src/task_runs.rs
@@ -1,68 +1,103 @@
-//! Sets of tasks, and runs of tasks on their machines.
+//! Sets of tasks, and runs of tasks on their machines, as job records store them.
 
 use serde::{Deserialize, Serialize};
 
-/// A set of task numbers, kept as sorted inclusive ranges.
+/// Successive tasks, from the first to the last inclusive.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(crate) struct TaskRange {
+    pub(crate) first: u32,
+    pub(crate) last: u32,
+}
+
+impl TaskRange {
+    /// Returns the number of tasks.
+    pub(crate) fn len(self) -> u32 {
+        self.last - self.first + 1
+    }
+}
+
+/// A set of task numbers, as inclusive ranges `(first, last)`. Stored as a list of pairs.
+///
+/// Invariant: the ranges are sorted and separated by at least one task.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct TaskSet(pub Vec<(u32, u32)>);
 
 impl TaskSet {
-    /// Whether a task is in the set.
+    /// Returns whether a task is in the set.
     pub fn contains(&self, task: u32) -> bool {
         let index = self.first_range_from(task);
-        self.0.get(index).is_some_and(|range| range.0 <= task)
+        self.0.get(index).is_some_and(|(first, _)| *first <= task)
     }
 
-    /// Adds a task.
+    /// Adds a task, and merges the ranges that it joins.
     pub fn insert(&mut self, task: u32) {
         if self.contains(task) {
             return;
         }
         let index = self.first_range_from(task);
         self.0.insert(index, (task, task));
-        if index + 1 < self.0.len() && self.0[index + 1].0 == task + 1 {
-            self.0[index].1 = self.0[index + 1].1;
-            self.0.remove(index + 1);
+        self.merge_with_next(index);
+        if let Some(previous) = index.checked_sub(1) {
+            self.merge_with_next(previous);
         }
-        if index > 0 && self.0[index - 1].1 + 1 == task {
-            self.0[index - 1].1 = self.0[index].1;
-            self.0.remove(index);
+    }
+
+    /// Merges a range with the next one if no task is between them.
+    fn merge_with_next(&mut self, index: usize) {
+        let Some((next_first, next_last)) = self.0.get(index + 1).copied() else {
+            return;
+        };
+        let last = &mut self.0[index].1;
+        if *last + 1 == next_first {
+            *last = next_last;
+            self.0.remove(index + 1);
         }
     }
 
-    /// The first range that ends at this task or later.
+    /// Returns the index of the first range that ends at this task or later.
     fn first_range_from(&self, task: u32) -> usize {
-        self.0.partition_point(|range| range.1 < task)
+        self.0.partition_point(|(_, last)| *last < task)
     }
 
     /// Makes it the set of the first `count` tasks.
     pub fn fill(&mut self, count: u32) {
         self.0.clear();
-        if count > 0 {
-            self.0.push((0, count - 1));
+        if let Some(last) = count.checked_sub(1) {
+            self.push_range(TaskRange { first: 0, last });
         }
     }
 
-    /// The number of tasks in the set.
+    /// Appends a range, which must follow all others.
+    pub(crate) fn push_range(&mut self, range: TaskRange) {
+        self.0.push((range.first, range.last));
+    }
+
+    /// Returns the ranges, lowest first.
+    pub(crate) fn ranges(&self) -> impl DoubleEndedIterator<Item = TaskRange> + '_ {
+        let ranges = self.0.iter();
+        ranges.map(|&(first, last)| TaskRange { first, last })
+    }
+
+    /// Returns the number of tasks in the set.
     pub fn len(&self) -> u64 {
-        let lengths = self.0.iter().map(|range| u64::from(range.1 - range.0) + 1);
-        lengths.sum()
+        // In 64 bits, as a range of all task numbers has one more than fits into 32.
+        let length = |range: TaskRange| u64::from(range.last - range.first) + 1;
+        self.ranges().map(length).sum()
     }
 
-    /// Whether no task is in the set.
+    /// Returns whether no task is in the set.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 }
 
-/// Tasks with successive numbers that may be on a machine under one attempt. Stored
-/// as a list of four.
+/// Successive tasks that may be on a machine under one attempt. Stored as a list of four.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(from = "(u32, u32, u64, String)", into = "(u32, u32, u64, String)")]
 pub struct TaskRun {
-    /// The first task.
+    /// The number of the first task.
     pub first: u32,
-    /// How many tasks.
+    /// The number of tasks.
     pub count: u32,
     /// Their attempt.
     pub attempt: u64,
@@ -71,7 +106,7 @@
 }
 
 impl TaskRun {
-    /// The run of a single task.
+    /// Creates the run of a single task.
     pub fn single(task: u32, attempt: u64, machine: impl Into<String>) -> TaskRun {
         TaskRun {
             first: task,
