--- a/src/admission.rs
+++ b/src/admission.rs
@@ -1,79 +1,101 @@
-//! The limit on users' requests in progress, which adjusts itself to measured times.
+//! Admission control of users' requests.
+//!
+//! The limit on requests in progress adjusts itself to measured response times: additive
+//! increase, multiplicative decrease. This module owns the limit and the statistics of response
+//! times; the caller counts the requests in progress. Times are in milliseconds of the steady
+//! clock.
 
 use hdrhistogram::Histogram;
 
-/// Longest time that is told from longer ones.
+/// Longest response time that is distinguished from longer ones.
 const RECORDED_MS_MAX: u64 = 60_000;
+/// Precision of the recorded response times, in decimal digits.
 const SIGNIFICANT_DIGITS: u8 = 2;
-/// The limit never falls below this, and starts from this share of its maximum.
+/// The limit never falls below this.
 const LIMIT_MIN: f64 = 8.0;
+/// The limit starts from this share of its maximum, but not below [`START_LIMIT_MIN`].
 const START_SHARE: f64 = 1.0 / 8.0;
-const START_MIN: f64 = 16.0;
-/// What is left of the limit after a slow answer.
-const REDUCTION: f64 = 0.9;
+/// Lower bound of the limit at start, and of its maximum.
+const START_LIMIT_MIN: f64 = 16.0;
+/// The limit is multiplied by this after a slow response.
+const DECREASE_FACTOR: f64 = 0.9;
+/// The limit rises only while this share of it is in use.
+const USED_SHARE: f64 = 0.5;
 
-/// A limit on requests in progress: it rises by one for each full window answered in good
-/// time and falls by a tenth when answers are slow.
+/// A limit on requests in progress. It rises by one for each full window of requests that were
+/// answered in time, and falls by a tenth when responses are slow.
 #[derive(Debug)]
 pub struct AdmissionLimit {
     limit: f64,
-    max: f64,
+    limit_max: f64,
+    /// Longest response time that is not slow.
     target_ms: u64,
-    reduced_at: u64,
+    decreased_at: u64,
     times: Histogram<u64>,
 }
 
-/// Times of answers since the last look.
+/// Statistics of response times.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct AnswerTimes {
-    /// How many answers.
+    /// The number of responses.
     pub count: u64,
-    /// Half of them took no longer.
+    /// The median in milliseconds.
     pub median_ms: u64,
-    /// 99 in a hundred took no longer.
+    /// The 99th percentile in milliseconds.
     pub p99_ms: u64,
 }
 
 impl AdmissionLimit {
-    /// `target_ms`: what an answer may take. `max`: a bound by sockets.
+    /// Creates the limit. `target_ms` is the longest response time that is not slow. `max` is
+    /// the maximum of the limit, which follows from the number of sockets.
     pub fn new(target_ms: u64, max: usize) -> AdmissionLimit {
-        let max = (max as f64).max(START_MIN);
+        let limit_max = (max as f64).max(START_LIMIT_MIN);
         let times = Histogram::new_with_bounds(1, RECORDED_MS_MAX, SIGNIFICANT_DIGITS);
         AdmissionLimit {
-            limit: (max * START_SHARE).max(START_MIN),
-            max,
+            limit: (limit_max * START_SHARE).max(START_LIMIT_MIN),
+            limit_max,
             target_ms,
-            reduced_at: 0,
+            decreased_at: 0,
             times: times.unwrap_or_else(|_| unreachable!("fixed bounds are valid")),
         }
     }
 
-    /// Whether another request may begin beside so many in progress.
+    /// Returns whether another request may begin beside those in progress.
     pub fn admits(&self, in_progress: usize) -> bool {
         (in_progress as f64) < self.limit
     }
 
-    /// The present limit.
+    /// Returns the present limit.
     pub fn limit(&self) -> usize {
         self.limit as usize
     }
 
-    /// A request took this long, with so many in progress.
+    /// Records the response time of a request, and the number of requests in progress with it,
+    /// and adjusts the limit.
     pub fn record(&mut self, took_ms: u64, in_progress: usize, now: u64) {
         self.times.saturating_record(took_ms.max(1));
         if took_ms > self.target_ms {
-            // One cut per answer time: what is in progress was let in before.
-            if now >= self.reduced_at + self.target_ms {
-                self.reduced_at = now;
-                self.limit = (self.limit * REDUCTION).max(LIMIT_MIN);
-            }
-        } else if in_progress as f64 * 2.0 >= self.limit {
-            // Rises only while it is made use of.
-            self.limit = (self.limit + 1.0 / self.limit.max(1.0)).min(self.max);
+            self.decrease(now);
+        } else if in_progress as f64 >= self.limit * USED_SHARE {
+            self.increase();
         }
     }
 
-    /// Times since the last call; `None` if there were no answers.
+    /// Decreases the limit at most once per target time: requests in progress were admitted
+    /// under the limit before.
+    fn decrease(&mut self, now: u64) {
+        if now >= self.decreased_at + self.target_ms {
+            self.decreased_at = now;
+            self.limit = (self.limit * DECREASE_FACTOR).max(LIMIT_MIN);
+        }
+    }
+
+    fn increase(&mut self) {
+        self.limit = (self.limit + 1.0 / self.limit.max(1.0)).min(self.limit_max);
+    }
+
+    /// Returns the statistics since the last call and resets them; `None` if there were no
+    /// responses.
     pub fn take_times(&mut self) -> Option<AnswerTimes> {
         let count = self.times.len();
         if count == 0 {
--- a/src/dependencies.rs
+++ b/src/dependencies.rs
@@ -1,50 +1,62 @@
-//! The dependency graph of live jobs: which wait for others to be done, and which are
-//! cancelled because one that they depend on is. What a job's users are told follows from
-//! its dependencies until its own record says so. The cost of each change is in proportion
-//! to the jobs that it affects.
+//! The dependency graph of live jobs.
+//!
+//! The graph knows which live jobs wait for others to be done, and which are cancelled because
+//! a job that they depend on is. Users are told of such a cancellation at once, before the
+//! job's own record has it. The cost of each change is proportional to the number of jobs that
+//! it affects.
+//!
+//! Invariants:
+//!
+//! - `unfinished` and `dependents` are the two directions of the same edges. An edge exists
+//!   until its dependency is done, or its dependent is no longer live.
+//! - Cancellation is transitive: all live jobs that depend on a cancelled one, directly or
+//!   indirectly, are in `cancelled`.
+//! - Each dependency in `unresolved` has dependents.
 
 use std::collections::{BTreeSet, HashMap, HashSet};
 
 use crate::job::FinalState;
 
-/// What is known of a job that another one depends on.
+/// The state of a job that another one depends on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DependencyState {
-    /// Not over.
+    /// The job is live.
     Live {
-        /// Its own record says that it is cancelled.
+        /// Whether the job's own record says that it is cancelled.
         cancelled: bool,
     },
-    /// Over.
+    /// The job has ended.
     Over(FinalState),
-    /// Neither in the watch cache nor remembered: to be looked up.
+    /// The job is neither in the watch cache nor is its final state remembered: it has to be
+    /// looked up in the store.
     Unknown,
 }
 
-/// What followed from a change.
+/// What a change means for a live job with dependencies. Both carry the job's id.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum DependencyEvent {
-    /// All dependencies of this job are done.
+    /// All dependencies of the job are done.
     Ready(String),
-    /// A job that this one depends on, directly or indirectly, is cancelled.
+    /// A job that it depends on, directly or indirectly, is cancelled.
     Cancelled(String),
 }
 
-/// The dependency graph of live jobs.
+/// The dependency graph of live jobs, see the module's documentation.
 #[derive(Debug, Default)]
 pub struct DependencyGraph {
-    /// Live jobs with their dependencies that are not known to be done.
+    /// For each live job with dependencies that are not known to be done, these dependencies.
     unfinished: HashMap<String, BTreeSet<String>>,
-    /// The reverse: the jobs that wait for each of these.
+    /// For each of these dependencies, the live jobs that depend on it.
     dependents: HashMap<String, BTreeSet<String>>,
-    /// Live jobs that are cancelled by a dependency.
+    /// Live jobs that are cancelled because of a dependency.
     cancelled: HashSet<String>,
-    /// Dependencies whose state has to be looked up.
+    /// Dependencies whose state has to be looked up in the store.
     unresolved: BTreeSet<String>,
 }
 
 impl DependencyGraph {
-    /// Adds a live job. `state` tells what is known of its dependencies.
+    /// Adds a live job. `state` returns the state of a dependency. Appends what follows to
+    /// `events`.
     pub fn add(
         &mut self,
         id: &str,
@@ -52,22 +64,19 @@
         state: impl Fn(&str) -> DependencyState,
         events: &mut Vec<DependencyEvent>,
     ) {
-        // Jobs that depend on it had to wait for this.
+        // Jobs that depend on this one may have been added before it.
         self.unresolved.remove(id);
         let mut is_cancelled = false;
         let mut unfinished = BTreeSet::new();
         for dependency in dependencies {
-            match state(dependency) {
-                DependencyState::Over(FinalState::Done) => continue,
-                DependencyState::Over(FinalState::Cancelled)
-                | DependencyState::Live { cancelled: true } => is_cancelled = true,
-                DependencyState::Live { cancelled: false } => {
-                    is_cancelled |= self.cancelled.contains(dependency);
-                }
-                DependencyState::Unknown => {
-                    self.unresolved.insert(dependency.clone());
-                }
+            let state = state(dependency);
+            if state == DependencyState::Over(FinalState::Done) {
+                continue;
+            }
+            if state == DependencyState::Unknown {
+                self.unresolved.insert(dependency.clone());
             }
+            is_cancelled |= self.is_dependency_cancelled(dependency, state);
             let dependents = self.dependents.entry(dependency.clone()).or_default();
             dependents.insert(id.to_string());
             unfinished.insert(dependency.clone());
@@ -80,7 +89,17 @@
         }
     }
 
-    /// A job is cancelled, or ended as cancelled: so are all that depend on it.
+    fn is_dependency_cancelled(&self, id: &str, state: DependencyState) -> bool {
+        match state {
+            DependencyState::Over(FinalState::Cancelled)
+            | DependencyState::Live { cancelled: true } => true,
+            DependencyState::Live { cancelled: false } => self.cancelled.contains(id),
+            DependencyState::Over(FinalState::Done) | DependencyState::Unknown => false,
+        }
+    }
+
+    /// Handles the cancellation of a job, live or ended: all jobs that depend on it are
+    /// cancelled, too.
     pub fn on_cancelled(&mut self, id: &str, events: &mut Vec<DependencyEvent>) {
         self.unresolved.remove(id);
         for dependent in self.dependents_of(id) {
@@ -88,7 +107,7 @@
         }
     }
 
-    /// It is on record that a job is done.
+    /// Handles that a job is done, once that is committed.
     pub fn on_done(&mut self, id: &str, events: &mut Vec<DependencyEvent>) {
         self.unresolved.remove(id);
         for dependent in self.dependents.remove(id).into_iter().flatten() {
@@ -103,7 +122,7 @@
         }
     }
 
-    /// Removes a job that is not live any more.
+    /// Removes a job that is no longer live, with the edges to its dependencies.
     pub fn remove(&mut self, id: &str) {
         self.cancelled.remove(id);
         for dependency in self.unfinished.remove(id).into_iter().flatten() {
@@ -118,23 +137,23 @@
         }
     }
 
-    /// Whether not all dependencies of a job are known to be done.
+    /// Returns whether a job has dependencies that are not known to be done.
     pub fn is_waiting(&self, id: &str) -> bool {
         self.unfinished.contains_key(id)
     }
 
-    /// Whether a job that this one depends on, directly or indirectly, is cancelled.
+    /// Returns whether a job that this one depends on, directly or indirectly, is cancelled.
     pub fn is_cancelled(&self, id: &str) -> bool {
         self.cancelled.contains(id)
     }
 
-    /// Dependencies whose state has to be looked up.
+    /// Returns the dependencies whose state has to be looked up in the store.
     pub fn unresolved(&self) -> &BTreeSet<String> {
         &self.unresolved
     }
 
-    /// Whether a job depends, directly or indirectly, on one that has to be looked up, so
-    /// that it may be cancelled.
+    /// Returns whether a job depends, directly or indirectly, on one whose state has to be looked
+    /// up, so that it may be cancelled.
     pub fn has_unresolved(&self, id: &str) -> bool {
         if self.unresolved.is_empty() {
             return false;
@@ -154,11 +173,14 @@
         false
     }
 
+    /// Returns the jobs that depend on this one directly.
     fn dependents_of(&self, id: &str) -> Vec<String> {
         let dependents = self.dependents.get(id);
         dependents.into_iter().flatten().cloned().collect()
     }
 
+    /// Marks a live job and all that depend on it as cancelled. Jobs that are marked already are
+    /// not visited again.
     fn cancel_with_dependents(&mut self, id: &str, events: &mut Vec<DependencyEvent>) {
         let mut pending = vec![id.to_string()];
         while let Some(job) = pending.pop() {
--- a/src/peer_protocol.rs
+++ b/src/peer_protocol.rs
@@ -1,36 +1,38 @@
-//! Messages between controllers.
+//! The peer protocol: messages between controllers, as protocol buffers over HTTP.
+//!
+//! Other versions of this service read them, so tags and types must not change.
 
 use prost::Message;
 
-/// Where status messages go.
+/// Path that status messages are sent to.
 pub const STATUS_PATH: &str = "/mesh/status";
-/// Where users' requests are forwarded to.
+/// Path that users' requests are forwarded to.
 pub const FORWARD_PATH: &str = "/mesh/hand";
 
-/// A controller's view, sent to each other one about once a second and answered with the
-/// receiver's own.
+/// A controller's view of the cluster. Sent to each other controller about once a second, and
+/// answered with the receiver's own.
 #[derive(Clone, PartialEq, Message)]
 pub struct PeerStatus {
-    /// The sender.
+    /// The sender's id in the cluster.
     #[prost(string, tag = "1")]
     pub member: String,
-    /// The store has answered it lately.
+    /// Whether the store has answered the sender lately.
     #[prost(bool, tag = "2")]
     pub store_reachable: bool,
-    /// The epoch of its leadership; 0 if it does not lead.
+    /// The epoch of the sender's leadership; 0 if it does not lead.
     #[prost(uint64, tag = "3")]
     pub leading_epoch: u64,
-    /// Agents that it has redirected in the last few heartbeat intervals.
+    /// The number of agents that the sender has redirected in the last few heartbeat intervals.
     #[prost(uint32, tag = "4")]
     pub redirected_agents: u32,
-    /// How long its process has run.
+    /// The age of the sender's process in milliseconds.
     #[prost(uint64, tag = "5")]
     pub process_age_ms: u64,
-    /// Jobs that it has lately told users to be cancelled, for a leader that the state
-    /// service does not answer.
+    /// The ids of jobs whose cancellation the sender has lately acknowledged to users, for a
+    /// leader that the store does not answer.
     #[prost(string, repeated, tag = "6")]
     pub acknowledged_cancellations: Vec<String>,
-    /// The latest format that its version knows; 0 for the one in production.
+    /// The latest format that the sender's version knows; 0 for the version in production.
     #[prost(uint64, tag = "7")]
     pub known_format: u64,
 }
@@ -44,21 +46,21 @@
     /// The HTTP path.
     #[prost(string, tag = "2")]
     pub path: String,
-    /// The body.
+    /// The body, as the user has sent it.
     #[prost(bytes = "vec", tag = "3")]
     pub body: Vec<u8>,
 }
 
-/// The answer to a forwarded request.
+/// The response to a forwarded request.
 #[derive(Clone, PartialEq, Message)]
 pub struct ForwardedReply {
     /// The HTTP status.
     #[prost(uint32, tag = "1")]
     pub status: u32,
-    /// When the user is to come back, in seconds.
+    /// The value of `Retry-After` for the user, in seconds.
     #[prost(uint32, optional, tag = "2")]
     pub retry_after: Option<u32>,
-    /// The body.
+    /// The body, as the user receives it.
     #[prost(bytes = "vec", tag = "3")]
     pub body: Vec<u8>,
 }
--- a/src/rate_limit.rs
+++ b/src/rate_limit.rs
@@ -1,15 +1,20 @@
-//! Rate limits by token buckets.
+//! Rate limits by token buckets. Times are in milliseconds of the steady clock.
 
-/// Tokens that come at a steady rate; one second's worth may be taken at once.
+use crate::time_units::ms_to_s;
+
+/// A token bucket: tokens are added at a steady rate, and one second's worth may be taken at
+/// once.
 #[derive(Debug, Clone)]
 pub struct TokenBucket {
+    /// Tokens per second, and the capacity of the bucket.
     rate: f64,
+    /// Tokens that can be taken; never more than `rate`.
     tokens: f64,
     refilled_at: u64,
 }
 
 impl TokenBucket {
-    /// A full bucket with so many tokens a second.
+    /// Creates a full bucket. `rate` is in tokens per second.
     pub fn new(rate: f64) -> TokenBucket {
         TokenBucket {
             rate,
@@ -19,12 +24,13 @@
     }
 
     fn refill(&mut self, now: u64) {
-        let elapsed_s = now.saturating_sub(self.refilled_at) as f64 / 1000.0;
+        let elapsed_s = ms_to_s(now.saturating_sub(self.refilled_at));
         self.refilled_at = self.refilled_at.max(now);
         self.tokens = (self.tokens + elapsed_s * self.rate).min(self.rate);
     }
 
-    /// Takes `count` tokens if afterwards a share of `reserve` of the rate is left.
+    /// Takes `count` tokens if a share of `reserve` of the rate is left afterwards. Returns
+    /// whether they were taken.
     pub fn try_take(&mut self, now: u64, count: f64, reserve: f64) -> bool {
         self.refill(now);
         let enough = self.tokens >= count + reserve * self.rate;
@@ -39,20 +45,20 @@
         self.tokens = (self.tokens + count).min(self.rate);
     }
 
-    /// Sets another rate from now on.
+    /// Sets the rate from now on, in tokens per second.
     pub fn set_rate(&mut self, now: u64, rate: f64) {
         self.refill(now);
         self.rate = rate;
         self.tokens = self.tokens.min(rate);
     }
 
-    /// How many tokens could be taken so that a share of `reserve` of the rate is left.
+    /// Returns how many tokens can be taken so that a share of `reserve` of the rate is left.
     pub fn available(&mut self, now: u64, reserve: f64) -> usize {
         self.refill(now);
         (self.tokens - reserve * self.rate).max(0.0) as usize
     }
 
-    /// The other side says that the limit has been reached.
+    /// Empties the bucket, after the other side has refused a request because of its own limit.
     pub fn drain(&mut self) {
         self.tokens = self.tokens.min(0.0);
     }
