--- a/src/leader_lease.rs
+++ b/src/leader_lease.rs
@@ -44,7 +44,7 @@
 /// Returns the time to live of the leader's grant in milliseconds.
 ///
 /// It is the operator's share of an agent's lease, but at least as long as the process may
-/// stall, and at most [`TTL_LEASE_SHARE_MAX`] of that lease.
+/// stall, and at most a quarter of that lease.
 pub fn leader_lease_ttl_ms(cluster: &ClusterSettings, operator: &OperatorSettings) -> u64 {
     let lease_s = cluster.workers.lease_s;
     let ttl_s = (lease_s * operator.leader_life_share)
--- a/src/packed_record/mod.rs
+++ b/src/packed_record/mod.rs
@@ -4,7 +4,7 @@
 //! There are three parts, separated by `|`:
 //!
 //! 1. The tasks that are done: the lengths of unfinished and finished stretches in turn, or the
-//!    bits of all tasks in hexadecimal after `=`, whichever is shorter. See [`done_tasks`].
+//!    bits of all tasks in hexadecimal after `=`, whichever is shorter. See `done_tasks`.
 //! 2. The common prefix of all machine names.
 //! 3. The runs, by position among the unfinished tasks: the machine's name without the prefix,
 //!    followed by `*` and a count if there are several tasks. `^` and a number come first where
--- a/src/write_queue/mod.rs
+++ b/src/write_queue/mod.rs
@@ -6,11 +6,11 @@
 //!
 //! Invariants:
 //!
-//! - At most [`IN_FLIGHT_MAX`] transactions are in flight at a time.
+//! - At most `IN_FLIGHT_MAX` transactions are in flight at a time.
 //! - Within a class, requests are sent in the order in which they were queued, unless a
 //!   conflict of another request in the same transaction has put them back.
 //! - All writes of a request go into the same transaction.
-//! - No two requests of a transaction write the same key, see [`batch`].
+//! - No two requests of a transaction write the same key, see `batch`.
 
 mod batch;
 mod limits;
@@ -121,7 +121,7 @@
             return None;
         }
         if !requests.try_take(now, 1.0, NO_RESERVE) {
-            self.cancel(batch);
+            self.put_back_batch(batch);
             return None;
         }
         self.stats.transactions += 1;
@@ -165,7 +165,7 @@
     /// Puts the requests of a transaction that is not sent back into the queue and refunds their
     /// tokens. Not expected to be needed, as [`WriteQueue::may_send`] has checked the limit of
     /// requests at the same time.
-    fn cancel(&mut self, batch: Batch<Owner>) {
+    fn put_back_batch(&mut self, batch: Batch<Owner>) {
         let group = batch.into_requests();
         for queued in &group {
             let request = &queued.request;
