--- a/crates/duty-lease/src/intent.rs
+++ b/crates/duty-lease/src/intent.rs
@@ -1,4 +1,7 @@
-//! Needs, the intents that meet them, and the orders that intents stand for.
+//! Scaling requests, the intents that satisfy them, and the orders that intents record.
+//!
+//! These are stored values: fields and variants are named as they are in the store. The
+//! fields `version` are the versions of keys and are not stored.
 
 use std::fmt;
 
@@ -14,30 +17,31 @@
     Rent {
         /// The type of the machines.
         machine_type: String,
-        /// Where they are to be.
+        /// The zone in which they are rented.
         zone: String,
-        /// Whether they may be taken back at any time.
+        /// Whether the provider may interrupt them at any time.
         spot: bool,
-        /// How many at most.
+        /// At most this number of machines.
         count: u32,
     },
     /// Delete machines.
     Delete {
         /// Their names.
         machines: Vec<String>,
-        /// Only if nothing is on record for them; else they are given up with all that is.
+        /// Only machines that no record places a task on. Otherwise the tasks on record are
+        /// lost with the machines.
         if_empty: bool,
     },
 }
 
-/// The name of an order, unique for ever: no other order ever has it, whoever sends it.
+/// The name of an order. It is never used again for another order, by any controller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct OrderId {
     /// The duty.
     pub duty: Duty,
     /// The token of the holder that recorded the intent.
     pub token: Token,
-    /// That holder's count of intents.
+    /// The number of the intent among that holder's, from 1.
     pub sequence: u64,
 }
 
@@ -47,13 +51,13 @@
     }
 }
 
-/// What the planning leader wants done. The leader decides what, the holder of the duty
-/// does it.
+/// What the planning leader wants done. The leader decides what is done, the holder of the
+/// duty does it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ScalingRequest {
-    /// Its name.
+    /// The name of the request.
     pub id: String,
-    /// What is to be done.
+    /// The order that satisfies it.
     pub order: Order,
     /// The version of its key.
     #[serde(skip)]
@@ -61,12 +65,12 @@
 }
 
 /// An order that was recorded before it was sent. While it is on record the order may
-/// have been sent, and may be on its way; it goes once nothing more is to be done.
+/// have been sent, and may be on its way; it is removed once nothing more is to be done.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Intent {
     /// The order's name.
     pub id: OrderId,
-    /// The need that it meets.
+    /// The name of the scaling request that it satisfies.
     pub request: String,
     /// The order.
     pub order: Order,
@@ -75,15 +79,15 @@
     pub version: u64,
 }
 
-/// What carrying out an order brought.
+/// The result of an order.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum OrderResult {
-    /// Machines were rented, perhaps fewer than asked for.
+    /// Machines were rented, possibly fewer than requested; their names.
     Rented(Vec<String>),
-    /// None of the kind is to be had.
+    /// The provider has no machine of the kind.
     NoCapacity,
-    /// The machines are gone.
+    /// The machines are deleted.
     Deleted,
     /// It was not carried out and never will be.
     Rejected,
