--- a/src/duties/query.rs
+++ b/src/duties/query.rs
@@ -1,4 +1,7 @@
 //! Reads the state of duties from the store, for the command line.
+//!
+//! The query runs outside any controller, with an event loop of its own and one call at a
+//! time, and ends within [`TIMEOUT`].
 
 use std::collections::HashSet;
 use std::io;
@@ -7,59 +10,71 @@
 
 use thiserror::Error;
 
-use super::records::DUTIES_PREFIX;
+use super::keys::DUTIES_PREFIX;
 use super::report::DutyReport;
 use crate::leadership_keys::{read_number, FORMAT_KEY};
-use crate::net::{ConnectionLimits, Event, EventLoop, Outcome};
+use crate::net::{status, ConnectionLimits, Event, EventLoop, Outcome};
 use crate::settings::Settings;
-use crate::wire::{self, KeyValue};
+use crate::wire::{self, KeyValue, Page};
 
 /// The whole query takes no longer.
 const TIMEOUT: Duration = Duration::from_secs(5);
 /// A key or a page of keys takes no longer.
-const CALL_TIMEOUT_MS: u64 = 2000;
+const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 /// Keys in a page.
 const PAGE_MAX: usize = 500;
 /// Sockets that the query may use.
 const SOCKETS: usize = 64;
-/// Largest answer: a page of the store has up to 512 KiB.
+/// Largest answer, in bytes: a page of the store has up to 512 KiB.
 const REPLY_MAX: usize = 1024 * 1024;
+/// The store's format if it has no key for it.
+const FORMAT_DEFAULT: u64 = 0;
 
-/// Why the state of duties can't be told.
+/// Why the state of duties can't be read.
 #[derive(Debug, Error)]
 pub enum QueryError {
-    /// No sockets.
+    /// Sockets can't be opened or polled.
     #[error("no sockets: {0}")]
     Sockets(#[from] io::Error),
     /// The store does not answer in time.
     #[error("the state service at {0} does not answer")]
     NoAnswer(SocketAddr),
-    /// It refuses to answer.
+    /// The store refuses the request.
     #[error("the state service at {address} refuses with status {status}")]
     Refused {
-        /// Its address.
+        /// The store's address.
         address: SocketAddr,
         /// The HTTP status.
         status: u16,
     },
-    /// Its answer can't be read, or its pages don't end.
+    /// The store's answer is malformed or too large, or its pages don't end.
     #[error("the answer of the state service at {0} can't be read")]
     Unreadable(SocketAddr),
 }
 
-/// Reads the state of all duties.
+/// Reads the state of all duties, within five seconds.
 ///
 /// # Errors
 ///
-/// If the store is out, slow, refuses, or answers what can't be read; within five
-/// seconds.
+/// [`QueryError`] if sockets can't be used, or if the store does not answer in time, refuses,
+/// or gives an answer that can't be read.
 pub fn read_report(settings: &Settings) -> Result<DutyReport, QueryError> {
     let mut query = Query::new(settings.endpoints.state)?;
-    let format = query.format()?;
-    let pairs = query.all_pairs()?;
-    let now = SystemTime::now().duration_since(UNIX_EPOCH);
-    let now_ms = now.map_or(0, |elapsed| elapsed.as_millis() as u64);
-    Ok(DutyReport::new(&pairs, format, now_ms))
+    let format = query.read_format()?;
+    let pairs = query.read_all_pairs()?;
+    Ok(DutyReport::new(&pairs, format, wall_clock_ms()))
+}
+
+/// The time of day in milliseconds.
+fn wall_clock_ms() -> u64 {
+    let elapsed = SystemTime::now().duration_since(UNIX_EPOCH);
+    elapsed.map_or(0, |elapsed| elapsed.as_millis() as u64)
+}
+
+/// An answer of the store.
+struct Answer {
+    status: u16,
+    body: Vec<u8>,
 }
 
 /// One call at a time to the store.
@@ -72,7 +87,7 @@
 
 impl Query {
     fn new(address: SocketAddr) -> io::Result<Query> {
-        // The event loop listens, too; nobody knows where.
+        // The event loop requires addresses to listen on; these are not published.
         let any_port = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
         let limits = ConnectionLimits {
             fd_limit: SOCKETS,
@@ -88,83 +103,88 @@
         })
     }
 
-    fn format(&mut self) -> Result<u64, QueryError> {
-        let (status, body) = self.get(&format!("/kv/{FORMAT_KEY}"))?;
-        match status {
-            404 => Ok(0),
-            200 => {
-                let pair = wire::decode::<KeyValue>(&body);
-                let format = pair.ok().and_then(|pair| read_number(&pair.value));
-                format.ok_or(QueryError::Unreadable(self.address))
-            }
-            _ => Err(self.refused(status)),
+    fn read_format(&mut self) -> Result<u64, QueryError> {
+        let answer = self.get(&format!("/kv/{FORMAT_KEY}"))?;
+        if answer.status == status::NOT_FOUND {
+            return Ok(FORMAT_DEFAULT);
         }
+        let body = self.expect_ok(answer)?;
+        let pair = wire::decode::<KeyValue>(&body);
+        let format = pair.ok().and_then(|pair| read_number(&pair.value));
+        format.ok_or(QueryError::Unreadable(self.address))
     }
 
-    fn all_pairs(&mut self) -> Result<Vec<KeyValue>, QueryError> {
+    fn read_all_pairs(&mut self) -> Result<Vec<KeyValue>, QueryError> {
         let mut pairs: Vec<KeyValue> = Vec::new();
         loop {
-            let last = pairs.last().map(|pair| pair.key.clone());
-            let from = last.as_ref().map(|key| format!("&from={key}"));
-            let from = from.unwrap_or_default();
-            let path = format!("/kv?under={DUTIES_PREFIX}{from}&most={PAGE_MAX}");
-            let (status, body) = self.get(&path)?;
-            if status != 200 {
-                return Err(self.refused(status));
-            }
-            let page = wire::decode::<wire::Page>(&body);
-            let page = page.map_err(|_| QueryError::Unreadable(self.address))?;
-            let goes_on = page
-                .pairs
-                .last()
-                .is_some_and(|p| Some(&p.key) > last.as_ref());
-            if page.truncated && !goes_on {
+            let last_key = pairs.last().map(|pair| pair.key.as_str());
+            let page = self.read_page(last_key)?;
+            let page_last_key = page.pairs.last().map(|pair| pair.key.as_str());
+            let makes_progress = page_last_key > last_key;
+            if page.truncated && !makes_progress {
                 return Err(QueryError::Unreadable(self.address));
             }
+            let is_last = !page.truncated;
             pairs.extend(page.pairs);
-            if !page.truncated {
+            if is_last {
                 return Ok(pairs);
             }
         }
     }
 
-    fn refused(&self, status: u16) -> QueryError {
-        QueryError::Refused {
-            address: self.address,
-            status,
+    /// Reads the page of keys after `last_key`, or the first one.
+    fn read_page(&mut self, last_key: Option<&str>) -> Result<Page, QueryError> {
+        let from = last_key.map_or(String::new(), |key| format!("&from={key}"));
+        let path = format!("/kv?under={DUTIES_PREFIX}{from}&most={PAGE_MAX}");
+        let answer = self.get(&path)?;
+        let body = self.expect_ok(answer)?;
+        wire::decode(&body).map_err(|_| QueryError::Unreadable(self.address))
+    }
+
+    fn expect_ok(&self, answer: Answer) -> Result<Vec<u8>, QueryError> {
+        if answer.status == status::OK {
+            return Ok(answer.body);
         }
+        Err(QueryError::Refused {
+            address: self.address,
+            status: answer.status,
+        })
     }
 
-    fn get(&mut self, path: &str) -> Result<(u16, Vec<u8>), QueryError> {
+    /// Sends a GET request and waits for its answer.
+    fn get(&mut self, path: &str) -> Result<Answer, QueryError> {
         self.last_tag += 1;
-        let timeout = Duration::from_millis(CALL_TIMEOUT_MS);
         let (tag, address) = (self.last_tag, self.address);
         self.event_loop
-            .call(tag, address, "GET", path, &[], timeout);
+            .call(tag, address, "GET", path, &[], CALL_TIMEOUT);
         loop {
             let left = self.deadline.saturating_duration_since(Instant::now());
             if left.is_zero() {
                 return Err(QueryError::NoAnswer(address));
             }
-            for event in self.event_loop.turn(left.min(timeout))? {
-                match event {
-                    Event::Reply {
-                        tag: answered,
-                        outcome,
-                    } if answered == tag => {
-                        return self.answer(outcome);
-                    }
-                    _ => {}
-                }
+            let events = self.event_loop.turn(left.min(CALL_TIMEOUT))?;
+            let mut outcomes = events
+                .into_iter()
+                .filter_map(|event| outcome_of(event, tag));
+            if let Some(outcome) = outcomes.next() {
+                return self.answer(outcome);
             }
         }
     }
 
-    fn answer(&self, outcome: Outcome) -> Result<(u16, Vec<u8>), QueryError> {
+    fn answer(&self, outcome: Outcome) -> Result<Answer, QueryError> {
         match outcome {
-            Outcome::Answer { status, body } => Ok((status, body)),
+            Outcome::Answer { status, body } => Ok(Answer { status, body }),
             Outcome::TooLarge => Err(QueryError::Unreadable(self.address)),
             Outcome::NoAnswer | Outcome::NotSent => Err(QueryError::NoAnswer(self.address)),
         }
     }
 }
+
+/// The outcome of the call with this tag, if the event is its reply.
+fn outcome_of(event: Event, call_tag: u64) -> Option<Outcome> {
+    match event {
+        Event::Reply { tag, outcome } if tag == call_tag => Some(outcome),
+        _ => None,
+    }
+}
--- a/src/duties/report.rs
+++ b/src/duties/report.rs
@@ -1,16 +1,21 @@
-//! What operators are shown of duties.
+//! The state of duties as operators see it, as text and as JSON.
+//!
+//! Field names and texts are the output of the command line: they stay as they are.
 
-use std::fmt::{self, Display, Write};
+use std::fmt::{self, Display};
 
 use duty_lease::{Duty, Order, Token};
+use serde::de::DeserializeOwned;
 use serde::Serialize;
 
-use super::records::{
-    holder_key, refusal_key, token_key, DutyRecords, OrderPhase, OrderRecord, RefusalRecord,
-    StoredHolder, DUTIES_FORMAT,
-};
+use super::keys::{holder_key, refusal_key, token_key, OrderKey, DUTIES_FORMAT};
+use super::records::{DutyRecords, OrderPhase, OrderRecord, RefusalRecord, StoredHolder};
 use crate::wire::KeyValue;
 
+const MS_PER_S: f64 = 1000.0;
+/// In the text, a value that there is not.
+const NONE: &str = "-";
+
 /// The state of all duties, as of one read of the store.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct DutyReport {
@@ -18,7 +23,7 @@
     pub active: bool,
     /// All duties.
     pub duties: Vec<DutyStatus>,
-    /// Orders that are open or whose result was not taken in yet.
+    /// Orders that are open, or whose result the leader has not processed yet.
     pub orders: Vec<OrderStatus>,
     /// Keys that can't be read.
     pub unreadable: Vec<String>,
@@ -31,7 +36,7 @@
     pub duty: &'static str,
     /// The controller that holds it.
     pub holder: Option<String>,
-    /// The last token that was given out; 0 for none.
+    /// The last token that was issued; 0 for none.
     pub token: Token,
     /// For how long it has been held, in seconds, by the times of day of both sides.
     pub held_s: Option<f64>,
@@ -44,7 +49,7 @@
 pub struct OrderStatus {
     /// The duty.
     pub duty: &'static str,
-    /// The name of the need.
+    /// The name of the scaling request.
     pub need: String,
     /// `needed`, `recorded` or `completed`.
     pub phase: &'static str,
@@ -52,54 +57,70 @@
     pub order: Option<String>,
     /// What is to be done.
     pub what: String,
-    /// Since when it has been needed, in seconds, by the times of day of both sides.
+    /// For how long it has been requested, in seconds, by the times of day of both sides.
     pub age_s: f64,
 }
 
 impl DutyReport {
-    /// From all keys below [`super::DUTIES_PREFIX`] and the format. `now_ms` is the time of
-    /// day.
+    /// Builds the report from all keys below [`super::DUTIES_PREFIX`] and the store's
+    /// format. `now_ms` is the time of day.
     pub fn new(pairs: &[KeyValue], format: u64, now_ms: u64) -> DutyReport {
         let mut records = DutyRecords::default();
         for pair in pairs {
             records.apply_set(&pair.key, &pair.value, pair.version);
         }
+        let duties = Duty::ALL.map(|duty| DutyStatus::new(duty, pairs, now_ms));
         let orders = records.orders();
-        let orders = orders.map(|(key, record, _)| OrderStatus {
-            duty: key.duty.name(),
-            need: key.request.clone(),
-            phase: phase_name(&record.phase),
-            order: match record.phase {
-                OrderPhase::Recorded(id) => Some(id.to_string()),
-                _ => None,
-            },
-            what: describe(record),
-            age_s: age_s(record.since_ms, now_ms),
-        });
         DutyReport {
             active: format >= DUTIES_FORMAT,
-            duties: Duty::ALL.map(|duty| status(duty, pairs, now_ms)).to_vec(),
-            orders: orders.collect(),
+            duties: duties.to_vec(),
+            orders: orders
+                .map(|(key, record, _)| OrderStatus::new(key, record, now_ms))
+                .collect(),
             unreadable: records.unreadable().map(str::to_string).collect(),
         }
     }
 }
 
-fn status(duty: Duty, pairs: &[KeyValue], now_ms: u64) -> DutyStatus {
-    let value = |key: String| pairs.iter().find(|pair| pair.key == key).map(|p| &p.value);
-    let holder = value(holder_key(duty)).and_then(|v| v.deserialized::<StoredHolder>().ok());
-    let token = value(token_key(duty)).and_then(|v| v.deserialized::<Token>().ok());
-    DutyStatus {
-        duty: duty.name(),
-        held_s: holder.as_ref().map(|h| age_s(h.since_ms, now_ms)),
-        holder: holder.map(|h| h.holder.member),
-        token: token.unwrap_or(0),
-        last_refusal: value(refusal_key(duty)).and_then(|v| v.deserialized().ok()),
+impl DutyStatus {
+    fn new(duty: Duty, pairs: &[KeyValue], now_ms: u64) -> DutyStatus {
+        let holder: Option<StoredHolder> = read_value(pairs, &holder_key(duty));
+        let token: Option<Token> = read_value(pairs, &token_key(duty));
+        DutyStatus {
+            duty: duty.name(),
+            held_s: holder.as_ref().map(|stored| age_s(stored.since_ms, now_ms)),
+            holder: holder.map(|stored| stored.holder.member),
+            token: token.unwrap_or(0),
+            last_refusal: read_value(pairs, &refusal_key(duty)),
+        }
+    }
+}
+
+impl OrderStatus {
+    fn new(key: &OrderKey, record: &OrderRecord, now_ms: u64) -> OrderStatus {
+        let order = match record.phase {
+            OrderPhase::Recorded(id) => Some(id.to_string()),
+            OrderPhase::Needed | OrderPhase::Completed(_) => None,
+        };
+        OrderStatus {
+            duty: key.duty.name(),
+            need: key.request.clone(),
+            phase: phase_name(&record.phase),
+            order,
+            what: describe(&record.order),
+            age_s: age_s(record.since_ms, now_ms),
+        }
     }
 }
 
+/// The value of a key; `None` if there is no such key, or it can't be read.
+fn read_value<T: DeserializeOwned>(pairs: &[KeyValue], key: &str) -> Option<T> {
+    let pair = pairs.iter().find(|pair| pair.key == key)?;
+    pair.value.deserialized().ok()
+}
+
 fn age_s(since_ms: u64, now_ms: u64) -> f64 {
-    now_ms.saturating_sub(since_ms) as f64 / 1000.0
+    now_ms.saturating_sub(since_ms) as f64 / MS_PER_S
 }
 
 fn phase_name(phase: &OrderPhase) -> &'static str {
@@ -110,8 +131,8 @@
     }
 }
 
-fn describe(record: &OrderRecord) -> String {
-    match &record.order {
+fn describe(order: &Order) -> String {
+    match order {
         Order::Rent {
             machine_type,
             zone,
@@ -133,42 +154,72 @@
                 "duties are with the leader: not every controller holds any"
             )?;
         }
-        writeln!(
-            f,
-            "{:14} {:16} {:>6} {:>9}  last refusal",
-            "duty", "holder", "token", "held"
-        )?;
-        for duty in &self.duties {
-            let holder = duty.holder.as_deref().unwrap_or("-");
-            let held = duty.held_s.map_or("-".into(), |s| format!("{s:.1} s"));
-            let refusal = duty.last_refusal.as_ref();
-            let refusal = refusal.map_or("-".into(), |r| {
-                format!("{} of {} under token {}", r.order, r.member, r.token)
-            });
-            let (name, token) = (duty.duty, duty.token);
-            writeln!(f, "{name:14} {holder:16} {token:>6} {held:>9}  {refusal}")?;
-        }
-        let mut lines = String::new();
-        for order in &self.orders {
-            let name = order.order.as_deref().unwrap_or("-");
-            let age = format!("{:.1} s", order.age_s);
-            writeln!(
-                lines,
-                "{:14} {:20} {:10} {:16} {:>9}  {}",
-                order.duty, order.need, order.phase, name, age, order.what
-            )?;
-        }
-        if !lines.is_empty() {
-            writeln!(
-                f,
-                "\n{:14} {:20} {:10} {:16} {:>9}  what",
-                "duty", "need", "phase", "order", "age"
-            )?;
-            f.write_str(&lines)?;
-        }
+        write_duties(f, &self.duties)?;
+        write_orders(f, &self.orders)?;
         for key in &self.unreadable {
             writeln!(f, "can't be read, and is kept: {key}")?;
         }
         Ok(())
     }
 }
+
+fn write_duties(f: &mut fmt::Formatter<'_>, duties: &[DutyStatus]) -> fmt::Result {
+    writeln!(
+        f,
+        "{:14} {:16} {:>6} {:>9}  last refusal",
+        "duty", "holder", "token", "held"
+    )?;
+    duties.iter().try_for_each(|duty| writeln!(f, "{duty}"))
+}
+
+/// Nothing if there are no orders.
+fn write_orders(f: &mut fmt::Formatter<'_>, orders: &[OrderStatus]) -> fmt::Result {
+    if orders.is_empty() {
+        return Ok(());
+    }
+    writeln!(
+        f,
+        "\n{:14} {:20} {:10} {:16} {:>9}  what",
+        "duty", "need", "phase", "order", "age"
+    )?;
+    orders.iter().try_for_each(|order| writeln!(f, "{order}"))
+}
+
+/// A line of the report.
+impl Display for DutyStatus {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        let holder = self.holder.as_deref().unwrap_or(NONE);
+        let held = self.held_s.map_or(NONE.to_string(), format_seconds);
+        let refusal = self.last_refusal.as_ref();
+        let refusal = refusal.map_or(NONE.to_string(), format_refusal);
+        let (duty, token) = (self.duty, self.token);
+        write!(f, "{duty:14} {holder:16} {token:>6} {held:>9}  {refusal}")
+    }
+}
+
+/// A line of the report.
+impl Display for OrderStatus {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        let name = self.order.as_deref().unwrap_or(NONE);
+        let age = format_seconds(self.age_s);
+        write!(
+            f,
+            "{:14} {:20} {:10} {:16} {:>9}  {}",
+            self.duty, self.need, self.phase, name, age, self.what
+        )
+    }
+}
+
+fn format_seconds(seconds: f64) -> String {
+    format!("{seconds:.1} s")
+}
+
+fn format_refusal(refusal: &RefusalRecord) -> String {
+    let RefusalRecord {
+        member,
+        token,
+        order,
+        ..
+    } = refusal;
+    format!("{order} of {member} under token {token}")
+}
