--- a/crates/duty-lease/examples/measure.rs
+++ b/crates/duty-lease/examples/measure.rs
@@ -1,5 +1,5 @@
-//! How long a duty has no effective holder after a crash, a pause and an orderly handover,
-//! as ratios to the lease's life, and what a duty asks of the store.
+//! How long a duty has no effective holder after a crash, a pause and an orderly handover, as
+//! ratios to the lease's time to live, and how many requests a duty sends to the store.
 //!
 //! `cargo run --release -p duty-lease --example measure`
 
@@ -9,17 +9,21 @@
 mod checker;
 #[path = "../tests/simulation/provider.rs"]
 mod provider;
-#[path = "../tests/simulation/store.rs"]
+#[path = "../tests/simulation/store/mod.rs"]
 mod store;
-#[path = "../tests/simulation/world.rs"]
+#[path = "../tests/simulation/world/mod.rs"]
 mod world;
 
 use duty_lease::Duty;
 use hdrhistogram::Histogram;
 use provider::Fence;
-use world::{World, TTL_MS};
+use world::{Scaling, SentMessages, World, TTL_MS};
 
 const RUNS: u64 = 300;
+/// A run without another holder ends after this time.
+const TAKEOVER_MAX_MS: u64 = 5 * TTL_MS;
+/// The duties of the simulated world.
+const DUTIES: f64 = 3.0;
 
 /// What ends a holder's time.
 #[derive(Debug, Clone, Copy)]
@@ -32,52 +36,57 @@
 fn main() {
     println!("{RUNS} runs each, a lease of {TTL_MS} ms, three controllers, one simulated clock");
     for cause in [Cause::Crash, Cause::Pause, Cause::Handover] {
-        let times = measure(cause);
-        let ratio = |quantile: f64| times.value_at_quantile(quantile) as f64 / TTL_MS as f64;
+        let times = measure_takeovers(cause);
+        let ratio = |time_ms: u64| time_ms as f64 / TTL_MS as f64;
         println!(
             "{cause:?}: without an effective holder for {:.2} lives (median), {:.2} (90%), {:.2} (longest)",
-            ratio(0.5),
-            ratio(0.9),
-            times.max() as f64 / TTL_MS as f64
+            ratio(times.value_at_quantile(0.5)),
+            ratio(times.value_at_quantile(0.9)),
+            ratio(times.max())
         );
     }
-    requests();
+    let per_ttl = measure_requests();
+    println!("a duty at rest: {per_ttl:.1} requests to the state service in a lease's life, of three controllers");
 }
 
-fn measure(cause: Cause) -> Histogram<u64> {
+/// The times in milliseconds until another controller is the effective holder.
+fn measure_takeovers(cause: Cause) -> Histogram<u64> {
     let mut times = Histogram::new_with_bounds(1, 10 * TTL_MS, 3).expect("valid bounds");
     for seed in 0..RUNS {
         let mut world = World::new(seed, Fence::Token);
         world.run(2 * TTL_MS + 11 * seed);
-        let Some(holder) = world.effective_holder(Duty::Rent) else {
-            continue;
-        };
-        let began_at = world.now;
-        match cause {
-            Cause::Crash => world.crash(holder),
-            Cause::Pause => world.pause(holder, 5 * TTL_MS, true),
-            Cause::Handover => world.set_candidate(holder, Duty::Rent, false),
-        }
-        let another = |world: &mut World| {
-            let effective = world.effective_holders(Duty::Rent);
-            effective.into_iter().any(|index| index != holder)
-        };
-        while !another(&mut world) && world.now < began_at + 5 * TTL_MS {
-            world.run(20);
+        if let Some(holder) = world.effective_holder(Duty::Rent) {
+            times.saturating_record(takeover_ms(&mut world, holder, cause));
         }
-        times.saturating_record(world.now - began_at);
     }
     times
 }
 
-fn requests() {
+fn takeover_ms(world: &mut World, holder: usize, cause: Cause) -> u64 {
+    let began_at = world.now;
+    match cause {
+        Cause::Crash => world.crash(holder),
+        Cause::Pause => world.pause(holder, 5 * TTL_MS, SentMessages::HeldUp),
+        Cause::Handover => world.set_candidate(holder, Duty::Rent, false),
+    }
+    let is_taken_over = |world: &mut World| {
+        let effective = world.effective_holders(Duty::Rent);
+        effective.into_iter().any(|index| index != holder)
+    };
+    while !is_taken_over(world) && world.now < began_at + TAKEOVER_MAX_MS {
+        world.run(20);
+    }
+    world.now - began_at
+}
+
+/// How many requests all controllers send for a duty at rest in a time to live.
+fn measure_requests() -> f64 {
     let mut world = World::new(1, Fence::Token);
-    world.planning = false;
+    world.scaling = Scaling::Stopped;
     world.run(4 * TTL_MS);
     let before = world.lease_requests;
     let spent_ms = 100 * TTL_MS;
     world.run(spent_ms);
-    let duties = 3.0;
-    let per_ttl = (world.lease_requests - before) as f64 / (spent_ms / TTL_MS) as f64 / duties;
-    println!("a duty at rest: {per_ttl:.1} requests to the state service in a lease's life, of three controllers");
+    let requests = (world.lease_requests - before) as f64;
+    requests / (spent_ms / TTL_MS) as f64 / DUTIES
 }
--- a/crates/duty-lease/tests/model.rs
+++ b/crates/duty-lease/tests/model.rs
@@ -1,115 +1,78 @@
-//! The lease protocol at small size, explored exhaustively: two controllers and a state
-//! service, in steps of a tenth of a lease's life, with every choice of where up to a few
-//! pauses, lost answers and late requests fall.
+//! The lease protocol at small size, explored exhaustively: two controllers and the store, in
+//! steps of a tenth of a time to live, with every choice of where a few pauses, lost answers
+//! and late requests fall.
+
+#[allow(dead_code)]
+#[path = "simulation/store/mod.rs"]
+mod store;
 
 use std::collections::{HashSet, VecDeque};
 
-use duty_lease::{DutyLease, HolderKey, LeaseRequest, LeaseResponse, LeaseTiming, LeaseView};
+use duty_lease::{Duty, DutyLease, LeaseRequest, LeaseTiming};
+use store::Store;
 
 const TTL_MS: u64 = 1000;
 const STEP_MS: u64 = 100;
+/// How many steps are explored.
 const HORIZON: u64 = 26;
+/// How many troubles there may be in a run.
 const TROUBLES: u8 = 2;
-
-/// How many steps late a request arrives.
+/// How many steps late a delayed request arrives.
 const LATE_STEPS: u64 = 8;
-
-#[derive(Debug, Clone, Default)]
-struct Service {
-    holder: Option<(HolderKey, u64, u64)>,
-    token: u64,
-    revision: u64,
-    /// Grants with their ends.
-    grants: Vec<(u64, u64)>,
-}
-
-#[derive(Debug, Clone)]
-struct Model {
-    step: u64,
-    troubles_left: u8,
-    service: Service,
-    leases: [DutyLease; 2],
-    /// Steps that a controller still stands still.
-    paused: [u64; 2],
-    /// Requests on their way: the step in which they arrive, who sent them, and whether
-    /// their answer is lost.
-    on_the_way: Vec<(u64, usize, u64, LeaseRequest, bool)>,
-}
+/// How many steps a paused controller stands still: longer than its lease.
+const PAUSE_STEPS: u64 = TTL_MS / STEP_MS + 2;
+const CONTROLLERS: usize = 2;
+const DUTY: Duty = Duty::Rent;
 
 /// What the adversary does to one controller's step.
-#[derive(Debug, Clone, Copy)]
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Choice {
     Nothing,
     /// It stands still for longer than its lease.
     Pause,
     /// Its request is carried out and the answer lost.
     LoseAnswer,
-    /// Its request arrives late.
+    /// Its request arrives late, and the answer is lost.
     Delay,
 }
 
-impl Service {
-    fn expire(&mut self, now: u64) {
-        self.grants.retain(|(_, end)| now < *end);
-        let lives = |grant: u64| self.grants.iter().any(|(id, _)| *id == grant);
-        if self.holder.as_ref().is_some_and(|h| !lives(h.2)) {
-            self.holder = None;
-        }
-    }
+impl Choice {
+    const ALL: [Choice; 4] = [
+        Choice::Nothing,
+        Choice::Pause,
+        Choice::LoseAnswer,
+        Choice::Delay,
+    ];
 
-    fn handle(&mut self, request: &LeaseRequest, now: u64) -> LeaseResponse {
-        self.expire(now);
-        match request {
-            LeaseRequest::Read => LeaseResponse::View(LeaseView {
-                holder: self.holder.as_ref().map(|h| h.0.clone()),
-                holder_version: self.holder.as_ref().map_or(0, |h| h.1),
-                token: self.token,
-                token_version: self.token,
-            }),
-            LeaseRequest::CreateGrant { ttl_ms } => {
-                self.revision += 1;
-                self.grants.push((self.revision, now + ttl_ms));
-                LeaseResponse::Granted(self.revision)
-            }
-            LeaseRequest::Renew { grant } => {
-                match self.grants.iter_mut().find(|(id, _)| id == grant) {
-                    Some(found) => {
-                        found.1 = now + TTL_MS;
-                        LeaseResponse::Renewed
-                    }
-                    None => LeaseResponse::GrantEnded,
-                }
-            }
-            LeaseRequest::Release { grant } => {
-                self.grants.retain(|(id, _)| id != grant);
-                self.expire(now);
-                LeaseResponse::Released
-            }
-            LeaseRequest::Acquire {
-                grant,
-                holder,
-                holder_version,
-                token_version,
-            } => {
-                let version = self.holder.as_ref().map_or(0, |h| h.1);
-                if version != *holder_version || self.token != *token_version {
-                    return LeaseResponse::Conflict;
-                }
-                if !self.grants.iter().any(|(id, _)| id == grant) {
-                    return LeaseResponse::Refused;
-                }
-                assert!(holder.token > self.token, "a token is given out once");
-                self.revision += 1;
-                self.token = holder.token;
-                self.holder = Some((holder.clone(), self.revision, *grant));
-                LeaseResponse::Acquired {
-                    version: self.revision,
-                }
-            }
-        }
+    /// Whether the choice means anything only if a request is sent.
+    fn requires_request(self) -> bool {
+        matches!(self, Choice::LoseAnswer | Choice::Delay)
     }
 }
 
+/// A request on its way to the store.
+#[derive(Debug, Clone)]
+struct Message {
+    /// The step in which it arrives.
+    arrives_at: u64,
+    /// The controller that sent it.
+    from: usize,
+    id: u64,
+    request: LeaseRequest,
+    is_answer_lost: bool,
+}
+
+#[derive(Debug, Clone)]
+struct Model {
+    step: u64,
+    troubles_left: u8,
+    store: Store,
+    leases: [DutyLease; CONTROLLERS],
+    /// For how many more steps each controller stands still.
+    paused: [u64; CONTROLLERS],
+    messages: Vec<Message>,
+}
+
 impl Model {
     fn new() -> Model {
         let timing = LeaseTiming {
@@ -120,10 +83,10 @@
         Model {
             step: 1,
             troubles_left: TROUBLES,
-            service: Service::default(),
+            store: Store::default(),
             leases: ["a", "b"].map(|name| DutyLease::new(name, timing)),
-            paused: [0; 2],
-            on_the_way: vec![],
+            paused: [0; CONTROLLERS],
+            messages: vec![],
         }
     }
 
@@ -131,49 +94,65 @@
         self.step * STEP_MS
     }
 
-    /// One step with these choices; tells whether they meant anything.
-    fn next(&self, choices: [Choice; 2]) -> Option<Model> {
+    /// The state after one step with these choices; `None` if one of them means nothing, or
+    /// too many troubles were chosen.
+    fn next(&self, choices: [Choice; CONTROLLERS]) -> Option<Model> {
         let mut model = self.clone();
         model.step += 1;
-        let now = model.now();
         for (index, choice) in choices.into_iter().enumerate() {
-            if !matches!(choice, Choice::Nothing) {
+            if choice != Choice::Nothing {
                 model.troubles_left = model.troubles_left.checked_sub(1)?;
             }
-            if matches!(choice, Choice::Pause) && model.paused[index] == 0 {
-                model.paused[index] = TTL_MS / STEP_MS + 2;
-            }
-            if model.paused[index] > 0 {
-                model.paused[index] -= 1;
-                continue;
-            }
-            let sent = model.leases[index].tick(now);
-            let Some((id, request)) = sent else {
-                // There was nothing to lose or to delay.
-                match choice {
-                    Choice::LoseAnswer | Choice::Delay => return None,
-                    _ => continue,
-                }
-            };
-            let late = matches!(choice, Choice::Delay);
-            let arrives = model.step + if late { LATE_STEPS } else { 0 };
-            let lost = late || matches!(choice, Choice::LoseAnswer);
-            model.on_the_way.push((arrives, index, id, request, lost));
+            model.step_controller(index, choice)?;
         }
         model.deliver();
         Some(model)
     }
 
+    fn step_controller(&mut self, index: usize, choice: Choice) -> Option<()> {
+        if choice == Choice::Pause && self.paused[index] == 0 {
+            self.paused[index] = PAUSE_STEPS;
+        }
+        if self.paused[index] > 0 {
+            self.paused[index] -= 1;
+            return Some(());
+        }
+        let now = self.now();
+        match self.leases[index].tick(now) {
+            Some((id, request)) => {
+                self.send(index, id, request, choice);
+                Some(())
+            }
+            None => (!choice.requires_request()).then_some(()),
+        }
+    }
+
+    fn send(&mut self, from: usize, id: u64, request: LeaseRequest, choice: Choice) {
+        let late_steps = if choice == Choice::Delay {
+            LATE_STEPS
+        } else {
+            0
+        };
+        self.messages.push(Message {
+            arrives_at: self.step + late_steps,
+            from,
+            id,
+            request,
+            is_answer_lost: choice.requires_request(),
+        });
+    }
+
     fn deliver(&mut self) {
         let now = self.now();
-        let (due, later): (Vec<_>, Vec<_>) = std::mem::take(&mut self.on_the_way)
+        let (due, later): (Vec<Message>, Vec<Message>) = std::mem::take(&mut self.messages)
             .into_iter()
-            .partition(|message| message.0 <= self.step);
-        self.on_the_way = later;
-        for (_, index, id, request, lost) in due {
-            let response = self.service.handle(&request, now);
-            if !lost && self.paused[index] == 0 {
-                self.leases[index].on_response(id, response, now);
+            .partition(|message| message.arrives_at <= self.step);
+        self.messages = later;
+        for message in due {
+            self.store.expire(now);
+            let response = self.store.handle_lease_request(DUTY, message.request, now);
+            if !message.is_answer_lost && self.paused[message.from] == 0 {
+                self.leases[message.from].on_response(message.id, response, now);
             }
         }
         for lease in &mut self.leases {
@@ -181,49 +160,48 @@
         }
     }
 
-    /// Controllers that could give an order now. One that stands still gives none; those
-    /// on their way are the provider's matter.
-    fn effective(&self) -> Vec<usize> {
+    /// Controllers that could give an order now. One that stands still gives none; its orders
+    /// on their way are the provider's responsibility.
+    fn effective_holders(&self) -> Vec<usize> {
         let now = self.now();
         let may_send_orders = |index: &usize| {
             let mut lease = self.leases[*index].clone();
             self.paused[*index] == 0 && lease.order_token(now).is_some()
         };
-        (0..2).filter(may_send_orders).collect()
+        (0..CONTROLLERS).filter(may_send_orders).collect()
+    }
+
+    /// All states after one more step.
+    fn successors(&self) -> impl Iterator<Item = Model> + use<'_> {
+        let pairs = Choice::ALL
+            .into_iter()
+            .flat_map(|first| Choice::ALL.map(|second| [first, second]));
+        pairs.filter_map(|choices| self.next(choices))
     }
 }
 
 #[test]
 fn there_are_never_two_effective_holders() {
-    let all = [
-        Choice::Nothing,
-        Choice::Pause,
-        Choice::LoseAnswer,
-        Choice::Delay,
-    ];
     let mut seen: HashSet<String> = HashSet::new();
     let mut queue = VecDeque::from([Model::new()]);
     let mut states = 0;
-    let mut held_by = [false; 2];
+    let mut has_held = [false; CONTROLLERS];
     while let Some(model) = queue.pop_front() {
-        let effective = model.effective();
+        let effective = model.effective_holders();
         assert!(effective.len() < 2, "{model:#?}");
-        effective.iter().for_each(|index| held_by[*index] = true);
+        for index in effective {
+            has_held[index] = true;
+        }
         states += 1;
         if model.step >= HORIZON {
             continue;
         }
-        for first in all {
-            for second in all {
-                let Some(next) = model.next([first, second]) else {
-                    continue;
-                };
-                if seen.insert(format!("{next:?}")) {
-                    queue.push_back(next);
-                }
+        for next in model.successors() {
+            if seen.insert(format!("{next:?}")) {
+                queue.push_back(next);
             }
         }
     }
     assert!(states > 2000, "{states}");
-    assert_eq!(held_by, [true, true], "both were holders in some run");
+    assert_eq!(has_held, [true, true], "both were holders in some run");
 }
--- a/crates/duty-lease/tests/simulation/checker.rs
+++ b/crates/duty-lease/tests/simulation/checker.rs
@@ -1,6 +1,7 @@
-//! Checks a history on its own: it knows what happened, and nothing of the code.
+//! Checks a history by itself: it knows what happened, and nothing of the code under test.
 
 use std::collections::{BTreeMap, BTreeSet};
+use std::ops::AddAssign;
 
 use duty_lease::{Duty, Token};
 
@@ -12,7 +13,7 @@
         controller: usize,
         token: Token,
     },
-    /// The provider got an order.
+    /// The provider received an order.
     Order {
         duty: Duty,
         token: Token,
@@ -28,9 +29,25 @@
     TaskEnded(String),
 }
 
+#[derive(Debug)]
+struct TimedEvent {
+    at: u64,
+    event: Event,
+}
+
 #[derive(Debug, Default)]
 pub struct History {
-    events: Vec<(u64, Event)>,
+    events: Vec<TimedEvent>,
+}
+
+/// The rules that hold in a world beside those that always do.
+#[derive(Debug, Clone, Copy)]
+pub struct Rules {
+    /// The provider refuses lower tokens.
+    pub tokens_refused: bool,
+    /// All clocks keep within the drift that is allowed: there are never two effective
+    /// holders.
+    pub clocks_sound: bool,
 }
 
 /// What a history shows beside broken rules.
@@ -43,69 +60,132 @@
     pub deletions: usize,
 }
 
+impl AddAssign for Summary {
+    fn add_assign(&mut self, other: Summary) {
+        self.orders += other.orders;
+        self.refused += other.refused;
+        self.changes_of_hands += other.changes_of_hands;
+        self.tasks += other.tasks;
+        self.deletions += other.deletions;
+    }
+}
+
+/// The result of a check.
+#[derive(Debug, Default)]
+pub struct Verdict {
+    pub broken: Vec<String>,
+    pub summary: Summary,
+}
+
 impl History {
     pub fn add(&mut self, at: u64, event: Event) {
-        self.events.push((at, event));
+        self.events.push(TimedEvent { at, event });
     }
 
-    /// Broken rules. `tokens_refused`: the provider refuses lower tokens.
-    /// `clocks_sound`: all clocks keep to the drift that is allowed.
-    pub fn check(&self, tokens_refused: bool, clocks_sound: bool) -> (Vec<String>, Summary) {
-        let mut broken = Vec::new();
-        let mut summary = Summary::default();
-        let mut owner: BTreeMap<(Duty, Token), usize> = BTreeMap::new();
-        let mut effective: BTreeMap<Duty, (u64, usize)> = BTreeMap::new();
-        let mut highest: BTreeMap<Duty, Token> = BTreeMap::new();
-        let mut tasks: BTreeSet<&String> = BTreeSet::new();
-        for (at, event) in &self.events {
-            match event {
-                Event::MayOrder {
-                    duty,
-                    controller,
-                    token,
-                } => {
-                    let first = *owner.entry((*duty, *token)).or_insert_with(|| {
-                        summary.changes_of_hands += 1;
-                        *controller
-                    });
-                    if first != *controller {
-                        broken.push(format!("{at}: token {token} of {duty:?} given out twice"));
-                    }
-                    let last = effective.insert(*duty, (*at, *controller));
-                    let both = last.is_some_and(|(t, c)| t == *at && c != *controller);
-                    if both && clocks_sound {
-                        broken.push(format!("{at}: two effective holders of {duty:?}"));
-                    }
-                }
-                Event::Order {
-                    duty,
-                    token,
-                    refused,
-                } => {
-                    summary.orders += 1;
-                    summary.refused += usize::from(*refused);
-                    let highest = highest.entry(*duty).or_insert(0);
-                    if *token < *highest && !refused && tokens_refused {
-                        broken.push(format!("{at}: an order of a fenced holder of {duty:?}"));
-                    }
-                    *highest = (*highest).max(*token);
-                }
-                Event::NameReused(name) => broken.push(format!("{at}: {name} was used twice")),
-                Event::Deleted(machine) => {
-                    summary.deletions += 1;
-                    if tasks.contains(machine) {
-                        broken.push(format!("{at}: {machine} was deleted with a task on it"));
-                    }
-                }
-                Event::TaskPlaced(machine) => {
-                    summary.tasks += 1;
-                    tasks.insert(machine);
-                }
-                Event::TaskEnded(machine) => {
-                    tasks.remove(machine);
-                }
+    pub fn check(&self, rules: Rules) -> Verdict {
+        let mut checker = Checker::new(rules);
+        for TimedEvent { at, event } in &self.events {
+            checker.check(*at, event);
+        }
+        checker.verdict
+    }
+}
+
+/// The last moment in which a controller could have given an order.
+#[derive(Debug, Clone, Copy)]
+struct Effective {
+    at: u64,
+    controller: usize,
+}
+
+/// What the events so far imply for the next.
+struct Checker<'a> {
+    rules: Rules,
+    verdict: Verdict,
+    owners: BTreeMap<(Duty, Token), usize>,
+    effective: BTreeMap<Duty, Effective>,
+    highest_tokens: BTreeMap<Duty, Token>,
+    /// Machines with a task.
+    tasks: BTreeSet<&'a str>,
+}
+
+impl<'a> Checker<'a> {
+    fn new(rules: Rules) -> Checker<'a> {
+        Checker {
+            rules,
+            verdict: Verdict::default(),
+            owners: BTreeMap::new(),
+            effective: BTreeMap::new(),
+            highest_tokens: BTreeMap::new(),
+            tasks: BTreeSet::new(),
+        }
+    }
+
+    fn check(&mut self, at: u64, event: &'a Event) {
+        match event {
+            Event::MayOrder {
+                duty,
+                controller,
+                token,
+            } => {
+                self.check_token_owner(at, *duty, *token, *controller);
+                self.check_single_holder(at, *duty, *controller);
+            }
+            Event::Order {
+                duty,
+                token,
+                refused,
+            } => self.check_order(at, *duty, *token, *refused),
+            Event::NameReused(name) => self.report(format!("{at}: {name} was used twice")),
+            Event::Deleted(machine) => self.check_deletion(at, machine),
+            Event::TaskPlaced(machine) => {
+                self.verdict.summary.tasks += 1;
+                self.tasks.insert(machine);
             }
+            Event::TaskEnded(machine) => {
+                self.tasks.remove(machine.as_str());
+            }
+        }
+    }
+
+    fn report(&mut self, broken: String) {
+        self.verdict.broken.push(broken);
+    }
+
+    fn check_token_owner(&mut self, at: u64, duty: Duty, token: Token, controller: usize) {
+        let owner = *self.owners.entry((duty, token)).or_insert_with(|| {
+            self.verdict.summary.changes_of_hands += 1;
+            controller
+        });
+        if owner != controller {
+            self.report(format!("{at}: token {token} of {duty:?} given out twice"));
+        }
+    }
+
+    fn check_single_holder(&mut self, at: u64, duty: Duty, controller: usize) {
+        let effective = Effective { at, controller };
+        let last = self.effective.insert(duty, effective);
+        let are_two = last.is_some_and(|last| last.at == at && last.controller != controller);
+        if are_two && self.rules.clocks_sound {
+            self.report(format!("{at}: two effective holders of {duty:?}"));
+        }
+    }
+
+    fn check_order(&mut self, at: u64, duty: Duty, token: Token, refused: bool) {
+        self.verdict.summary.orders += 1;
+        self.verdict.summary.refused += usize::from(refused);
+        let highest = self.highest_tokens.entry(duty).or_insert(0);
+        let is_fenced = token < *highest;
+        *highest = token.max(*highest);
+        if is_fenced && !refused && self.rules.tokens_refused {
+            self.report(format!("{at}: an order of a fenced holder of {duty:?}"));
+        }
+    }
+
+    fn check_deletion(&mut self, at: u64, machine: &str) {
+        self.verdict.summary.deletions += 1;
+        if self.tasks.contains(machine) {
+            self.report(format!("{at}: {machine} was deleted with a task on it"));
         }
-        (broken, summary)
     }
 }
--- /dev/null
+++ b/crates/duty-lease/tests/simulation/world/network.rs
@@ -0,0 +1,158 @@
+//! Messages between controllers, the store and the provider, in the order of their arrival.
+
+use std::collections::BTreeMap;
+
+use duty_lease::{Duty, LeaseRequest, LeaseResponse, OrderId, OrderOutcome, RecordOutcome};
+
+use super::snapshot::Snapshot;
+use crate::provider::ProviderOrder;
+use crate::store::{Transaction, TransactionOutcome};
+
+/// A controller's process: a controller that starts again does not get the answers to its
+/// earlier process.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct Process {
+    pub controller: usize,
+    pub number: u64,
+}
+
+impl Process {
+    /// One of that controller that has ended, so that answers reach nobody.
+    pub fn ended(controller: usize) -> Process {
+        Process {
+            controller,
+            number: 0,
+        }
+    }
+}
+
+/// What an answer of the store is for.
+#[derive(Debug, Clone, Copy, PartialEq)]
+pub enum Reply {
+    Lease { duty: Duty, id: u64 },
+    View,
+    Recorded(OrderId),
+    Completed(OrderId),
+    Nothing,
+}
+
+#[derive(Debug, Clone)]
+pub enum StoreOperation {
+    Lease(Duty, LeaseRequest),
+    Read,
+    Commit(Transaction),
+}
+
+#[derive(Debug, Clone)]
+pub enum StoreResult {
+    Lease(LeaseResponse),
+    Snapshot(Box<Snapshot>),
+    Committed(TransactionOutcome),
+    Refused,
+}
+
+impl StoreResult {
+    pub fn into_lease_response(self) -> LeaseResponse {
+        match self {
+            StoreResult::Lease(response) => response,
+            _ => LeaseResponse::Refused,
+        }
+    }
+
+    pub fn record_outcome(&self) -> RecordOutcome {
+        match self {
+            StoreResult::Committed(TransactionOutcome::Written(version)) => {
+                RecordOutcome::Written { version: *version }
+            }
+            StoreResult::Committed(_) => RecordOutcome::Conflict,
+            _ => RecordOutcome::Unknown,
+        }
+    }
+}
+
+/// Whether the sender of a request gets the answer.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum Answer {
+    Delivered,
+    Lost,
+}
+
+/// A request to the store, with what its answer is for.
+#[derive(Debug, Clone)]
+pub struct StoreRequest {
+    pub reply: Reply,
+    pub operation: StoreOperation,
+}
+
+#[derive(Debug, Clone)]
+pub enum Message {
+    ToStore {
+        from: Process,
+        request: StoreRequest,
+        answer: Answer,
+    },
+    FromStore {
+        to: Process,
+        reply: Reply,
+        result: StoreResult,
+    },
+    ToProvider {
+        from: Process,
+        order: ProviderOrder,
+    },
+    FromProvider {
+        to: Process,
+        id: OrderId,
+        outcome: OrderOutcome,
+    },
+}
+
+impl Message {
+    fn sender(&self) -> Option<usize> {
+        match self {
+            Message::ToStore { from, .. } | Message::ToProvider { from, .. } => {
+                Some(from.controller)
+            }
+            Message::FromStore { .. } | Message::FromProvider { .. } => None,
+        }
+    }
+}
+
+/// When a message arrives; those that arrive together, in the order of their sending.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct Arrival {
+    at: u64,
+    sequence: u64,
+}
+
+#[derive(Debug, Default)]
+pub struct Network {
+    messages: BTreeMap<Arrival, Message>,
+    sent: u64,
+}
+
+impl Network {
+    pub fn send(&mut self, at: u64, message: Message) {
+        self.sent += 1;
+        let sequence = self.sent;
+        self.messages.insert(Arrival { at, sequence }, message);
+    }
+
+    pub fn next_due(&mut self, now: u64) -> Option<Message> {
+        let entry = self.messages.first_entry()?;
+        (entry.key().at <= now).then(|| entry.remove())
+    }
+
+    /// Holds up what a controller has sent until this time.
+    pub fn hold_up(&mut self, controller: usize, until: u64) {
+        let messages = self.messages.iter();
+        let held = messages.filter(|(_, message)| message.sender() == Some(controller));
+        let held: Vec<Arrival> = held.map(|(arrival, _)| *arrival).collect();
+        for arrival in held {
+            if let Some(message) = self.messages.remove(&arrival) {
+                let at = arrival.at.max(until);
+                self.messages.insert(Arrival { at, ..arrival }, message);
+            }
+        }
+    }
+}
