--- /dev/null
+++ b/crates/duty-lease/tests/timing.rs
@@ -0,0 +1,23 @@
+//! Which timings of a lease are accepted.
+
+use duty_lease::LeaseTiming;
+
+/// Timings that leave no time for orders, or that the store does not allow, are rejected with
+/// the field's name.
+#[test]
+fn timings_are_checked() {
+    assert_eq!(LeaseTiming::new(3000).check(), Ok(()));
+    for ttl_ms in [0, 99, 600_001] {
+        let timing = LeaseTiming::new(ttl_ms);
+        let error = timing.check().expect_err("too short or long");
+        assert!(error.to_string().starts_with("life_ms: "), "{error}");
+    }
+    for share in [0.0, 0.75, f64::NAN, -1.0] {
+        let timing = LeaseTiming {
+            safety_share: share,
+            ..LeaseTiming::new(3000)
+        };
+        let error = timing.check().expect_err("not a share");
+        assert!(error.to_string().starts_with("safety_share: "), "{error}");
+    }
+}
