--- a/crates/duty-lease/src/lease/events.rs
+++ b/crates/duty-lease/src/lease/events.rs
@@ -5,7 +5,7 @@
 /// Why a holder may not give orders for the moment.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SuspensionReason {
-    /// It has not read the clock for so long that the process may have been paused.
+    /// The gap since it last read the clock is long: the process may have been paused.
     Paused,
     /// The clock went back.
     ClockWentBack,
--- a/crates/duty-lease/tests/simulation/world/network.rs
+++ b/crates/duty-lease/tests/simulation/world/network.rs
@@ -17,7 +17,7 @@
 }
 
 impl Process {
-    /// One of that controller that has ended, so that answers reach nobody.
+    /// An ended process of that controller: answers to it are dropped.
     pub fn ended(controller: usize) -> Process {
         Process {
             controller,
--- a/src/duties/records/mod.rs
+++ b/src/duties/records/mod.rs
@@ -12,9 +12,9 @@
 //! - [`orders`]: the orders' records, own removals, and which machines are being terminated;
 //! - [`unreadable`]: keys whose values this version can't read.
 //!
-//! Invariants: an older version of a key never replaces a newer one, whichever way it comes;
-//! a record that can't be read is kept and not acted upon; the generation rises with each
-//! change of a lease or an order.
+//! Invariants: an older version of a key does not replace a newer one that is known,
+//! whichever way it comes; a record that can't be read is kept and not acted upon; the
+//! generation rises with each change of a lease or an order.
 
 mod leases;
 mod orders;
