--- a/src/duties/mod.rs
+++ b/src/duties/mod.rs
@@ -4,10 +4,10 @@
 //! The leases and the order book are in the package `duty-lease`; what a controller does
 //! with them is in [`crate::controller`].
 //!
-//! - [`keys`]: the keys of the records;
-//! - [`records`]: the types of the stored values, and the local copy of all records;
-//! - [`report`]: the state of duties as operators see it;
-//! - [`query`]: reads that state from the store.
+//! - `keys`: the keys of the records;
+//! - `records`: the types of the stored values, and the local copy of all records;
+//! - `report`: the state of duties as operators see it;
+//! - `query`: reads that state from the store.
 
 mod keys;
 mod query;
