--- a/src/settings/duties.rs
+++ b/src/settings/duties.rs
@@ -1,4 +1,4 @@
-//! The operators' settings for duties.
+//! Operator settings for duties.
 
 use std::collections::BTreeMap;
 
@@ -8,41 +8,42 @@
 use super::{Settings, SettingsError};
 use crate::time_units::to_ms;
 
-/// Longest life of a duty's lease, as a share of an agent's lease: a machine that a holder
-/// was to return must be returned by its successor before the agent gives up.
+/// Longest time to live of a duty's lease, as a share of an agent's lease: the successor of a
+/// holder must be able to terminate a machine before the machine's agent lets its own lease
+/// expire.
 const TTL_SHARE_MAX: f64 = 0.5;
-/// Lives until a successor gives orders, at the most.
+/// Upper bound of the time until a successor gives orders, in times to live of the lease.
 const TAKEOVER_TTLS: f64 = 2.0;
-/// Most records that are removed in a second: a look at the clock finds one.
+/// Highest rate at which records are removed, per second: each tick finds at most one.
 const CLEANING_PER_S_MAX: f64 = 10.0;
-/// Changes of the largest transaction, the election of a leader out of reach of versions
-/// that know no duties.
+/// Changes of the largest transaction of duties: the election of a leader under a format that
+/// versions without duties cannot read.
 const TXN_OPS_MIN: usize = 3;
 
-/// What keeps a holder that was replaced from doing harm at the cloud.
+/// What prevents late orders of a replaced holder from taking effect at the cloud.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum DutyFence {
-    /// The published protocol: a provisioning request's name is carried out once, and a machine that is
-    /// on record to be deleted never gets work again.
+    /// The published protocol: the cloud carries out a provisioning request once per idempotency
+    /// key, and a machine with a recorded termination never receives work again.
     Booking,
-    /// The token goes with each order, and the provider refuses lower ones.
+    /// Each order carries the fencing token, and the provider refuses lower tokens.
     ProviderToken,
 }
 
-/// The operators' settings for duties. Without them this controller holds none.
+/// Operator settings for duties. A controller without them holds no duties.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct DutySettings {
-    /// Life of a duty's lease, as a share of an agent's lease.
+    /// Time to live of a duty's lease, as a share of an agent's lease.
     pub life_share: f64,
-    /// What keeps a replaced holder from doing harm.
+    /// What prevents late orders of a replaced holder from taking effect.
     pub fence: DutyFence,
-    /// Which controller is to hold a duty, for as long as it is live.
+    /// Preferred holder of a duty while that controller is live, by duty.
     pub holders: BTreeMap<Duty, String>,
-    /// Records that are removed in a second.
+    /// Rate at which records without an owner are removed, per second.
     pub cleaning_per_s: f64,
-    /// Only log what would be removed.
+    /// Only log the records that would be removed.
     pub cleaning_dry_run: bool,
 }
 
@@ -59,34 +60,24 @@
 }
 
 impl DutySettings {
-    /// The times of a duty's lease.
+    /// The timing of a duty's lease, for agents with a lease of `lease_s` seconds.
     pub fn timing(&self, lease_s: f64) -> LeaseTiming {
         LeaseTiming::new(to_ms(lease_s * self.life_share))
     }
 
-    /// Checks them against the platform's settings.
+    /// Checks the settings for duties against the platform settings.
+    ///
+    /// # Errors
+    ///
+    /// [`SettingsError::Invalid`] for the first field with an invalid value.
     pub fn check(&self, settings: &Settings) -> Result<(), SettingsError> {
         self.check_ttl(settings)?;
-        let cleaning_per_s = self.cleaning_per_s;
-        if !(cleaning_per_s > 0.0 && cleaning_per_s <= CLEANING_PER_S_MAX) {
-            let problem =
-                format!("must be above 0 and at most {CLEANING_PER_S_MAX}, not {cleaning_per_s}");
-            return Err(SettingsError::invalid("duties.cleaning_per_s", problem));
-        }
+        self.check_cleaning()?;
         if settings.cluster.state.lowered().txn_ops < TXN_OPS_MIN {
             let problem = format!("duties need transactions of {TXN_OPS_MIN} changes");
             return Err(SettingsError::invalid("cluster.state.txn_ops", problem));
         }
-        let is_member = |name: &String| {
-            *name == settings.member || settings.peers.iter().any(|peer| peer.member == *name)
-        };
-        for (duty, name) in &self.holders {
-            if !is_member(name) {
-                let problem = format!("{}: {name} is not a controller", duty.name());
-                return Err(SettingsError::invalid("duties.holders", problem));
-            }
-        }
-        Ok(())
+        self.check_holders(settings)
     }
 
     fn check_ttl(&self, settings: &Settings) -> Result<(), SettingsError> {
@@ -104,10 +95,10 @@
                 "a lease of {ttl_s:.2} s is shorter than a stall of {stall_s:.2} s with this cpu_share"
             ));
         }
-        if TAKEOVER_TTLS * ttl_s > workers.cancel_s {
+        let takeover_s = TAKEOVER_TTLS * ttl_s;
+        if takeover_s > workers.cancel_s {
             return refuse(format!(
-                "a successor may take {:.2} s, longer than cancel_s",
-                TAKEOVER_TTLS * ttl_s
+                "a successor may take {takeover_s:.2} s, longer than cancel_s"
             ));
         }
         match self.timing(workers.lease_s).check() {
@@ -115,4 +106,24 @@
             Err(error) => refuse(error.to_string()),
         }
     }
+
+    fn check_cleaning(&self) -> Result<(), SettingsError> {
+        let cleaning_per_s = self.cleaning_per_s;
+        if cleaning_per_s > 0.0 && cleaning_per_s <= CLEANING_PER_S_MAX {
+            return Ok(());
+        }
+        let problem =
+            format!("must be above 0 and at most {CLEANING_PER_S_MAX}, not {cleaning_per_s}");
+        Err(SettingsError::invalid("duties.cleaning_per_s", problem))
+    }
+
+    fn check_holders(&self, settings: &Settings) -> Result<(), SettingsError> {
+        for (duty, member) in &self.holders {
+            if !settings.has_member(member) {
+                let problem = format!("{}: {member} is not a controller", duty.name());
+                return Err(SettingsError::invalid("duties.holders", problem));
+            }
+        }
+        Ok(())
+    }
 }
--- /dev/null
+++ b/src/settings/error.rs
@@ -0,0 +1,54 @@
+//! Why settings cannot be used.
+
+use thiserror::Error;
+
+/// An error in one of the settings files.
+///
+/// The message is one line; it names the file or the field at fault.
+#[derive(Debug, Error)]
+pub enum SettingsError {
+    /// A file cannot be read.
+    #[error("{file}: {source}")]
+    Read {
+        /// Path of the file.
+        file: String,
+        /// The cause.
+        source: std::io::Error,
+    },
+    /// The platform settings cannot be parsed.
+    #[error("{file}: not valid JSON settings: {source}")]
+    Json {
+        /// Path of the file.
+        file: String,
+        /// The cause.
+        source: serde_json::Error,
+    },
+    /// The operator settings cannot be parsed.
+    #[error("{file}: not valid operator settings: {line}{}", source.message())]
+    Toml {
+        /// Path of the file.
+        file: String,
+        /// Number and text of the faulty line, formatted as a prefix of the message; empty if
+        /// the parser does not report a position.
+        line: String,
+        /// The cause.
+        source: Box<toml::de::Error>,
+    },
+    /// A field has an invalid value.
+    #[error("{field}: {problem}")]
+    Invalid {
+        /// Path of the field, with dots between its parts.
+        field: &'static str,
+        /// What is wrong with the value.
+        problem: String,
+    },
+}
+
+impl SettingsError {
+    pub(super) fn invalid(field: &'static str, problem: impl Into<String>) -> SettingsError {
+        SettingsError::Invalid {
+            field,
+            problem: problem.into(),
+        }
+    }
+}
