--- /dev/null
+++ b/src/net/buffered_stream.rs
@@ -0,0 +1,176 @@
+//! A TCP stream with the bytes that were received but not yet parsed, and those that are still
+//! to be sent.
+
+use std::io::{self, Read, Write};
+
+use mio::net::TcpStream;
+use mio::{Interest, Registry, Token};
+
+use super::connection::ConnectionId;
+
+/// Result of writing the pending output.
+pub(super) enum WriteProgress {
+    /// All output has been sent.
+    Complete,
+    /// The connection is not established yet.
+    Connecting,
+    /// The socket accepts no more at present.
+    Blocked,
+    /// The connection is broken.
+    Broken,
+}
+
+/// A non-blocking stream with its buffers.
+pub(super) struct BufferedStream {
+    socket: TcpStream,
+    input: Vec<u8>,
+    output: Vec<u8>,
+    /// Number of bytes of `output` that have been sent.
+    sent: usize,
+    /// The connection is known to be established.
+    is_established: bool,
+    /// The poll reports when the socket is writable.
+    watches_writable: bool,
+    /// The other side has closed its sending direction.
+    is_read_closed: bool,
+}
+
+impl BufferedStream {
+    /// An accepted connection, registered as readable.
+    pub fn accepted(socket: TcpStream) -> BufferedStream {
+        BufferedStream {
+            socket,
+            input: Vec::new(),
+            output: Vec::new(),
+            sent: 0,
+            is_established: true,
+            watches_writable: false,
+            is_read_closed: false,
+        }
+    }
+
+    /// A connection that is being opened to send `output`, registered as readable and writable.
+    pub fn connecting(socket: TcpStream, output: Vec<u8>) -> BufferedStream {
+        BufferedStream {
+            output,
+            is_established: false,
+            watches_writable: true,
+            ..BufferedStream::accepted(socket)
+        }
+    }
+
+    pub fn is_established(&self) -> bool {
+        self.is_established
+    }
+
+    pub fn is_read_closed(&self) -> bool {
+        self.is_read_closed
+    }
+
+    pub fn input(&self) -> &[u8] {
+        &self.input
+    }
+
+    /// The received bytes, from which the caller removes what it has parsed.
+    pub fn input_mut(&mut self) -> &mut Vec<u8> {
+        &mut self.input
+    }
+
+    pub fn has_output(&self) -> bool {
+        !self.output.is_empty()
+    }
+
+    /// Appends to the output.
+    pub fn push_output(&mut self, bytes: &[u8]) {
+        self.output.extend_from_slice(bytes);
+    }
+
+    /// Replaces the output.
+    pub fn set_output(&mut self, output: Vec<u8>) {
+        self.output = output;
+        self.sent = 0;
+    }
+
+    /// Reads until the socket is empty or the input exceeds `input_max` bytes, which is more than
+    /// any valid message has. `buffer` is scratch space. Returns the number of bytes read.
+    ///
+    /// # Errors
+    ///
+    /// If the connection is broken.
+    pub fn read_available(&mut self, buffer: &mut [u8], input_max: usize) -> io::Result<usize> {
+        let mut total = 0;
+        while self.input.len() <= input_max {
+            match self.socket.read(buffer) {
+                Ok(0) => {
+                    self.is_read_closed = true;
+                    break;
+                }
+                Ok(count) => {
+                    self.input.extend_from_slice(&buffer[..count]);
+                    total += count;
+                    if count < buffer.len() {
+                        // A short read empties the socket. The poll is edge-triggered and
+                        // reports anything newer.
+                        break;
+                    }
+                }
+                Err(error) if error.kind() == io::ErrorKind::WouldBlock => break,
+                Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
+                Err(error) => return Err(error),
+            }
+        }
+        Ok(total)
+    }
+
+    /// Writes the pending output as far as the socket accepts it.
+    pub fn write_pending(&mut self) -> WriteProgress {
+        while self.sent < self.output.len() {
+            match self.socket.write(&self.output[self.sent..]) {
+                Ok(0) => return WriteProgress::Broken,
+                Ok(count) => {
+                    self.is_established = true;
+                    self.sent += count;
+                }
+                // The first write tells whether the connection is established.
+                Err(error) if error.kind() == io::ErrorKind::NotConnected => {
+                    return WriteProgress::Connecting;
+                }
+                Err(error) if error.kind() == io::ErrorKind::WouldBlock => {
+                    return WriteProgress::Blocked;
+                }
+                Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
+                Err(_) => return WriteProgress::Broken,
+            }
+        }
+        self.output.clear();
+        self.sent = 0;
+        WriteProgress::Complete
+    }
+
+    /// Lets the poll report when the socket is writable.
+    ///
+    /// # Errors
+    ///
+    /// If the poll refuses the registration.
+    pub fn watch_writable(&mut self, id: ConnectionId, registry: &Registry) -> io::Result<()> {
+        if self.watches_writable {
+            return Ok(());
+        }
+        self.watches_writable = true;
+        let interest = Interest::READABLE | Interest::WRITABLE;
+        registry.reregister(&mut self.socket, Token(id), interest)
+    }
+
+    /// Lets the poll no longer report when the socket is writable.
+    ///
+    /// # Errors
+    ///
+    /// If the poll refuses the registration.
+    pub fn unwatch_writable(&mut self, id: ConnectionId, registry: &Registry) -> io::Result<()> {
+        if !self.watches_writable {
+            return Ok(());
+        }
+        self.watches_writable = false;
+        registry.reregister(&mut self.socket, Token(id), Interest::READABLE)
+    }
+}
--- /dev/null
+++ b/src/net/client_pool.rs
@@ -0,0 +1,55 @@
+//! Connections that this process has opened: those that are idle, and those with a call in
+//! progress.
+//!
+//! Invariant: each is an open client connection; closing one removes it.
+
+use std::collections::{BTreeMap, HashMap};
+use std::net::SocketAddr;
+use std::time::Instant;
+
+use super::connection::ConnectionId;
+
+/// Idle client connections by address, and the deadlines of calls in progress.
+#[derive(Debug, Default)]
+pub(super) struct ClientPool {
+    /// The most recently used connection is the last one.
+    idle: HashMap<SocketAddr, Vec<ConnectionId>>,
+    deadlines: BTreeMap<ConnectionId, Instant>,
+}
+
+impl ClientPool {
+    /// Removes an idle connection to `address` from the pool, to be used for a call.
+    pub fn take_idle(&mut self, address: SocketAddr) -> Option<ConnectionId> {
+        self.idle.get_mut(&address).and_then(Vec::pop)
+    }
+
+    /// Returns an idle connection to the pool.
+    pub fn put_idle(&mut self, address: SocketAddr, id: ConnectionId) {
+        self.idle.entry(address).or_default().push(id);
+    }
+
+    /// Records that a call is in progress on a connection.
+    pub fn begin_call(&mut self, id: ConnectionId, deadline: Instant) {
+        self.deadlines.insert(id, deadline);
+    }
+
+    /// Records that no call is in progress any more on a connection.
+    pub fn end_call(&mut self, id: ConnectionId) {
+        self.deadlines.remove(&id);
+    }
+
+    /// Removes a connection that is closed.
+    pub fn remove(&mut self, address: SocketAddr, id: ConnectionId) {
+        self.end_call(id);
+        if let Some(idle) = self.idle.get_mut(&address) {
+            idle.retain(|other| *other != id);
+        }
+    }
+
+    /// Connections whose call has reached its deadline, by ascending id.
+    pub fn overdue(&self, now: Instant) -> Vec<ConnectionId> {
+        let calls = self.deadlines.iter();
+        let overdue = calls.filter(|(_, deadline)| now >= **deadline);
+        overdue.map(|(id, _)| *id).collect()
+    }
+}
--- /dev/null
+++ b/src/net/client_state.rs
@@ -0,0 +1,162 @@
+//! The state of a connection that this process has opened: its call and the reply.
+
+use std::net::SocketAddr;
+
+use super::http::ResponseHead;
+use super::Outcome;
+
+/// Who is called.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(super) enum Callee {
+    /// The store, the cloud or another controller: calls must succeed however many agents are
+    /// called.
+    Vital,
+    /// Any other address: an agent.
+    Agent,
+}
+
+/// The client's side of a connection.
+pub(super) struct ClientState {
+    address: SocketAddr,
+    callee: Callee,
+    /// Tag of the call in progress.
+    call: Option<u64>,
+}
+
+/// Result of parsing the received part of a reply.
+pub(super) enum ParsedReply {
+    /// More input is needed.
+    Incomplete,
+    /// The input is malformed, or there is no call in progress that it could belong to.
+    Unusable,
+    /// The reply is larger than allowed.
+    TooLarge {
+        /// Tag of the call.
+        tag: u64,
+    },
+    /// The reply is complete.
+    Complete(Reply),
+}
+
+/// A complete reply to a call.
+pub(super) struct Reply {
+    /// Tag of the call.
+    pub tag: u64,
+    pub outcome: Outcome,
+    /// The address whose further calls may use the connection; `None` if it has to be closed.
+    pub reusable_for: Option<SocketAddr>,
+}
+
+/// Extent of a reply in the input.
+enum Extent {
+    Incomplete,
+    TooLarge,
+    /// The offset at which the body ends.
+    End(usize),
+}
+
+impl ClientState {
+    /// A connection that is opened for the call `tag`.
+    pub fn new(address: SocketAddr, callee: Callee, tag: u64) -> ClientState {
+        ClientState {
+            address,
+            callee,
+            call: Some(tag),
+        }
+    }
+
+    pub fn address(&self) -> SocketAddr {
+        self.address
+    }
+
+    pub fn callee(&self) -> Callee {
+        self.callee
+    }
+
+    /// Tag of the call in progress.
+    pub fn call(&self) -> Option<u64> {
+        self.call
+    }
+
+    /// Begins the call `tag` on an idle connection.
+    pub fn begin_call(&mut self, tag: u64) {
+        self.call = Some(tag);
+    }
+
+    /// Removes a complete reply of at most `reply_max` bytes from `input`.
+    pub fn next_reply(
+        &mut self,
+        input: &mut Vec<u8>,
+        is_read_closed: bool,
+        reply_max: usize,
+    ) -> ParsedReply {
+        let Some(tag) = self.call else {
+            let is_quiet = !is_read_closed && input.is_empty();
+            return if is_quiet {
+                ParsedReply::Incomplete
+            } else {
+                ParsedReply::Unusable
+            };
+        };
+        let head = match ResponseHead::parse(input) {
+            Ok(Some(head)) => head,
+            Ok(None) => return ParsedReply::Incomplete,
+            Err(_) => return ParsedReply::Unusable,
+        };
+        match reply_extent(&head, input.len(), is_read_closed, reply_max) {
+            Extent::Incomplete => ParsedReply::Incomplete,
+            Extent::TooLarge => {
+                self.call = None;
+                ParsedReply::TooLarge { tag }
+            }
+            Extent::End(end) => {
+                self.call = None;
+                ParsedReply::Complete(self.complete(tag, &head, input, end, is_read_closed))
+            }
+        }
+    }
+
+    fn complete(
+        &self,
+        tag: u64,
+        head: &ResponseHead,
+        input: &mut Vec<u8>,
+        end: usize,
+        is_read_closed: bool,
+    ) -> Reply {
+        let body = input[head.length..end].to_vec();
+        input.drain(..end);
+        let is_reusable =
+            !head.closes && !is_read_closed && input.is_empty() && head.body_length.is_some();
+        Reply {
+            tag,
+            outcome: Outcome::Answer {
+                status: head.status,
+                body,
+            },
+            reusable_for: is_reusable.then_some(self.address),
+        }
+    }
+}
+
+fn reply_extent(
+    head: &ResponseHead,
+    received: usize,
+    is_read_closed: bool,
+    reply_max: usize,
+) -> Extent {
+    let end = match head.body_length {
+        Some(length) if length > reply_max => return Extent::TooLarge,
+        Some(length) => head.length + length,
+        None if head.has_no_body() => head.length,
+        // Without a length the body ends with the connection.
+        None if received > reply_max => return Extent::TooLarge,
+        None if is_read_closed => received,
+        None => return Extent::Incomplete,
+    };
+    if received < end {
+        Extent::Incomplete
+    } else {
+        Extent::End(end)
+    }
+}
--- a/src/net/connection.rs
+++ b/src/net/connection.rs
@@ -1,113 +1,335 @@
-//! A connection and its part in requests.
+//! A connection: its stream, and its role as a server's or a client's side.
 
-use std::net::SocketAddr;
+use std::io;
 use std::time::Instant;
 
 use mio::net::TcpStream;
+use mio::Registry;
 
-use super::Listener;
+use super::buffered_stream::{BufferedStream, WriteProgress};
+use super::client_state::{Callee, ClientState, ParsedReply};
+use super::eviction::EvictionTier;
+use super::http::{response_head, RequestError, REQUEST_HEAD_MAX, RESPONSE_HEAD_MAX};
+use super::read_queue::ReadClass;
+use super::server_state::{Crowding, ServerState};
+use super::{Listener, Outcome, Request, BODY_MAX};
 
-/// The part of a connection that another side has opened.
-pub(super) struct ServerState {
-    pub listener: Listener,
-    /// It has brought an agent's report.
-    pub agent: bool,
-    /// A request was passed on and not answered yet.
-    pub busy: bool,
-    /// It is to be closed after the answer.
-    pub close: bool,
-    /// When the first byte of a request came that is not complete.
-    pub request_began: Option<Instant>,
-}
+/// Identifies a connection, and is its token in the poll. Never reused.
+pub(super) type ConnectionId = usize;
 
-/// The part of a connection that we have opened.
-pub(super) struct ClientState {
-    pub address: SocketAddr,
-    /// The tag of the call in progress.
-    pub call: Option<u64>,
-    pub deadline: Instant,
-}
-
-/// Who opened a connection.
+/// Which side of a connection this process is.
 pub(super) enum Role {
+    /// Another side has opened the connection.
     Server(ServerState),
+    /// This process has opened the connection.
     Client(ClientState),
 }
 
-/// A connection.
+/// Whether a connection stays open.
+#[must_use]
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(super) enum Disposition {
+    /// It stays open.
+    Keep,
+    /// It has to be closed.
+    Close,
+}
+
+/// What a connection is doing, which decides how long it may be idle.
+pub(super) enum Activity {
+    /// A request or a call is in progress.
+    InUse,
+    /// A request has been received in part since this time.
+    ReceivingRequest(Instant),
+    /// Kept by an agent for its next heartbeat.
+    AgentIdle,
+    /// An answer has not been sent completely.
+    SendingAnswer,
+    /// Kept by any other client for its next request.
+    ServerIdle,
+    /// Kept by this process for its next call.
+    ClientIdle,
+}
+
+/// A request with the listener that its connection was accepted by.
+pub(super) struct ReceivedRequest {
+    pub listener: Listener,
+    pub request: Request,
+}
+
+/// An answer to a request.
+pub(super) struct Answer<'a> {
+    pub status: u16,
+    /// When the client should retry, in seconds.
+    pub retry_after_s: Option<u32>,
+    pub body: &'a [u8],
+}
+
+/// An open connection.
 pub(super) struct Connection {
-    pub socket: TcpStream,
-    pub role: Role,
-    pub input: Vec<u8>,
-    pub output: Vec<u8>,
-    /// Bytes of the output that have been sent.
-    pub sent: usize,
-    /// The connection has come about.
-    pub open: bool,
-    /// The poll tells when there is capacity to write.
-    pub watches_writable: bool,
-    /// Expected to serve many requests.
-    pub lasting: bool,
-    pub used_at: Instant,
-    /// A request on it has been answered.
-    pub was_served: bool,
-    /// Has something to read, and waits for its turn since then.
-    pub waits_since: Option<Instant>,
-    /// The other side has closed it.
-    pub eof: bool,
+    stream: BufferedStream,
+    role: Role,
+    last_used: Instant,
+    /// The connection is in the read queue.
+    is_queued: bool,
 }
 
 impl Connection {
-    /// A connection that was accepted.
+    /// A connection that was accepted by `listener`.
     pub fn accepted(socket: TcpStream, listener: Listener, now: Instant) -> Connection {
-        let role = Role::Server(ServerState {
-            listener,
-            agent: false,
-            busy: false,
-            close: false,
-            request_began: None,
-        });
-        Connection::new(socket, role, Vec::new(), true, now)
-    }
-
-    /// A connection that is being made, to send `output`.
-    pub fn opening(
+        Connection {
+            stream: BufferedStream::accepted(socket),
+            role: Role::Server(ServerState::new(listener)),
+            last_used: now,
+            is_queued: false,
+        }
+    }
+
+    /// A connection that is being opened to send `message`.
+    pub fn connecting(
         socket: TcpStream,
         state: ClientState,
-        output: Vec<u8>,
-        lasting: bool,
+        message: Vec<u8>,
         now: Instant,
     ) -> Connection {
         Connection {
-            lasting,
-            ..Connection::new(socket, Role::Client(state), output, false, now)
+            stream: BufferedStream::connecting(socket, message),
+            role: Role::Client(state),
+            last_used: now,
+            is_queued: false,
         }
     }
 
-    fn new(socket: TcpStream, role: Role, output: Vec<u8>, open: bool, now: Instant) -> Connection {
-        Connection {
-            socket,
-            role,
-            input: Vec::new(),
-            output,
-            sent: 0,
-            open,
-            watches_writable: !open,
-            lasting: open,
-            used_at: now,
-            was_served: false,
-            waits_since: None,
-            eof: false,
+    pub fn role(&self) -> &Role {
+        &self.role
+    }
+
+    pub fn last_used(&self) -> Instant {
+        self.last_used
+    }
+
+    /// Whether the connection has brought a heartbeat.
+    pub fn is_agent(&self) -> bool {
+        matches!(&self.role, Role::Server(state) if state.is_agent())
+    }
+
+    /// Whether input is read at once: replies of vital callees, and requests of other
+    /// controllers.
+    pub fn is_urgent(&self) -> bool {
+        match &self.role {
+            Role::Server(state) => state.listener() == Listener::Peers,
+            Role::Client(state) => state.callee() == Callee::Vital,
+        }
+    }
+
+    /// Marks the connection as queued for reading. Returns its class, or `None` if it is queued
+    /// already.
+    pub fn enqueue(&mut self) -> Option<ReadClass> {
+        if self.is_queued {
+            return None;
+        }
+        self.is_queued = true;
+        match &self.role {
+            Role::Server(state) if state.was_served() => Some(ReadClass::Served),
+            Role::Server(_) | Role::Client(_) => Some(ReadClass::Newcomer),
+        }
+    }
+
+    /// Marks the connection as no longer queued for reading.
+    pub fn dequeue(&mut self) {
+        self.is_queued = false;
+    }
+
+    /// Reads what has been received. `buffer` is scratch space; replies have at most `reply_max`
+    /// bytes.
+    ///
+    /// # Errors
+    ///
+    /// If the connection is broken.
+    pub fn read_available(
+        &mut self,
+        buffer: &mut [u8],
+        reply_max: usize,
+        now: Instant,
+    ) -> io::Result<()> {
+        let input_max = match self.role {
+            Role::Server(_) => BODY_MAX + REQUEST_HEAD_MAX,
+            Role::Client(_) => reply_max + RESPONSE_HEAD_MAX,
+        };
+        if self.stream.read_available(buffer, input_max)? > 0 {
+            self.last_used = now;
+        }
+        Ok(())
+    }
+
+    /// Whether input remains that has not been parsed.
+    pub fn has_input(&self) -> bool {
+        !self.stream.input().is_empty()
+    }
+
+    /// Whether the other side has closed the connection and nothing is left to be sent.
+    pub fn is_finished(&self) -> bool {
+        let awaits_answer = matches!(&self.role, Role::Server(state) if state.awaits_answer());
+        self.stream.is_read_closed() && (!awaits_answer || !self.stream.has_output())
+    }
+
+    /// Writes pending output, and lets the poll report writability while output is pending.
+    pub fn flush(&mut self, id: ConnectionId, registry: &Registry) -> Disposition {
+        let registered = match self.stream.write_pending() {
+            WriteProgress::Broken => return Disposition::Close,
+            WriteProgress::Connecting => return Disposition::Keep,
+            WriteProgress::Blocked => self.stream.watch_writable(id, registry),
+            WriteProgress::Complete if self.is_lasting() => {
+                self.stream.unwatch_writable(id, registry)
+            }
+            WriteProgress::Complete => Ok(()),
+        };
+        let last_answer_sent = self.is_complete() && !self.stream.has_output();
+        if registered.is_err() || last_answer_sent {
+            Disposition::Close
+        } else {
+            Disposition::Keep
+        }
+    }
+
+    /// Whether the connection is expected to serve many exchanges, so that a change of its
+    /// registration is worth its cost.
+    fn is_lasting(&self) -> bool {
+        match &self.role {
+            Role::Server(_) => true,
+            Role::Client(state) => state.callee() == Callee::Vital,
         }
     }
 
-    /// A request that was passed on and not answered yet.
-    pub fn is_busy(&self) -> bool {
-        matches!(&self.role, Role::Server(state) if state.busy)
+    fn is_complete(&self) -> bool {
+        matches!(&self.role, Role::Server(state) if state.is_complete())
     }
 
-    /// Its answer was its last.
-    pub fn is_to_close(&self) -> bool {
-        matches!(&self.role, Role::Server(state) if state.close && !state.busy)
+    /// Removes the next complete request from the input, if there is one.
+    ///
+    /// # Errors
+    ///
+    /// If the request has to be refused.
+    pub fn next_request(&mut self) -> Result<Option<ReceivedRequest>, RequestError> {
+        let Role::Server(state) = &mut self.role else {
+            return Ok(None);
+        };
+        let request = state.next_request(self.stream.input_mut())?;
+        let listener = state.listener();
+        Ok(request.map(|request| ReceivedRequest { listener, request }))
+    }
+
+    /// Discards the input after an invalid request, whose answer is the last on this connection.
+    pub fn reject_request(&mut self) {
+        self.stream.input_mut().clear();
+        if let Role::Server(state) = &mut self.role {
+            state.reject_request();
+        }
+    }
+
+    /// Appends the answer of the request in progress to the output. Returns false if there is no
+    /// such request.
+    pub fn push_answer(&mut self, answer: &Answer, crowding: Crowding, now: Instant) -> bool {
+        let Role::Server(state) = &mut self.role else {
+            return false;
+        };
+        let is_read_closed = self.stream.is_read_closed();
+        let persistence = state.finish_request(answer.status, is_read_closed, crowding);
+        let Some(persistence) = persistence else {
+            return false;
+        };
+        let body_length = answer.body.len();
+        let head = response_head(
+            answer.status,
+            answer.retry_after_s,
+            body_length,
+            persistence,
+        );
+        self.stream.push_output(head.as_bytes());
+        self.stream.push_output(answer.body);
+        self.last_used = now;
+        true
+    }
+
+    /// Begins the call `tag` with `message` on an idle client connection.
+    pub fn begin_call(&mut self, tag: u64, message: Vec<u8>, now: Instant) {
+        if let Role::Client(state) = &mut self.role {
+            state.begin_call(tag);
+        }
+        self.stream.set_output(message);
+        self.last_used = now;
+    }
+
+    /// Removes the reply of the call in progress from the input.
+    pub fn next_reply(&mut self, reply_max: usize, now: Instant) -> ParsedReply {
+        let Role::Client(state) = &mut self.role else {
+            return ParsedReply::Incomplete;
+        };
+        let is_read_closed = self.stream.is_read_closed();
+        let reply = state.next_reply(self.stream.input_mut(), is_read_closed, reply_max);
+        if matches!(reply, ParsedReply::Complete(_)) {
+            self.last_used = now;
+        }
+        reply
+    }
+
+    /// The outcome of a call whose connection is closed before its reply.
+    pub fn outcome_of_closing(&self) -> Outcome {
+        if self.stream.is_established() {
+            Outcome::NoAnswer
+        } else {
+            Outcome::NotSent
+        }
+    }
+
+    /// Whether a server connection may be evicted, and in which order. A user whose connection
+    /// is closed opens another one with the next request, whereas an agent tries other
+    /// controllers first.
+    pub fn server_eviction_tier(&self) -> Option<EvictionTier> {
+        let Role::Server(state) = &self.role else {
+            return None;
+        };
+        let has_queued_heartbeat = state.is_agent() && self.is_queued;
+        if state.awaits_answer() || has_queued_heartbeat {
+            return None;
+        }
+        Some(if state.is_agent() {
+            EvictionTier::LastResort
+        } else {
+            EvictionTier::Preferred
+        })
+    }
+
+    /// Whether a connection to an agent may be evicted.
+    pub fn client_eviction_tier(&self) -> Option<EvictionTier> {
+        match &self.role {
+            Role::Client(state) if state.callee() == Callee::Agent && state.call().is_none() => {
+                Some(EvictionTier::Preferred)
+            }
+            _ => None,
+        }
+    }
+
+    /// What the connection is doing.
+    pub fn activity(&self) -> Activity {
+        let state = match &self.role {
+            Role::Client(state) if state.call().is_some() => return Activity::InUse,
+            Role::Client(_) => return Activity::ClientIdle,
+            Role::Server(state) => state,
+        };
+        if state.awaits_answer() {
+            return Activity::InUse;
+        }
+        if let Some(began) = state.request_began() {
+            return Activity::ReceivingRequest(began);
+        }
+        if state.is_agent() {
+            return Activity::AgentIdle;
+        }
+        if self.stream.has_output() {
+            Activity::SendingAnswer
+        } else {
+            Activity::ServerIdle
+        }
     }
 }
--- /dev/null
+++ b/src/net/interval.rs
@@ -0,0 +1,25 @@
+//! Work that recurs at an interval.
+
+use std::time::{Duration, Instant};
+
+/// Tells when recurring work is due.
+pub(super) struct Interval {
+    length: Duration,
+    last: Instant,
+}
+
+impl Interval {
+    /// Due for the first time one interval after `now`.
+    pub fn new(length: Duration, now: Instant) -> Interval {
+        Interval { length, last: now }
+    }
+
+    /// Whether the work is due; if so, the next interval begins.
+    pub fn is_due(&mut self, now: Instant) -> bool {
+        let is_due = now.duration_since(self.last) >= self.length;
+        if is_due {
+            self.last = now;
+        }
+        is_due
+    }
+}
--- /dev/null
+++ b/src/net/listeners.rs
@@ -0,0 +1,125 @@
+//! The two listening sockets and whether connections wait to be accepted.
+
+use std::io;
+use std::net::SocketAddr;
+
+use mio::net::{TcpListener, TcpStream};
+use mio::{Interest, Registry, Token};
+
+use super::Listener;
+
+/// A listening socket.
+struct ListeningSocket {
+    socket: TcpListener,
+    /// More connections may wait to be accepted.
+    is_pending: bool,
+}
+
+impl ListeningSocket {
+    /// Listens with the short backlog of the standard library: by the time that a connection in a
+    /// long backlog is accepted, its client has given up.
+    fn bind(address: SocketAddr) -> io::Result<ListeningSocket> {
+        let listener = std::net::TcpListener::bind(address)?;
+        listener.set_nonblocking(true)?;
+        Ok(ListeningSocket {
+            socket: TcpListener::from_std(listener),
+            is_pending: false,
+        })
+    }
+
+    fn register(&mut self, registry: &Registry, token: Token) -> io::Result<()> {
+        registry.register(&mut self.socket, token, Interest::READABLE)
+    }
+}
+
+/// Tokens under which the listening sockets are registered.
+pub(super) struct ListenerTokens {
+    pub front: Token,
+    pub peers: Token,
+}
+
+/// The listening sockets.
+pub(super) struct Listeners {
+    front: ListeningSocket,
+    peers: ListeningSocket,
+    /// Accepting has failed, as without free sockets. The poll is edge-triggered and does not
+    /// report the waiting connections again.
+    has_failed: bool,
+}
+
+impl Listeners {
+    /// Listens on both addresses.
+    ///
+    /// # Errors
+    ///
+    /// If an address cannot be used, or if there are no free sockets.
+    pub fn bind(
+        front: SocketAddr,
+        peers: SocketAddr,
+        registry: &Registry,
+        tokens: ListenerTokens,
+    ) -> io::Result<Listeners> {
+        let mut front = ListeningSocket::bind(front)?;
+        let mut peers = ListeningSocket::bind(peers)?;
+        front.register(registry, tokens.front)?;
+        peers.register(registry, tokens.peers)?;
+        Ok(Listeners {
+            front,
+            peers,
+            has_failed: false,
+        })
+    }
+
+    fn socket_mut(&mut self, listener: Listener) -> &mut ListeningSocket {
+        match listener {
+            Listener::Front => &mut self.front,
+            Listener::Peers => &mut self.peers,
+        }
+    }
+
+    /// Notes that connections may wait to be accepted.
+    pub fn mark_pending(&mut self, listener: Listener) {
+        self.socket_mut(listener).is_pending = true;
+    }
+
+    /// Whether connections may wait to be accepted.
+    pub fn is_pending(&self, listener: Listener) -> bool {
+        match listener {
+            Listener::Front => self.front.is_pending,
+            Listener::Peers => self.peers.is_pending,
+        }
+    }
+
+    /// Whether connections may wait to be accepted by either listener.
+    pub fn is_any_pending(&self) -> bool {
+        self.front.is_pending || self.peers.is_pending
+    }
+
+    /// Accepts a connection. `None` if this was not possible; the listener remains pending only
+    /// if another attempt may succeed at once.
+    pub fn accept(&mut self, listener: Listener) -> Option<TcpStream> {
+        let listening = self.socket_mut(listener);
+        let error = match listening.socket.accept() {
+            Ok((socket, _)) => return Some(socket),
+            Err(error) => error,
+        };
+        match error.kind() {
+            io::ErrorKind::Interrupted => {}
+            io::ErrorKind::WouldBlock => listening.is_pending = false,
+            // No free sockets, or an aborted connection.
+            _ => {
+                listening.is_pending = false;
+                self.has_failed = true;
+            }
+        }
+        None
+    }
+
+    /// Lets accepting be tried again if it has failed.
+    pub fn retry_failed(&mut self) {
+        if std::mem::take(&mut self.has_failed) {
+            self.front.is_pending = true;
+            self.peers.is_pending = true;
+        }
+    }
+}
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -1,26 +1,44 @@
-//! Sockets over `mio` and HTTP/1.1 over `httparse`: a server with two listeners, and a
-//! client with kept-open connections, on one event loop.
+//! Sockets over `mio` and HTTP/1.1 over `httparse`: a server with two listeners, and a client that
+//! keeps its connections open, on one event loop.
+//!
+//! [`EventLoop`] coordinates parts that each own their state:
+//!
+//! | module | responsibility |
+//! | --- | --- |
+//! | `listeners` | listening sockets, and whether connections wait to be accepted |
+//! | `connection_table` | all open connections, their counts and limits |
+//! | `connection` | one connection: a `buffered_stream` in the role of a server (`server_state`) or of a client (`client_state`) |
+//! | `read_queue` | which connection is read next under overload |
+//! | `client_pool` | idle client connections, and calls in progress |
+//! | `eviction` | least recently used connections, closed when places are short |
+//! | `idle_timeouts` | connections that have been idle for too long |
+//! | `http` | parsing and formatting of messages, without I/O |
 
+mod buffered_stream;
+mod client_pool;
+mod client_state;
 mod connection;
+mod connection_table;
 mod event_loop;
-mod http_client;
-mod http_server;
-mod idle;
-mod lru_connections;
+mod eviction;
+mod http;
+mod idle_timeouts;
+mod interval;
+mod limits;
+mod listeners;
+mod read_queue;
+mod server_state;
 pub mod status;
 
 use std::net::SocketAddr;
 
-pub use event_loop::{ConnectionLimits, EventLoop};
+pub use event_loop::EventLoop;
+pub use limits::ConnectionLimits;
 
-/// Largest body that a user, agent or controller may send.
+/// Largest body of a request, in bytes.
 pub const BODY_MAX: usize = 64 * 1024;
-/// Largest head of a request.
-const HEAD_MAX: usize = 8 * 1024;
-/// Largest head of a reply.
-const REPLY_HEAD_MAX: usize = 4 * HEAD_MAX;
 
-/// Where a request came in.
+/// The listener that has accepted a connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Listener {
     /// For users, agents and health checks.
@@ -29,7 +47,7 @@
     Peers,
 }
 
-/// A request that came in.
+/// A received request.
 #[derive(Debug)]
 pub struct Request {
     /// The HTTP method.
@@ -40,64 +58,64 @@
     pub body: Vec<u8>,
 }
 
-/// What a call came to.
+/// The outcome of a call.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Outcome {
-    /// An answer.
+    /// The other side has answered.
     Answer {
         /// The HTTP status.
         status: u16,
         /// The body.
         body: Vec<u8>,
     },
-    /// An answer that is larger than what may be held.
+    /// The answer is larger than allowed and was discarded.
     TooLarge,
-    /// No answer: it may have been carried out.
+    /// There was no answer; the request may have been carried out.
     NoAnswer,
-    /// No connection: nothing was sent.
+    /// No connection was established; the request was not sent.
     NotSent,
 }
 
-/// What came in.
+/// An event that a turn of the event loop returns.
 #[derive(Debug)]
 pub enum Event {
-    /// A request, to be answered on this connection.
+    /// A request was received.
     Request {
-        /// The connection.
+        /// The connection, on which the answer has to be given.
         connection: usize,
-        /// Where it came in.
+        /// The listener that has accepted the connection.
         listener: Listener,
         /// The request.
         request: Request,
     },
-    /// What a call came to.
+    /// A call has ended.
     Reply {
-        /// The call's tag.
+        /// The tag of the call.
         tag: u64,
-        /// What it came to.
+        /// The outcome.
         outcome: Outcome,
     },
 }
 
-/// What the core wants done.
+/// An action that the controller requests.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
     /// Answer a request.
     Answer {
-        /// The connection that it came on.
+        /// The connection on which the request was received.
         connection: usize,
         /// The HTTP status.
         status: u16,
-        /// When the sender is to come back, in seconds.
+        /// When the client should retry, in seconds.
         retry_after: Option<u32>,
         /// The body.
         body: Vec<u8>,
     },
     /// Send a request.
     Call {
-        /// Comes back with the outcome.
+        /// The tag that the outcome is returned with.
         tag: u64,
-        /// Where it goes.
+        /// The address to call.
         address: SocketAddr,
         /// The HTTP method.
         method: &'static str,
@@ -105,7 +123,7 @@
         path: String,
         /// The body.
         body: Vec<u8>,
-        /// When to give up.
+        /// The timeout, in milliseconds.
         timeout_ms: u64,
     },
 }
--- a/src/net/status.rs
+++ b/src/net/status.rs
@@ -1,24 +1,30 @@
-//! The HTTP statuses that the protocols give a meaning to.
+//! The HTTP statuses to which the protocols or this service give a meaning.
 
-/// Carried out.
+/// The request was carried out.
 pub const OK: u16 = 200;
 /// A job was accepted.
 pub const CREATED: u16 = 201;
-/// Malformed.
+/// The request is malformed.
 pub const BAD_REQUEST: u16 = 400;
-/// No such key, lease, job or path.
+/// There is no such key, grant, job or path.
 pub const NOT_FOUND: u16 = 404;
-/// Not this method on this path.
+/// The path does not support the method.
 pub const METHOD_NOT_ALLOWED: u16 = 405;
-/// A condition did not hold, or a fencing token is too low.
+/// A condition does not hold, or a fencing token is too low.
 pub const CONFLICT: u16 = 409;
-/// A watch begins before what the store remembers.
+/// A watch begins before the oldest change that the store keeps.
 pub const GONE: u16 = 410;
+/// A request body has no declared length.
+pub const LENGTH_REQUIRED: u16 = 411;
+/// A request body is too large.
+pub const BODY_TOO_LARGE: u16 = 413;
 /// Another controller handles heartbeats.
 pub const MISDIRECTED_REQUEST: u16 = 421;
 /// A job can never run.
 pub const UNPROCESSABLE: u16 = 422;
-/// Above a rate limit.
+/// A rate limit is exceeded.
 pub const TOO_MANY_REQUESTS: u16 = 429;
-/// Not now.
+/// The head of a request is too large.
+pub const HEAD_TOO_LARGE: u16 = 431;
+/// The request cannot be served at present.
 pub const UNAVAILABLE: u16 = 503;
