--- a/src/main.rs
+++ b/src/main.rs
@@ -45,7 +45,7 @@
     },
 }
 
-/// Why the program ends.
+/// Why the program ends with an error.
 #[derive(Debug, Error)]
 enum StartError {
     #[error("LOG_LEVEL: not a level: {0}")]
@@ -57,17 +57,34 @@
     #[error("duties: {0}")]
     Query(#[from] QueryError),
     #[error("duties: the report can't be written: {0}")]
-    AgentStatus(#[from] serde_json::Error),
+    Report(#[from] serde_json::Error),
 }
 
-fn log_level() -> Result<LevelFilter, StartError> {
-    match std::env::var("LOG_LEVEL") {
-        Err(_) => Ok(LevelFilter::INFO),
-        Ok(text) if text.is_empty() => Ok(LevelFilter::INFO),
-        Ok(text) => text.parse().map_err(|_| StartError::LogLevel(text)),
+fn main() -> ExitCode {
+    match run(Args::parse()) {
+        Ok(()) => ExitCode::SUCCESS,
+        Err(error) => {
+            eprintln!("gaugesill: {error}");
+            ExitCode::FAILURE
+        }
+    }
+}
+
+fn run(args: Args) -> Result<(), StartError> {
+    if let Some(Query::Duties { config, json }) = &args.command {
+        return show_duties(config, *json);
+    }
+    init_logging()?;
+    let (settings, operator) = load_settings(&args)?;
+    if args.check {
+        print_check(&settings);
+        return Ok(());
     }
+    gaugesill::serve::serve(settings, operator)?;
+    Ok(())
 }
 
+/// Prints who holds each duty, and the open orders.
 fn show_duties(config: &Path, as_json: bool) -> Result<(), StartError> {
     let report = read_report(&Settings::load(config)?)?;
     if as_json {
@@ -78,11 +95,8 @@
     Ok(())
 }
 
-fn run() -> Result<(), StartError> {
-    let args = Args::parse();
-    if let Some(Query::Duties { config, json }) = &args.command {
-        return show_duties(config, *json);
-    }
+/// Logs to standard error, as the platform collects it.
+fn init_logging() -> Result<(), StartError> {
     tracing_subscriber::fmt()
         .with_max_level(log_level()?)
         .with_writer(std::io::stderr)
@@ -90,30 +104,35 @@
         .without_time()
         .with_ansi(false)
         .init();
-    let config = args.config.unwrap_or_default();
-    let settings = Settings::load(&config)?;
+    Ok(())
+}
+
+/// The level that `LOG_LEVEL` names; `info` if it is unset or empty.
+fn log_level() -> Result<LevelFilter, StartError> {
+    match std::env::var("LOG_LEVEL") {
+        Err(_) => Ok(LevelFilter::INFO),
+        Ok(level) if level.is_empty() => Ok(LevelFilter::INFO),
+        Ok(level) => level.parse().map_err(|_| StartError::LogLevel(level)),
+    }
+}
+
+/// Loads both settings files and checks them against each other.
+fn load_settings(args: &Args) -> Result<(Settings, OperatorSettings), StartError> {
+    // The argument parser requires the option unless there is a subcommand.
+    let config = args.config.as_deref().unwrap_or(Path::new(""));
+    let settings = Settings::load(config)?;
     let operator = match &args.operator {
         Some(file) => OperatorSettings::load(file)?,
         None => OperatorSettings::default(),
     };
     operator.check_against(&settings)?;
-    if args.check {
-        println!("settings are fine");
-        for capacity in limit_capacities(&settings.cluster) {
-            println!("{capacity}");
-        }
-        return Ok(());
-    }
-    gaugesill::serve::serve(settings, operator)?;
-    Ok(())
+    Ok((settings, operator))
 }
 
-fn main() -> ExitCode {
-    match run() {
-        Ok(()) => ExitCode::SUCCESS,
-        Err(e) => {
-            eprintln!("gaugesill: {e}");
-            ExitCode::FAILURE
-        }
+/// Prints the result of `--check`: for how many machines the platform's limits suffice.
+fn print_check(settings: &Settings) {
+    println!("settings are fine");
+    for capacity in limit_capacities(&settings.cluster) {
+        println!("{capacity}");
     }
 }
