--- a/src/net/connection.rs
+++ b/src/net/connection.rs
@@ -108,7 +108,7 @@
         self.last_used
     }
 
-    /// Whether the connection has brought a heartbeat.
+    /// Whether the last request on a server connection was a heartbeat.
     pub fn is_agent(&self) -> bool {
         matches!(&self.role, Role::Server(state) if state.is_agent())
     }
@@ -167,7 +167,8 @@
         !self.stream.input().is_empty()
     }
 
-    /// Whether the other side has closed the connection and nothing is left to be sent.
+    /// Whether the other side has closed its sending direction, so that this side closes, too. A
+    /// request that awaits its answer behind earlier output still keeps the connection open.
     pub fn is_finished(&self) -> bool {
         let awaits_answer = matches!(&self.role, Role::Server(state) if state.awaits_answer());
         self.stream.is_read_closed() && (!awaits_answer || !self.stream.has_output())
