--- a/src/scheduler/arrivals.rs
+++ b/src/scheduler/arrivals.rs
@@ -1,31 +1,53 @@
-//! How often work of a class comes.
+//! How often jobs of a class arrive, estimated from the arrivals seen so far.
 
+use std::collections::BTreeMap;
 use std::sync::Arc;
 
 use crate::job::JobSpec;
 
-/// How far back arrivals count, in boot times.
+/// The time constant with which past arrivals decay, in boot times.
 const DECAY_BOOTS: f64 = 3.0;
-/// How long after the first job of a class others count as having been there
-/// with it, in boot times.
+/// Jobs that arrive within this many boot times of the first one of their class count as
+/// present from the start.
 const START_BOOTS: f64 = 0.25;
 
-/// How often tasks of a class come, the older the less they count.
+/// The arrival rates of all job classes.
+#[derive(Debug, Default)]
+pub(super) struct ArrivalRates {
+    by_class: BTreeMap<String, ArrivalRate>,
+}
+
+impl ArrivalRates {
+    /// Records that a job arrived at `at`, which may be earlier than the last one.
+    pub fn record(&mut self, spec: &Arc<JobSpec>, at: i64, boot_s: f64) {
+        self.by_class
+            .entry(spec.class.clone())
+            .or_insert_with(|| ArrivalRate::new(spec.clone(), at))
+            .record(spec, at, boot_s);
+    }
+
+    /// The rates in the order of the class names.
+    pub fn iter(&self) -> impl Iterator<Item = &ArrivalRate> {
+        self.by_class.values()
+    }
+}
+
+/// How often tasks of one class arrive, as an exponentially decaying average.
 #[derive(Debug)]
 pub(super) struct ArrivalRate {
-    /// What was asked for last.
+    /// The latest job of the class.
     pub spec: Arc<JobSpec>,
-    /// Tasks, faded as of `updated_at`.
+    /// Number of tasks, decayed as of `updated_at`.
     weight: f64,
     updated_at: i64,
-    /// When the first came. What comes with it was there before us, and says
-    /// nothing about how often work comes.
+    /// When the first job arrived. Jobs that arrive together with it were there before this
+    /// leader and say nothing about the rate.
     first_at: i64,
 }
 
 impl ArrivalRate {
-    /// No arrivals yet; the first job is known to come at `at`.
-    pub fn new(spec: Arc<JobSpec>, at: i64) -> ArrivalRate {
+    /// A rate without arrivals; the first job arrives at `at`.
+    fn new(spec: Arc<JobSpec>, at: i64) -> ArrivalRate {
         ArrivalRate {
             spec,
             weight: 0.0,
@@ -34,8 +56,7 @@
         }
     }
 
-    /// A job came at `at`, which may be earlier than the last one.
-    pub fn record(&mut self, spec: &Arc<JobSpec>, at: i64, boot_s: f64) {
+    fn record(&mut self, spec: &Arc<JobSpec>, at: i64, boot_s: f64) {
         self.first_at = self.first_at.min(at);
         if (at - self.first_at) as f64 <= START_BOOTS * boot_s * 1000.0 {
             return;
@@ -52,7 +73,7 @@
         self.spec = spec.clone();
     }
 
-    /// Tasks a second.
+    /// Tasks per second.
     pub fn per_second(&self, now: u64, boot_s: f64) -> f64 {
         let now = now as i64;
         let decay_s = DECAY_BOOTS * boot_s;
@@ -60,7 +81,7 @@
         let start_s = START_BOOTS * boot_s;
         let observed_s = (now - self.first_at) as f64 / 1000.0 - start_s;
         let observed_s = observed_s.max(2.0 * start_s);
-        // Not yet observed for as long as it would take to fade.
+        // The class may not have been observed for a whole decay time yet.
         let observed_share = 1.0 - (-observed_s / decay_s).exp();
         self.weight * (-age_s / decay_s).exp() / (decay_s * observed_share)
     }
--- a/src/scheduler/commands.rs
+++ b/src/scheduler/commands.rs
@@ -1,68 +1,62 @@
-//! The commands that go out in the answer to a heartbeat.
+//! The commands in the answer to a heartbeat.
 
-use super::job_state::StartDelivery;
+use super::job_state::{Placement, StartDelivery, StopRequest};
 use super::starts::start_command;
-use super::{to_ms, Scheduler, COMMANDS_MAX};
+use super::{to_ms, Job, Scheduler, COMMANDS_MAX};
 use crate::job::task_name;
-use crate::machine::{ExitCause, ExpectedEffect, Machine, ReportedTask, SentAnswer, TaskPhase};
+use crate::machine::{ExitCause, ExpectedEffect, Machine, ReportedTask, TaskPhase};
 use crate::wire::{self, AgentStatus, Command};
 
 /// A stop is not sent again within this time.
 const STOP_REPEAT_MS: u64 = 500;
 
-/// The commands of an answer, and what the next heartbeat shows if it was taken.
+/// The commands of an answer, and what the next heartbeat shows if it was received.
 #[derive(Default)]
 struct Answer {
     commands: Vec<Command>,
     expected: Vec<ExpectedEffect>,
 }
 
+impl Answer {
+    fn is_full(&self) -> bool {
+        self.commands.len() >= COMMANDS_MAX
+    }
+}
+
 impl Scheduler {
-    /// Commands for a machine whose heartbeat is being answered.
+    /// Commands for the answer to a heartbeat. `may_start`: this controller's lease is
+    /// certainly valid, so that it may start tasks.
     pub fn answer_commands(
         &mut self,
-        report: &AgentStatus,
+        status: &AgentStatus,
         may_start: bool,
         now: u64,
     ) -> Vec<Command> {
-        let Some(machine) = self.machines.get_mut(&report.machine) else {
+        let Some(machine) = self.machines.get_mut(&status.machine) else {
             return vec![];
         };
-        if (report.incarnation, report.serial) != (machine.incarnation, machine.serial) {
-            // An old report that arrives late: nobody waits for the answer.
+        if (status.incarnation, status.serial) != (machine.incarnation, machine.serial) {
+            // An old heartbeat that was delayed: its sender does not wait for the answer.
             return vec![];
         }
-        machine.heartbeat_answered_at = Some(now);
+        machine.on_heartbeat_answered(now);
         let name = machine.name.clone();
         let mut answer = Answer::default();
-        if report.epoch >= self.term.epoch {
+        if status.epoch >= self.term.epoch {
             self.add_clears(&name, &mut answer);
         } else {
-            // What was not taken in is not to be forgotten, either.
+            // Exits in a status without our epoch were not applied, so they are not cleared.
             let epoch = ExpectedEffect::Epoch(self.term.epoch);
             answer.expected.push(epoch);
         }
-        let direct = self.direct_commands.remove(&*name);
-        answer.commands.extend(direct.unwrap_or_default());
+        answer.commands.extend(self.direct_commands.take(&name));
         self.add_stops(&name, &mut answer, now);
         if may_start {
-            let delivery = StartDelivery::Answer {
-                incarnation: report.incarnation,
-                serial: report.serial,
-            };
-            for start in self.take_starts(&name, delivery, now) {
-                answer.commands.push(start_command(&start));
-                let started = ExpectedEffect::Started(start.job, start.task, start.attempt);
-                answer.expected.push(started);
-            }
+            self.add_starts(&name, status, &mut answer, now);
         }
         if !answer.expected.is_empty() {
             if let Some(machine) = self.machines.get_mut(&*name) {
-                machine.sent_answer = Some(SentAnswer {
-                    incarnation: report.incarnation,
-                    serial: report.serial,
-                    expected: answer.expected,
-                });
+                machine.expect_effects(status, answer.expected);
             }
         }
         answer.commands
@@ -70,23 +64,24 @@
 
     /// Clears exited tasks.
     fn add_clears(&self, name: &str, answer: &mut Answer) {
-        let reported = self
-            .machines
-            .get(name)
-            .map(|machine| &machine.reported_tasks);
-        for task in reported.into_iter().flatten() {
-            if !self.may_clear(task) || answer.commands.len() >= COMMANDS_MAX {
+        let Some(machine) = self.machines.get(name) else {
+            return;
+        };
+        for task in &machine.reported_tasks {
+            if !self.may_clear(task) || answer.is_full() {
                 continue;
             }
-            let name = task_name(&task.job, task.task);
-            let clear = wire::clear_command(name, task.attempt);
+            let clear = wire::clear_command(task_name(&task.job, task.task), task.attempt);
             answer.commands.push(clear);
-            let cleared = ExpectedEffect::Cleared(task.job.clone(), task.task, task.attempt);
-            answer.expected.push(cleared);
+            answer.expected.push(ExpectedEffect::Cleared {
+                job: task.job.clone(),
+                task: task.task,
+                attempt: task.attempt,
+            });
         }
     }
 
-    /// Whether a task has exited; if it is done, that is on record before the agent
+    /// Whether a task has exited; if it is done, that has to be recorded before the agent
     /// forgets it.
     fn may_clear(&self, task: &ReportedTask) -> bool {
         let TaskPhase::Exited(cause) = task.phase else {
@@ -99,21 +94,18 @@
     /// Repeats stops that have shown no effect.
     fn add_stops(&mut self, name: &str, answer: &mut Answer, now: u64) {
         let slack_s = 2.0 * self.cluster.workers.gang_peer_s;
-        let recorded = self.machines.get(name).map(|machine| &machine.bound_tasks);
-        for task in recorded.into_iter().flatten() {
+        let Some(machine) = self.machines.get(name) else {
+            return;
+        };
+        for task in &machine.bound_tasks {
+            if answer.is_full() {
+                return;
+            }
             let job = self.jobs.get_mut(&*task.job);
             let Some(placement) = job.and_then(|job| job.placement_mut(task.task)) else {
                 continue;
             };
-            let Some(stop) = &mut placement.stop else {
-                continue;
-            };
-            let stuck = now > stop.since + to_ms(stop.grace_s + slack_s);
-            let grace_s = if stuck { 0.0 } else { stop.grace_s };
-            let just_sent = stop.sent_at.is_some_and(|at| now < at + STOP_REPEAT_MS);
-            let is_checkpointing = placement.phase == Some(TaskPhase::Checkpointing);
-            if !just_sent && (stuck || !is_checkpointing) && answer.commands.len() < COMMANDS_MAX {
-                stop.sent_at = Some(now);
+            if let Some(grace_s) = repeat_stop(placement, slack_s, now) {
                 let name = task_name(&task.job, task.task);
                 let command = wire::stop_command(name, placement.attempt, grace_s);
                 answer.commands.push(command);
@@ -121,14 +113,44 @@
         }
     }
 
-    /// A task was done on a machine and that is not on record yet: if this leader ends
-    /// now, the machine's report is all that a successor has of it.
+    /// Starts tasks that are recorded.
+    fn add_starts(&mut self, name: &str, status: &AgentStatus, answer: &mut Answer, now: u64) {
+        let delivery = StartDelivery::Answer {
+            incarnation: status.incarnation,
+            serial: status.serial,
+        };
+        for start in self.take_starts(name, delivery, now) {
+            answer.commands.push(start_command(&start));
+            answer.expected.push(ExpectedEffect::Started {
+                job: start.job,
+                task: start.task,
+                attempt: start.attempt,
+            });
+        }
+    }
+
+    /// Whether a task was done on a machine and that is not recorded yet: if this leader ends
+    /// now, the machine's status is all that the next leader has of it.
     pub(super) fn has_unrecorded_result(&self, machine: &Machine) -> bool {
         machine.reported_tasks.iter().any(|task| {
-            let unrecorded =
-                |job: &super::Job| !job.cancelled && !job.committed_done.contains(task.task);
+            let is_unrecorded =
+                |job: &Job| !job.cancelled && !job.committed_done.contains(task.task);
             task.phase == TaskPhase::Exited(ExitCause::Done)
-                && self.jobs.get(&task.job).is_some_and(unrecorded)
+                && self.jobs.get(&task.job).is_some_and(is_unrecorded)
         })
     }
 }
+
+/// The grace period with which to repeat the stop of a task, if it is to be repeated: in
+/// seconds, 0 once the task should have exited long ago. The stop then counts as sent.
+fn repeat_stop(placement: &mut Placement, slack_s: f64, now: u64) -> Option<f64> {
+    let is_checkpointing = placement.phase == Some(TaskPhase::Checkpointing);
+    let stop: &mut StopRequest = placement.stop.as_mut()?;
+    let is_stuck = now > stop.since + to_ms(stop.grace_s + slack_s);
+    let is_just_sent = stop.sent_at.is_some_and(|at| now < at + STOP_REPEAT_MS);
+    if is_just_sent || (is_checkpointing && !is_stuck) {
+        return None;
+    }
+    stop.sent_at = Some(now);
+    Some(if is_stuck { 0.0 } else { stop.grace_s })
+}
--- a/src/scheduler/decisions.rs
+++ b/src/scheduler/decisions.rs
@@ -5,40 +5,34 @@
 
 use tracing::{debug, info};
 
+use super::job_state::TaskKey;
+use super::record_capacity::TaskBinding;
+use super::snapshots::PlanTime;
 use super::{to_ms, Job, Placement, Scheduler};
-use crate::job::{json_length, TaskRun, PACKED_FORMAT};
 use crate::machine::Machine;
 use crate::plan::{
     is_allowed, Decision, PlannedPlacement, PlannedReservation, Reservation, Resources, TeamView,
 };
 
-/// The numbers and marks that a packed run may take beside a name, and what a record's
-/// counters may grow by.
-const LONGEST_RUN_BYTES: usize = 16;
-const COUNTERS_BYTES: usize = 40;
-/// Runs that make up for the rest of a record where nothing is measured, and the part of a
-/// value that they may take then.
-const UNMEASURED_RUNS: usize = 40;
-const UNMEASURED_PART: usize = 4;
-/// What is left of an array's new places if they don't fit into the record.
+/// The share (numerator and denominator) of an array's new placements that is tried next if
+/// they do not fit into its record.
 const FITTING_SHARE: (usize, usize) = (3, 4);
 /// Longest backoff, as a power of two, in failed cycles.
 const FAILED_CYCLES_MAX: u32 = 8;
 
 impl Scheduler {
-    /// Carries out what was planned, as far as it still holds.
-    /// `calls`: how many provisioning requests may be asked for now.
+    /// Applies a decision of the planner, as far as it still holds: the state may have changed
+    /// since the snapshot. `calls`: at most how many provisioning requests may be sent now.
+    /// `wall_ms`: the time of day, in milliseconds.
     pub fn apply_decision(&mut self, decision: Decision, calls: usize, now: u64, wall_ms: u64) {
         let mut teams = self.team_views();
         for placement in &decision.placements {
             self.apply_placement(placement, &mut teams, now);
         }
         for stop in &decision.stops {
-            info!(
-                "{}/{} makes room for {}",
-                stop.job, stop.task, stop.preemptor
-            );
-            self.stop_gracefully(&stop.job, stop.task, now);
+            let task = TaskKey::new(&stop.job, stop.task);
+            info!(%task, preemptor = %stop.preemptor, "preempting task");
+            self.stop_gracefully(&task, now);
         }
         for reservation in decision.reservations {
             self.apply_reservation(reservation, now);
@@ -56,7 +50,7 @@
                 machine.needed_at = now;
             }
         }
-        self.scale_out(&decision.unmet, calls, now, wall_ms);
+        self.scale_out(&decision.unmet, calls, PlanTime { now, wall_ms });
     }
 
     fn apply_reservation(&mut self, reservation: PlannedReservation, now: u64) {
@@ -77,7 +71,7 @@
         job.reserved_at = now;
     }
 
-    /// The KEP's standard backoff: from a second on it doubles up to a cap.
+    /// The KEP's standard backoff: it starts at a second and doubles up to a cap.
     fn back_off(&mut self, id: &str, now: u64) {
         let max_s = self.operator.backoff_max_s;
         if let Some(job) = self.jobs.get_mut(id) {
@@ -101,34 +95,27 @@
             return;
         }
         let team = teams.get(&job.spec.team).cloned().unwrap_or_default();
-        let mut tasks = self.valid_tasks(job, planned, &team, now);
-        if is_gang && tasks.len() < planned.tasks.len() {
+        let valid = self.valid_bindings(job, planned, &team, now);
+        if is_gang && valid.len() < planned.tasks.len() {
             return;
         }
-        // As many as its record holds.
-        while !tasks.is_empty() && !self.fits_record(job, &tasks) {
-            if is_gang {
-                return;
-            }
-            let (part, whole) = FITTING_SHARE;
-            tasks.truncate(tasks.len() * part / whole);
-        }
-        if tasks.is_empty() {
+        let bindings = self.fitting_bindings(job, valid);
+        if bindings.is_empty() {
             return;
         }
         let view = teams.entry(job.spec.team.clone()).or_insert(team);
-        view.add_tasks(Resources::of(&job.spec), tasks.len());
-        self.record_placements(&planned.job, tasks, now);
+        view.add_tasks(Resources::of(&job.spec), bindings.len());
+        self.record_placements(&planned.job, bindings, now);
     }
 
-    /// Those of the planned tasks that still may have their places.
-    fn valid_tasks(
+    /// Those of the planned tasks that may still be bound to their machines.
+    fn valid_bindings(
         &self,
         job: &Job,
         planned: &PlannedPlacement,
         team: &TeamView,
         now: u64,
-    ) -> Vec<(u32, Arc<str>)> {
+    ) -> Vec<TaskBinding> {
         let demand = Resources::of(&job.spec);
         let mut team = team.clone();
         let mut free: HashMap<&str, Resources> = HashMap::new();
@@ -150,7 +137,10 @@
             let is_pending = !job.done.contains(*task) && job.placement(*task).is_none();
             if is_pending && team.allows(demand) {
                 team.add_tasks(demand, 1);
-                valid.push((*task, name.clone()));
+                valid.push(TaskBinding {
+                    task: *task,
+                    machine: name.clone(),
+                });
             }
         }
         valid
@@ -161,37 +151,20 @@
         self.is_placeable(machine, now) && is_allowed(&job.spec, machine_type, zone, machine.spot)
     }
 
-    /// Whether a job's record has capacity for these places, too, whatever of it ends
-    /// first. Nothing is measured where there is capacity for the worst beside the longest
-    /// lists that a submission may have, or the form of records allows for it in advance
-    /// (`runs_max`).
-    fn fits_record(&self, job: &Job, more: &[(u32, Arc<str>)]) -> bool {
-        // Before the limits fall, too: a record stored by then has to be written again, if
-        // only because its job is cancelled.
-        let state = &self.cluster.state;
-        let value_bytes = (state.lowered().value_kb * 1024.0) as usize;
-        let longest_name = more.iter().map(|(_, name)| name.len()).max().unwrap_or(0);
-        let runs = job.placements.len() + more.len();
-        let limit_falls = self.format >= PACKED_FORMAT || state.next.is_some();
-        let worst_bytes = (runs + UNMEASURED_RUNS) * (longest_name + LONGEST_RUN_BYTES);
-        if !limit_falls || worst_bytes < value_bytes / UNMEASURED_PART {
-            return true;
-        }
-        let mut record = job.to_record(self.term.epoch);
-        let mut more: Vec<&(u32, Arc<str>)> = more.iter().collect();
-        more.sort_unstable();
-        for (task, name) in more {
-            let run = TaskRun::single(*task, job.next_attempt, &**name);
-            record.runs.push(run);
+    /// As many of the bindings as the job's record has capacity for; of a gang, all or none.
+    fn fitting_bindings(&self, job: &Job, mut bindings: Vec<TaskBinding>) -> Vec<TaskBinding> {
+        let epoch = self.term.epoch;
+        while !bindings.is_empty() && !self.record_capacity.fits(job, &bindings, epoch) {
+            if job.is_gang() {
+                return vec![];
+            }
+            let (numerator, denominator) = FITTING_SHARE;
+            bindings.truncate(bindings.len() * numerator / denominator);
         }
-        record.runs.sort_by_key(|run| run.first);
-        // Ends scattered over the tasks, and counters that grow.
-        let ends_bytes = (job.spec.tasks as usize / 4).min(LONGEST_RUN_BYTES * runs);
-        let record_bytes = json_length(&record.to_value(PACKED_FORMAT));
-        record_bytes + ends_bytes + COUNTERS_BYTES <= value_bytes
+        bindings
     }
 
-    fn record_placements(&mut self, id: &Arc<str>, tasks: Vec<(u32, Arc<str>)>, now: u64) {
+    fn record_placements(&mut self, id: &Arc<str>, bindings: Vec<TaskBinding>, now: u64) {
         self.release_reservations(id);
         let Some(job) = self.jobs.get_mut(&**id) else {
             return;
@@ -203,10 +176,10 @@
         job.next_attempt += 1;
         let change = job.record_change(now);
         job.urgent_change = change;
-        self.update_write_state(id);
-        debug!("placing {id} attempt {attempt}: {tasks:?}");
-        for (task, machine) in tasks {
-            let placement = Placement::new(task, attempt, machine, change, now);
+        self.dirty_jobs.update(job);
+        debug!(job = %id, attempt, ?bindings, "placing tasks");
+        for binding in bindings {
+            let placement = Placement::new(binding.task, attempt, binding.machine, change, now);
             self.add_placement(id, placement, now);
         }
     }
--- a/src/scheduler/dependency_links.rs
+++ b/src/scheduler/dependency_links.rs
@@ -7,7 +7,7 @@
 
 use super::{Job, Scheduler};
 
-/// The dependents of live jobs.
+/// The dependents of live jobs, by the id of the dependency.
 #[derive(Debug, Default)]
 pub(super) struct DependencyLinks {
     dependents: HashMap<String, Vec<Arc<str>>>,
@@ -25,6 +25,7 @@
         }
     }
 
+    /// Removes a job that is no longer live from its dependencies.
     pub fn remove(&mut self, job: &Job) {
         for dependency in &job.spec.dependencies {
             if let Some(dependents) = self.dependents.get_mut(dependency) {
@@ -38,20 +39,19 @@
 }
 
 impl Scheduler {
-    /// All dependencies of a job are done, and that is on record. `at`: time of day.
+    /// All dependencies of a job are recorded as done since the time of day `at`.
     pub fn dependencies_done(&mut self, id: &str, at: u64) {
         if let Some(job) = self.jobs.get_mut(id).filter(|job| job.is_waiting) {
-            debug!("{id} is ready");
+            debug!(job = id, "job is ready");
             job.is_waiting = false;
             job.ready_at = job.submitted_at.max(at);
             self.retry_backed_off();
         }
     }
 
-    /// A new job takes its place among its dependencies and dependents. A dependency is as
-    /// urgent as the job itself, and due in time for the job's own run: so the deadline of
-    /// a chain's last job, whenever it comes, orders all before it by what is left of the
-    /// critical path.
+    /// Links a new job with its dependencies and dependents. A dependency is as urgent as the
+    /// job itself, and due in time for the job's own run: so the deadline of a chain's last
+    /// job, whenever it arrives, orders all jobs before it by the remaining critical path.
     pub(super) fn link_dependencies(&mut self, id: &str) {
         let Some(job) = self.jobs.get(id) else { return };
         let mut pending = self.dependency_links.dependents_of(id);
@@ -70,21 +70,18 @@
             return vec![];
         };
         let spec = job.spec.clone();
-        let submitted_s = job.submitted_at as f64 / 1000.0;
-        let own_due_s = spec.deadline_s.map(|deadline_s| submitted_s + deadline_s);
-        let due_s = [own_due_s, job.due_at_s].into_iter().flatten();
-        let due_s = due_s.reduce(f64::min).map(|due_s| due_s - spec.expected_s);
+        let due_s = latest_start_s(job);
         let mut changed = Vec::new();
         for dependency in &spec.dependencies {
             let Some(job) = self.jobs.get_mut(dependency) else {
                 continue;
             };
-            let sooner = due_s.is_some_and(|due_s| job.due_at_s.is_none_or(|old| due_s < old));
-            if sooner {
+            let is_sooner = due_s.is_some_and(|due_s| job.due_at_s.is_none_or(|old| due_s < old));
+            let is_more_urgent = job.spec.priority < spec.priority;
+            if is_sooner {
                 job.due_at_s = due_s;
             }
-            let more_urgent = job.spec.priority < spec.priority;
-            if more_urgent {
+            if is_more_urgent {
                 Arc::make_mut(&mut job.spec).priority = spec.priority;
                 for placement in &job.placements {
                     if let Some(machine) = self.machines.get_mut(&*placement.machine) {
@@ -92,7 +89,7 @@
                     }
                 }
             }
-            if sooner || more_urgent {
+            if is_sooner || is_more_urgent {
                 changed.push(job.id.clone());
                 self.needs_planning = true;
             }
@@ -100,3 +97,16 @@
         changed
     }
 }
+
+/// When a job has to start to meet its deadlines, in seconds of the time of day.
+fn latest_start_s(job: &Job) -> Option<f64> {
+    let submitted_s = job.submitted_at as f64 / 1000.0;
+    let own_due_s = job
+        .spec
+        .deadline_s
+        .map(|deadline_s| submitted_s + deadline_s);
+    let due_s = [own_due_s, job.due_at_s].into_iter().flatten();
+    due_s
+        .reduce(f64::min)
+        .map(|due_s| due_s - job.spec.expected_s)
+}
--- a/src/scheduler/dirty_jobs.rs
+++ b/src/scheduler/dirty_jobs.rs
@@ -1,51 +1,79 @@
-//! Which jobs have changes that are not on record, so that no event looks at all jobs.
+//! Index of the jobs with changes that are not recorded, so that no event has to examine all
+//! jobs.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-use super::job_state::WriteState;
-use super::Scheduler;
+use super::job_state::{Job, WriteState};
 
-/// Jobs with changes that are not on record and not being written.
+/// Jobs with changes that are neither recorded nor being written.
+///
+/// Each job stands where its own `write_state` says; [`DirtyJobs::update`] keeps both equal.
 #[derive(Debug, Default)]
 pub(super) struct DirtyJobs {
-    /// Jobs whose changes go out at once.
-    pub urgent: BTreeSet<Arc<str>>,
-    /// Jobs whose changes may wait, by since when they do.
-    pub deferred: BTreeSet<(u64, Arc<str>)>,
+    /// Jobs whose changes are written at once.
+    urgent: BTreeSet<Arc<str>>,
+    /// Jobs whose changes may wait, by the time since when they do.
+    deferred: BTreeSet<(u64, Arc<str>)>,
+    /// How many jobs were considered for writing.
+    considered: u64,
 }
 
 impl DirtyJobs {
-    /// Takes a job out of where it stands.
-    pub fn remove(&mut self, id: &Arc<str>, slot: WriteState) {
-        match slot {
+    /// Brings the index up to date with a job whose changes, or their being recorded, have
+    /// changed.
+    pub fn update(&mut self, job: &mut Job) {
+        let required = job.required_write_state();
+        if required != job.write_state {
+            self.remove(job);
+            self.insert(&job.id, required);
+            job.write_state = required;
+        }
+    }
+
+    /// Removes a job that is no longer live.
+    pub fn remove(&mut self, job: &Job) {
+        match job.write_state {
             WriteState::None => false,
-            WriteState::Urgent => self.urgent.remove(id),
-            WriteState::Deferred(since) => self.deferred.remove(&(since, id.clone())),
+            WriteState::Urgent => self.urgent.remove(&job.id),
+            WriteState::Deferred(since) => self.deferred.remove(&(since, job.id.clone())),
         };
     }
 
-    fn insert(&mut self, id: &Arc<str>, slot: WriteState) {
-        match slot {
+    fn insert(&mut self, id: &Arc<str>, state: WriteState) {
+        match state {
             WriteState::None => false,
             WriteState::Urgent => self.urgent.insert(id.clone()),
             WriteState::Deferred(since) => self.deferred.insert((since, id.clone())),
         };
     }
-}
 
-impl Scheduler {
-    /// Brings the index up to date with a job whose changes, or their being on record, have
-    /// changed.
-    pub(super) fn update_write_state(&mut self, id: &str) {
-        let Some(job) = self.jobs.get_mut(id) else {
-            return;
+    /// The jobs to write now: all urgent ones, and up to `spare_writes` of those that have
+    /// waited for `max_wait_ms`, longest first. `may_write` tells whether a job's record may
+    /// be written now.
+    pub fn due(
+        &mut self,
+        may_write: impl Fn(&str) -> bool,
+        spare_writes: usize,
+        max_wait_ms: u64,
+        now: u64,
+    ) -> Vec<Arc<str>> {
+        let mut considered = 0;
+        let mut may_write = |id: &&Arc<str>| {
+            considered += 1;
+            may_write(id)
         };
-        let wanted = job.required_write_state();
-        if wanted != job.write_state {
-            self.dirty_jobs.remove(&job.id, job.write_state);
-            self.dirty_jobs.insert(&job.id, wanted);
-            job.write_state = wanted;
-        }
+        let urgent = self.urgent.iter();
+        let mut due: Vec<Arc<str>> = urgent.filter(&mut may_write).cloned().collect();
+        let deferred = self.deferred.iter();
+        let waited = deferred.take_while(|(since, _)| now >= since + max_wait_ms);
+        let waited = waited.map(|(_, id)| id).filter(&mut may_write);
+        due.extend(waited.take(spare_writes).cloned());
+        self.considered += considered;
+        due
+    }
+
+    pub fn considered(&self) -> u64 {
+        self.considered
     }
 }
--- a/src/scheduler/machine_list.rs
+++ b/src/scheduler/machine_list.rs
@@ -1,49 +1,35 @@
-//! What the cloud's list shows, and confirmed deletions.
+//! Applying the cloud's machine list, and the outcome of terminations.
 
 use std::collections::HashSet;
 
+use super::job_state::TaskKey;
 use super::scale_in::TERMINATION_RETRY_MS;
 use super::{to_ms, Scheduler};
 use crate::machine::{CloudStatus, Machine};
 use crate::wire::ListedMachine;
 
-/// For how long deleted machines are remembered, beyond what the list lags: reports of
-/// machines that are gone may come minutes late.
-const TERMINATED_MEMORY_MS: u64 = 600_000;
 /// Added to twice the list's usual lag.
 const LAG_MARGIN_MS: u64 = 1000;
 
 impl Scheduler {
-    /// Takes in a whole list, asked for at `asked_at`.
+    /// Applies a complete list that was requested at `asked_at`.
     pub fn on_machine_list(&mut self, list: &[ListedMachine], asked_at: u64, now: u64) {
         let lag_ms = 2 * to_ms(self.cluster.cloud.list_lag_s) + LAG_MARGIN_MS;
         self.has_machine_list = true;
         let mut names = HashSet::new();
         for listed in list {
             names.insert(listed.name.as_str());
-            // What was deleted is gone for good; the list lags.
-            if !self.terminated_machines.contains_key(&listed.name) {
+            // What was deleted stays deleted; the list lags.
+            if !self.terminations.is_confirmed(&listed.name) {
                 self.apply_listed(listed, now);
             }
         }
         for machine in self.machines.values_mut() {
-            let was_listed = !matches!(
-                machine.cloud_status,
-                CloudStatus::NotListed | CloudStatus::Gone
-            );
-            let known_for_long = machine.known_since + 2 * lag_ms < asked_at
-                || machine.cloud_status == CloudStatus::Running;
-            if !names.contains(&*machine.name)
-                && was_listed
-                && known_for_long
-                && machine.known_since + lag_ms < asked_at
-            {
+            if !names.contains(&*machine.name) && should_be_listed(machine, lag_ms, asked_at) {
                 machine.cloud_status = CloudStatus::Gone;
             }
         }
-        let memory_ms = 4 * lag_ms + TERMINATED_MEMORY_MS;
-        self.terminated_machines
-            .retain(|_, at| now < *at + memory_ms);
+        self.terminations.forget_old(lag_ms, now);
         self.needs_planning = true;
     }
 
@@ -72,8 +58,8 @@
         };
     }
 
-    /// The cloud has answered a deletion. If it confirms it, the machines and all on them
-    /// are gone.
+    /// The cloud has answered a deletion. If it confirms it, the machines and all tasks on
+    /// them are gone.
     pub fn on_termination_outcome(&mut self, names: &[String], confirmed: bool, now: u64) {
         for name in names {
             if confirmed {
@@ -86,23 +72,35 @@
     }
 
     fn remove_machine(&mut self, name: &str, now: u64) {
-        self.terminated_machines.insert(name.to_string(), now);
-        self.recorded_terminations.remove(name);
-        self.direct_commands.remove(name);
-        self.startable.remove(name);
+        self.terminations.confirm(name, now);
+        self.direct_commands.take(name);
+        self.starts.remove(name);
         let Some(machine) = self.machines.get_mut(name) else {
             return;
         };
-        let recorded = std::mem::take(&mut machine.bound_tasks);
+        let bound_tasks = std::mem::take(&mut machine.bound_tasks);
         let reservations = std::mem::take(&mut machine.reservations);
-        for task in recorded {
-            self.remove_placement(&task.job, task.task, now);
+        for task in bound_tasks {
+            self.remove_placement(&TaskKey::new(&task.job, task.task), now);
         }
-        for held in reservations {
-            self.release_reservations(&held.job);
+        for reservation in reservations {
+            self.release_reservations(&reservation.job);
         }
         self.machines.remove(name);
-        self.quota_cache.on_change();
+        self.quota_cache.invalidate();
         self.needs_planning = true;
     }
 }
+
+/// Whether a machine would be in a list requested at `asked_at` if it still existed. It was
+/// listed before; and since an older list may follow a newer one, it must have been known, or
+/// been running, for longer than the list lags.
+fn should_be_listed(machine: &Machine, lag_ms: u64, asked_at: u64) -> bool {
+    let was_listed = !matches!(
+        machine.cloud_status,
+        CloudStatus::NotListed | CloudStatus::Gone
+    );
+    let is_settled =
+        machine.known_since + 2 * lag_ms < asked_at || machine.cloud_status == CloudStatus::Running;
+    was_listed && is_settled && machine.known_since + lag_ms < asked_at
+}
--- a/src/scheduler/machine_views.rs
+++ b/src/scheduler/machine_views.rs
@@ -1,38 +1,47 @@
-//! What the planner sees of machines.
+//! The planner's view of machines.
 
 use std::collections::HashSet;
 use std::sync::Arc;
 
+use super::snapshots::PlanTime;
 use super::Scheduler;
 use crate::cloud;
-use crate::machine::Machine;
+use crate::machine::{BoundTask, Machine};
 use crate::plan::{lowest_priority, MachineView, Resources, TaskView};
 use crate::wire::MachineType;
 
-/// What stopping a task wastes that never saves, beside its progress.
+/// What stopping a task that never saves costs, beside its progress.
 const STOP_COST_S: f64 = 1.0;
 
+/// The views of all machines.
+pub(super) struct MachineViews {
+    /// The machines that may get tasks.
+    pub views: Vec<Arc<MachineView>>,
+    /// The names of those that no gang may rely on.
+    pub unreliable: HashSet<Arc<str>>,
+}
+
 impl Scheduler {
-    /// Whether new work may go to a machine. It must have been heard with our
-    /// epoch: a report that shows an older one may be a late copy of a machine
-    /// that is gone, or come from one that our answers don't reach.
+    /// Whether tasks may be placed on a machine. It must have been heard with our epoch: a
+    /// status that shows an older one may be a late copy from a machine that no longer exists,
+    /// or come from one that our answers do not reach.
     pub(super) fn is_placeable(&self, machine: &Machine, now: u64) -> bool {
         let silence_tolerance_ms = self.silence_tolerance_ms();
-        let came_at = machine.last_heartbeat_at.or(machine.up_since).unwrap_or(0);
+        let last_heartbeat_at = machine.last_heartbeat_at.or(machine.up_since).unwrap_or(0);
         machine.is_retained()
             && !machine.is_dead()
-            && !self.recorded_terminations.contains(&*machine.name)
+            && !self.terminations.is_recorded(&machine.name)
             && machine.last_status_at.is_some()
             && machine.epoch >= self.term.epoch
             && machine.ineffective_answers == 0
-            && !machine.reachability_unverified
+            && !machine.is_reachability_unverified()
             && self.silent_ms(machine, now) <= silence_tolerance_ms
-            && now.saturating_sub(came_at.max(self.began_at)) <= silence_tolerance_ms
+            && now.saturating_sub(last_heartbeat_at.max(self.began_at)) <= silence_tolerance_ms
     }
 
-    /// Free resources of a machine, everything counted that may be on it.
+    /// The free resources of a machine; every task that may be on it counts as used.
     pub(super) fn free_resources(&self, machine: &Machine) -> Resources {
-        let Some(machine_type) = self.machine_type(&machine.machine_type) else {
+        let Some(machine_type) = self.catalog.machine_type(&machine.machine_type) else {
             return Resources::default();
         };
         let mut free = cloud::capacity(machine_type);
@@ -42,20 +51,15 @@
         for orphan in machine.orphans() {
             match self.jobs.get(&orphan.job) {
                 Some(job) => free.sub(Resources::of(&job.spec)),
-                // Its size is not known any more: nothing fits beside it.
+                // Its size is no longer known: nothing may be placed beside it.
                 None => free = Resources::default(),
             }
         }
         free
     }
 
-    /// Views of the machines that may have work; those that have not changed are kept. With
-    /// them the names of those that no gang may count on.
-    pub(super) fn machine_views(
-        &mut self,
-        now: u64,
-        now_s: f64,
-    ) -> (Vec<Arc<MachineView>>, HashSet<Arc<str>>) {
+    /// The views of all machines; those of machines that have not changed are reused.
+    pub(super) fn machine_views(&mut self, time: PlanTime) -> MachineViews {
         let mut views = Vec::with_capacity(self.machines.len());
         let mut renewed = Vec::new();
         let mut unreliable = HashSet::new();
@@ -64,13 +68,13 @@
                 unreliable.insert(machine.name.clone());
                 continue;
             }
-            if !self.is_placeable(machine, now) {
+            if !self.is_placeable(machine, time.now) {
                 continue;
             }
             if let Some(view) = &machine.view {
                 views.push(view.clone());
-            } else if let Some(machine_type) = self.machine_type(&machine.machine_type) {
-                let view = Arc::new(self.view_of_machine(machine, machine_type, now, now_s));
+            } else if let Some(machine_type) = self.catalog.machine_type(&machine.machine_type) {
+                let view = Arc::new(self.view_of_machine(machine, machine_type, time));
                 renewed.push((name.clone(), view.clone()));
                 views.push(view);
             }
@@ -80,44 +84,23 @@
                 machine.view = Some(view);
             }
         }
-        (views, unreliable)
+        MachineViews { views, unreliable }
     }
 
-    pub(super) fn view_of_machine(
+    fn view_of_machine(
         &self,
         machine: &Machine,
         machine_type: &MachineType,
-        now: u64,
-        now_s: f64,
+        time: PlanTime,
     ) -> MachineView {
-        let seconds_of = |at: u64| now_s - now.saturating_sub(at) as f64 / 1000.0;
-        let tasks: Vec<TaskView> = machine
-            .bound_tasks
-            .iter()
-            .filter_map(|task| {
-                let (job, placement) = self.placement_of(task)?;
-                let has_checkpoints = job.spec.checkpoint_interval_s > 0.0;
-                let running_since = placement.running_since.filter(|_| !has_checkpoints);
-                Some(TaskView {
-                    job: task.job.clone(),
-                    task: task.task,
-                    resources: task.resources,
-                    priority: job.spec.priority,
-                    team: job.spec.team.as_str().into(),
-                    stoppable: placement.stop.is_none(),
-                    stop_cost_s: if has_checkpoints {
-                        job.spec.checkpoint_grace_s
-                    } else {
-                        STOP_COST_S
-                    },
-                    running_since_s: running_since.map(seconds_of),
-                })
-            })
+        let bound_tasks = machine.bound_tasks.iter();
+        let tasks: Vec<TaskView> = bound_tasks
+            .filter_map(|task| self.view_of_task(task, time))
             .collect();
         MachineView {
             name: machine.name.clone(),
-            machine_type: self.interned_name(&machine.machine_type),
-            zone: self.interned_name(&machine.zone),
+            machine_type: self.catalog.interned_name(&machine.machine_type),
+            zone: self.catalog.interned_name(&machine.zone),
             spot: machine.spot,
             total: cloud::capacity(machine_type),
             free: self.free_resources(machine),
@@ -129,11 +112,30 @@
         }
     }
 
+    fn view_of_task(&self, task: &BoundTask, time: PlanTime) -> Option<TaskView> {
+        let (job, placement) = self.placement_of(task)?;
+        let has_checkpoints = job.spec.checkpoint_interval_s > 0.0;
+        let running_since = placement.running_since.filter(|_| !has_checkpoints);
+        Some(TaskView {
+            job: task.job.clone(),
+            task: task.task,
+            resources: task.resources,
+            priority: job.spec.priority,
+            team: job.spec.team.as_str().into(),
+            stoppable: placement.stop.is_none(),
+            stop_cost_s: if has_checkpoints {
+                job.spec.checkpoint_grace_s
+            } else {
+                STOP_COST_S
+            },
+            running_since_s: running_since.map(|at| time.wall_s_of(at)),
+        })
+    }
+
     /// Images that a machine has or fetches: what is being fetched for one task serves the
     /// next, too.
-    pub(super) fn present_images(&self, machine: &Machine) -> Vec<Arc<str>> {
-        let cached = machine.images.iter().map(|image| image.name.clone());
-        let mut images: Vec<Arc<str>> = cached.collect();
+    fn present_images(&self, machine: &Machine) -> Vec<Arc<str>> {
+        let mut images: Vec<Arc<str>> = machine.images.names().cloned().collect();
         for task in &machine.bound_tasks {
             if let Some(job) = self.jobs.get(&*task.job) {
                 if !images.iter().any(|image| **image == *job.spec.image) {
@@ -143,10 +145,4 @@
         }
         images
     }
-
-    /// One copy of a name that many machines have.
-    pub(super) fn interned_name(&self, name: &Arc<str>) -> Arc<str> {
-        let known = self.interned_names.iter().find(|known| *known == name);
-        known.unwrap_or(name).clone()
-    }
 }
--- a/src/scheduler/placements.rs
+++ b/src/scheduler/placements.rs
@@ -1,19 +1,19 @@
-//! Which tasks may be on which machine, and stopping them.
+//! Which tasks are bound to which machine, and stopping them.
 
 use std::sync::Arc;
 
-use super::job_state::StopRequest;
+use super::job_state::{StopRequest, TaskKey};
 use super::{Job, Placement, Scheduler};
-use crate::job::{task_name, Shape};
+use crate::job::Shape;
 use crate::machine::{BoundTask, Machine};
 use crate::plan::Resources;
 use crate::wire;
 
-/// Added to the time that a task needs to save when it is stopped.
+/// Added to the time that a task needs to save a checkpoint when it is stopped.
 const CHECKPOINT_MARGIN_S: f64 = 0.5;
 
 impl Scheduler {
-    /// A task gets a place: the job and the machine know of it from here on.
+    /// Binds a task to a machine, on both the job and the machine.
     pub(super) fn add_placement(&mut self, id: &str, placement: Placement, now: u64) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
@@ -33,34 +33,35 @@
         machine.idle_since = None;
         machine.view = None;
         job.placements.push(placement);
-        self.quota_cache.on_change();
+        self.quota_cache.invalidate();
     }
 
-    /// A task's place is proven empty.
-    pub(super) fn remove_placement(&mut self, id: &str, task: u32, now: u64) {
-        let Some(job) = self.jobs.get_mut(id) else {
+    /// Removes a placement whose task is certainly not on its machine.
+    pub(super) fn remove_placement(&mut self, task: &TaskKey, now: u64) {
+        let Some(job) = self.jobs.get_mut(&*task.job) else {
             return;
         };
-        let Some(index) = job.placements.iter().position(|p| p.task == task) else {
+        let mut placements = job.placements.iter();
+        let Some(index) = placements.position(|placement| placement.task == task.task) else {
             return;
         };
         let placement = job.placements.remove(index);
         job.record_change(now);
-        self.update_write_state(id);
-        self.quota_cache.on_change();
+        self.dirty_jobs.update(job);
+        self.quota_cache.invalidate();
         if let Some(machine) = self.machines.get_mut(&*placement.machine) {
-            machine.unbind(id, Some(task));
+            machine.unbind(&task.job, Some(task.task));
         }
         self.retry_backed_off();
     }
 
-    /// The job and the placement of a task that a machine has on record.
-    pub(super) fn placement_of(&self, recorded: &BoundTask) -> Option<(&Job, &Placement)> {
-        let job = self.jobs.get(&*recorded.job)?;
-        Some((job, job.placement(recorded.task)?))
+    /// The job and the placement of a bound task.
+    pub(super) fn placement_of(&self, bound_task: &BoundTask) -> Option<(&Job, &Placement)> {
+        let job = self.jobs.get(&*bound_task.job)?;
+        Some((job, job.placement(bound_task.task)?))
     }
 
-    /// Gives up the capacity that is held for a job.
+    /// Releases the capacity that is reserved for a job.
     pub(super) fn release_reservations(&mut self, id: &str) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
@@ -84,25 +85,24 @@
         if job.placements.is_empty() {
             job.record_change(now);
         }
-        let tasks: Vec<u32> = job.placements.iter().map(|p| p.task).collect();
-        self.update_write_state(id);
-        for task in tasks {
-            self.stop_task(id, task, 0.0, now);
+        self.dirty_jobs.update(job);
+        for task in job.placed_tasks() {
+            self.stop_task(&task, 0.0, now);
         }
     }
 
-    /// Stops a task, which may save for so long.
-    pub(super) fn stop_task(&mut self, id: &str, task: u32, grace_s: f64, now: u64) {
-        let Some(job) = self.jobs.get_mut(id) else {
+    /// Stops a task, which may save a checkpoint within `grace_s` seconds.
+    pub(super) fn stop_task(&mut self, task: &TaskKey, grace_s: f64, now: u64) {
+        let Some(job) = self.jobs.get_mut(&*task.job) else {
             return;
         };
-        let Some(placement) = job.placement_mut(task) else {
+        let Some(placement) = job.placement_mut(task.task) else {
             return;
         };
         if placement.is_start_pending() {
-            // Its start has not gone out, and will not: no report can ever
-            // prove the place empty, so it is removed here.
-            self.remove_placement(id, task, now);
+            // Its start was not sent, and will not be: no status could ever confirm that the
+            // task is absent, so the placement is removed here.
+            self.remove_placement(task, now);
             return;
         }
         let stopping = placement.stop.as_ref();
@@ -114,55 +114,52 @@
             since: now,
             sent_at: Some(now),
         });
-        let command = wire::stop_command(task_name(id, task), placement.attempt, grace_s);
+        let command = wire::stop_command(task.to_string(), placement.attempt, grace_s);
         let name = placement.machine.clone();
         if let Some(machine) = self.machines.get_mut(&*name) {
             machine.view = None;
         }
-        self.direct_commands.entry(name).or_default().push(command);
+        self.direct_commands.push(name, command);
     }
 
-    /// Stops a task so that it can save; a gang is always stopped as a whole.
-    pub(super) fn stop_gracefully(&mut self, id: &str, task: u32, now: u64) {
-        let Some(job) = self.jobs.get(id) else { return };
+    /// Stops a task so that it can save a checkpoint; a gang is always stopped as a whole.
+    pub(super) fn stop_gracefully(&mut self, task: &TaskKey, now: u64) {
+        let Some(job) = self.jobs.get(&*task.job) else {
+            return;
+        };
         let grace_s = job.spec.checkpoint_grace_s + CHECKPOINT_MARGIN_S;
-        let tasks: Vec<u32> = match job.spec.shape {
-            Shape::Array | Shape::Service => vec![task],
-            Shape::Gang => job.placements.iter().map(|p| p.task).collect(),
+        let tasks = match job.spec.shape {
+            Shape::Array | Shape::Service => vec![task.clone()],
+            Shape::Gang => job.placed_tasks(),
         };
         for task in tasks {
-            self.stop_task(id, task, grace_s, now);
+            self.stop_task(&task, grace_s, now);
         }
     }
 
-    /// A machine's start commands may have come due: it is looked at with the next answer.
+    /// The starts of a job may have become due: its machines are considered with their next
+    /// answers.
     pub(super) fn mark_startable_machines(&mut self, id: &str) {
         let Some(job) = self.jobs.get(id) else { return };
-        let due = |p: &&Placement| p.is_start_pending() && p.change <= job.committed_change;
-        let due = job.placements.iter().filter(due);
-        let machines: Vec<Arc<str>> = due.map(|p| p.machine.clone()).collect();
+        let is_due = |placement: &&Placement| {
+            placement.is_start_pending() && placement.change <= job.committed_change
+        };
+        let due = job.placements.iter().filter(is_due);
+        let machines: Vec<Arc<str>> = due.map(|placement| placement.machine.clone()).collect();
         for machine in machines {
-            self.mark_startable(machine);
+            self.starts.insert(machine);
         }
     }
 
-    /// A task that is on record and proven not to be on its machine may be
-    /// started there under its attempt.
-    pub(super) fn restart_in_place(&mut self, id: &str, task: u32) {
-        let job = self.jobs.get_mut(id);
-        let Some(placement) = job.and_then(|job| job.placement_mut(task)) else {
+    /// A recorded task that is certainly not on its machine may be started there under its
+    /// attempt.
+    pub(super) fn restart_in_place(&mut self, task: &TaskKey) {
+        let job = self.jobs.get_mut(&*task.job);
+        let Some(placement) = job.and_then(|job| job.placement_mut(task.task)) else {
             return;
         };
         placement.restarts_in_place = true;
         placement.delivery = None;
         placement.phase = None;
     }
-
-    /// Adds commands that are to go straight to an agent.
-    pub(super) fn queue_commands(&mut self, machine: Arc<str>, commands: Vec<wire::Command>) {
-        if !commands.is_empty() {
-            let queue = self.direct_commands.entry(machine).or_default();
-            queue.extend(commands);
-        }
-    }
 }
--- a/src/scheduler/provisioning.rs
+++ b/src/scheduler/provisioning.rs
@@ -1,4 +1,7 @@
-//! Provisioning requests that were decided on, until the cloud has answered.
+//! Provisioning requests from the decision until the cloud has answered.
+//!
+//! [`ProvisioningRequests`] owns the open requests and what the cloud has refused; the
+//! scheduler adds the machines that a request brings.
 
 use std::collections::HashMap;
 
@@ -12,147 +15,188 @@
 const SOLD_OUT_BOOTS: f64 = 0.25;
 /// The same for a type that is not known, in seconds.
 const SOLD_OUT_DEFAULT_S: f64 = 10.0;
-/// Pause after a failed try, for each try so far.
+/// Pause after a failed attempt, for each attempt so far.
 const RETRY_MS: u64 = 1000;
+/// Further attempts do not lengthen the pause.
 const RETRY_STEPS_MAX: u32 = 4;
-/// Tries after which a provisioning request is given up. It may yet be carried out: the machines then
-/// show up in the list and are taken in.
+/// Attempts after which a provisioning request is given up. It may still be executed: the
+/// machines then appear in the cloud's list and are used.
 const ATTEMPTS_MAX: u32 = 8;
 
-/// A provisioning request that was decided on.
+/// An open provisioning request.
 #[derive(Debug, Clone)]
 pub(super) struct ProvisioningRequest {
     /// Its unique name.
-    pub idempotency_key: String,
+    idempotency_key: String,
     pub kind: MachineKind,
     pub count: u64,
-    next_try_at: u64,
-    in_flight: bool,
-    tries: u32,
+    next_attempt_at: u64,
+    is_in_flight: bool,
+    failed_attempts: u32,
 }
 
-/// What the cloud has answered a provisioning request.
+impl ProvisioningRequest {
+    fn to_effect(&self) -> Effect {
+        Effect::Provision {
+            idempotency_key: self.idempotency_key.clone(),
+            kind: self.kind.clone(),
+            count: self.count,
+        }
+    }
+}
+
+/// How the cloud has answered a provisioning request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ProvisioningOutcome {
-    /// Machines were rented, perhaps fewer than asked for.
+    /// Machines were rented, perhaps fewer than requested.
     Provisioned(Vec<String>),
-    /// There are none of this kind, or the request was malformed.
+    /// There are no machines of this kind, or the request was malformed.
     Unavailable,
-    /// Nothing is known, or the cloud is in trouble.
+    /// The outcome is unknown, or the cloud is in trouble.
     Failed,
     /// It was never sent, and will not be.
     Cancelled,
 }
 
-/// Provisioning requests that were decided on, and kinds that are sold out.
+/// Open provisioning requests, and the kinds of machine that are sold out.
 #[derive(Debug, Default)]
 pub(super) struct ProvisioningRequests {
-    pub open: Vec<ProvisioningRequest>,
+    open: Vec<ProvisioningRequest>,
     last_number: u64,
-    /// Until when each is not tried again.
+    /// Until when each kind is not tried again.
     sold_out_until: HashMap<MachineKind, u64>,
 }
 
 impl ProvisioningRequests {
-    /// Adds a provisioning request. `prefix` makes its name unique among all terms.
+    /// The open requests, oldest first.
+    pub fn open(&self) -> &[ProvisioningRequest] {
+        &self.open
+    }
+
+    /// Adds a request to be sent. `prefix` makes its name unique among all terms.
     pub fn add(&mut self, prefix: &str, kind: MachineKind, count: u64, now: u64) {
         self.last_number += 1;
         self.open.push(ProvisioningRequest {
             idempotency_key: format!("{prefix}-{}", self.last_number),
             kind,
             count,
-            next_try_at: now,
-            in_flight: false,
-            tries: 0,
+            next_attempt_at: now,
+            is_in_flight: false,
+            failed_attempts: 0,
         });
     }
 
-    /// Whether a kind was refused lately.
-    pub fn is_sold_out(&self, kind: &MachineKind, now: u64) -> bool {
-        self.sold_out_until.get(kind).is_some_and(|at| now < *at)
-    }
-
-    /// Whether a kind has ever been refused.
-    pub fn has_been_sold_out(&self, kind: &MachineKind) -> bool {
-        self.sold_out_until.contains_key(kind)
-    }
-
-    /// Adds a provisioning request that is in progress.
+    /// Adds a request that is already being sent.
     fn adopt(&mut self, idempotency_key: &str, kind: MachineKind, count: u64, now: u64) {
         if self.position(idempotency_key).is_none() {
             self.open.push(ProvisioningRequest {
                 idempotency_key: idempotency_key.to_string(),
                 kind,
                 count,
-                next_try_at: now,
-                in_flight: true,
-                tries: 0,
+                next_attempt_at: now,
+                is_in_flight: true,
+                failed_attempts: 0,
             });
         }
     }
 
+    /// The requests that are due; each counts as in flight from here on.
+    fn take_due(&mut self, now: u64) -> impl Iterator<Item = Effect> + '_ {
+        let due = self
+            .open
+            .iter_mut()
+            .filter(move |request| !request.is_in_flight && now >= request.next_attempt_at);
+        due.map(|request| {
+            request.is_in_flight = true;
+            request.to_effect()
+        })
+    }
+
+    /// Removes and returns an open request.
+    fn take(&mut self, idempotency_key: &str) -> Option<ProvisioningRequest> {
+        let index = self.position(idempotency_key)?;
+        Some(self.open.remove(index))
+    }
+
+    /// The outcome of an attempt is unknown: the request is sent again later, or given up.
+    fn retry(&mut self, idempotency_key: &str, now: u64) {
+        let Some(index) = self.position(idempotency_key) else {
+            return;
+        };
+        let request = &mut self.open[index];
+        request.is_in_flight = false;
+        request.failed_attempts += 1;
+        let steps = u64::from(request.failed_attempts.min(RETRY_STEPS_MAX));
+        request.next_attempt_at = now + RETRY_MS * steps;
+        if request.failed_attempts > ATTEMPTS_MAX {
+            self.open.remove(index);
+        }
+    }
+
+    /// A request was not sent; it becomes due at `retry_at`.
+    fn postpone(&mut self, idempotency_key: &str, retry_at: u64) {
+        if let Some(index) = self.position(idempotency_key) {
+            let request = &mut self.open[index];
+            request.is_in_flight = false;
+            request.next_attempt_at = retry_at;
+        }
+    }
+
     fn position(&self, idempotency_key: &str) -> Option<usize> {
         self.open
             .iter()
-            .position(|r| r.idempotency_key == idempotency_key)
+            .position(|request| request.idempotency_key == idempotency_key)
+    }
+
+    /// The cloud has no machines of a kind; `boot_s` is the type's boot time, if known.
+    fn mark_sold_out(&mut self, kind: &MachineKind, boot_s: Option<f64>, now: u64) {
+        let pause_s = boot_s.map_or(SOLD_OUT_DEFAULT_S, |boot_s| boot_s * SOLD_OUT_BOOTS);
+        info!(?kind, "no capacity");
+        let until = now + to_ms(pause_s);
+        self.sold_out_until.insert(kind.clone(), until);
+    }
+
+    /// Whether a kind was refused recently.
+    pub fn is_sold_out(&self, kind: &MachineKind, now: u64) -> bool {
+        self.sold_out_until.get(kind).is_some_and(|at| now < *at)
+    }
+
+    /// Whether a kind has ever been refused.
+    pub fn has_been_sold_out(&self, kind: &MachineKind) -> bool {
+        self.sold_out_until.contains_key(kind)
     }
 }
 
 impl Scheduler {
     /// Sends provisioning requests that are due.
     pub(super) fn send_provisioning_requests(&mut self, now: u64) {
-        for provisioning_request in &mut self.provisioning.open {
-            if !provisioning_request.in_flight && now >= provisioning_request.next_try_at {
-                provisioning_request.in_flight = true;
-                self.effects.push(Effect::Provision {
-                    idempotency_key: provisioning_request.idempotency_key.clone(),
-                    kind: provisioning_request.kind.clone(),
-                    count: provisioning_request.count,
-                });
-            }
-        }
+        self.effects.extend(self.provisioning.take_due(now));
     }
 
-    /// The cloud has answered a provisioning request, or there was no answer.
+    /// Applies the outcome of a provisioning request.
     pub fn on_provisioning_outcome(
         &mut self,
         idempotency_key: &str,
         outcome: ProvisioningOutcome,
         now: u64,
     ) {
-        let Some(index) = self.provisioning.position(idempotency_key) else {
+        if outcome == ProvisioningOutcome::Failed {
+            self.provisioning.retry(idempotency_key, now);
+            return;
+        }
+        let Some(request) = self.provisioning.take(idempotency_key) else {
             return;
         };
         match outcome {
-            ProvisioningOutcome::Provisioned(names) => {
-                let provisioning_request = self.provisioning.open.remove(index);
-                self.add_provisioned(&provisioning_request, names, now);
-                self.needs_planning = true;
-            }
-            ProvisioningOutcome::Unavailable => {
-                let provisioning_request = self.provisioning.open.remove(index);
-                self.mark_sold_out(&provisioning_request.kind, now);
-                self.needs_planning = true;
-            }
-            ProvisioningOutcome::Cancelled => {
-                self.provisioning.open.remove(index);
-                self.needs_planning = true;
-            }
-            ProvisioningOutcome::Failed => {
-                let provisioning_request = &mut self.provisioning.open[index];
-                provisioning_request.in_flight = false;
-                provisioning_request.tries += 1;
-                let steps = u64::from(provisioning_request.tries.min(RETRY_STEPS_MAX));
-                provisioning_request.next_try_at = now + RETRY_MS * steps;
-                if provisioning_request.tries > ATTEMPTS_MAX {
-                    self.provisioning.open.remove(index);
-                }
-            }
+            ProvisioningOutcome::Provisioned(names) => self.add_provisioned(&request, names, now),
+            ProvisioningOutcome::Unavailable => self.mark_sold_out(&request.kind, now),
+            ProvisioningOutcome::Cancelled | ProvisioningOutcome::Failed => {}
         }
+        self.needs_planning = true;
     }
 
-    /// A provisioning request is on record with the holder of that duty, whoever needed it: its machines
-    /// come.
+    /// A provisioning request is recorded with the holder of the provisioning duty: its
+    /// machines will come, whichever leader requested them.
     pub fn adopt_provisioning(
         &mut self,
         idempotency_key: &str,
@@ -163,18 +207,16 @@
         self.provisioning.adopt(idempotency_key, kind, count, now);
     }
 
-    fn add_provisioned(
-        &mut self,
-        provisioning_request: &ProvisioningRequest,
-        names: Vec<String>,
-        now: u64,
-    ) {
-        let kind = &provisioning_request.kind;
-        info!(
-            "rented {kind:?} {}: {names:?}",
-            provisioning_request.idempotency_key
-        );
-        if (names.len() as u64) < provisioning_request.count {
+    /// The rate limit for calls to the cloud does not allow a provisioning request yet.
+    pub fn on_provisioning_postponed(&mut self, idempotency_key: &str, now: u64) {
+        let retry_at = now + to_ms(1.0 / self.cluster.cloud.rps);
+        self.provisioning.postpone(idempotency_key, retry_at);
+    }
+
+    fn add_provisioned(&mut self, request: &ProvisioningRequest, names: Vec<String>, now: u64) {
+        let kind = &request.kind;
+        info!(request = %request.idempotency_key, ?kind, machines = ?names, "machines rented");
+        if (names.len() as u64) < request.count {
             self.mark_sold_out(kind, now);
         }
         for name in names {
@@ -185,20 +227,9 @@
         }
     }
 
-    /// The limit of calls to the cloud has no capacity for a provisioning request yet.
-    pub fn on_provisioning_postponed(&mut self, idempotency_key: &str, now: u64) {
-        if let Some(index) = self.provisioning.position(idempotency_key) {
-            let provisioning_request = &mut self.provisioning.open[index];
-            provisioning_request.in_flight = false;
-            provisioning_request.next_try_at = now + to_ms(1.0 / self.cluster.cloud.rps);
-        }
-    }
-
     fn mark_sold_out(&mut self, kind: &MachineKind, now: u64) {
-        let machine_type = self.machine_type(&kind.machine_type);
-        let pause_s = machine_type.map_or(SOLD_OUT_DEFAULT_S, |t| t.boot_s * SOLD_OUT_BOOTS);
-        info!("no capacity for {kind:?}");
-        let until = now + to_ms(pause_s);
-        self.provisioning.sold_out_until.insert(kind.clone(), until);
+        let machine_type = self.catalog.machine_type(&kind.machine_type);
+        let boot_s = machine_type.map(|machine_type| machine_type.boot_s);
+        self.provisioning.mark_sold_out(kind, boot_s, now);
     }
 }
--- a/src/scheduler/quota_cache.rs
+++ b/src/scheduler/quota_cache.rs
@@ -1,42 +1,32 @@
-//! Whether teams keep to their limits, remembered until what they use changes: a successor
-//! asks for each start that it finds on record.
+//! Whether each team is within its quota limit, cached until the usage changes: a new leader
+//! asks once for every start that it finds recorded.
 
 use std::collections::HashMap;
 
-use super::Scheduler;
+use crate::plan::TeamView;
 
-/// What was found out since what teams use last changed.
+/// Results computed since the usage of any team last changed.
 #[derive(Debug, Default)]
 pub(super) struct QuotaCache {
     is_within_limit: HashMap<String, bool>,
 }
 
 impl QuotaCache {
-    /// What a team uses may have changed.
-    pub fn on_change(&mut self) {
+    /// Drops all results, as the usage of a team may have changed.
+    pub fn invalidate(&mut self) {
         self.is_within_limit.clear();
     }
-}
 
-impl Scheduler {
-    /// Whether a team uses no more than its limit, everything counted that may be on a
-    /// machine.
-    pub(super) fn is_team_within_limit(&mut self, team: &str) -> bool {
-        let limits = self.cluster.teams.iter().find(|t| t.name == team);
-        if !limits.is_some_and(|t| t.cpus_max > 0.0 || t.gpus_max > 0.0) {
-            return true;
-        }
-        if let Some(is_within_limit) = self.quota_cache.is_within_limit.get(team) {
-            return *is_within_limit;
-        }
-        let views = self.team_views();
-        let found = views
+    /// The cached result for a team.
+    pub fn get(&self, team: &str) -> Option<bool> {
+        self.is_within_limit.get(team).copied()
+    }
+
+    /// Stores the results for all teams.
+    pub fn store(&mut self, teams: HashMap<String, TeamView>) {
+        self.is_within_limit = teams
             .into_iter()
-            .map(|(team, view)| (team, view.is_within_limit()));
-        self.quota_cache.is_within_limit = found.collect();
-        self.quota_cache
-            .is_within_limit
-            .get(team)
-            .is_none_or(|w| *w)
+            .map(|(team, view)| (team, view.is_within_limit()))
+            .collect();
     }
 }
--- a/src/scheduler/records.rs
+++ b/src/scheduler/records.rs
@@ -1,27 +1,27 @@
-//! Jobs' records: what the watch cache shows of them, and writing what has changed.
+//! Jobs' records: applying what the watch cache shows of them, and writing changes.
 
 use std::sync::Arc;
 
 use tracing::debug;
 
-use super::arrivals::ArrivalRate;
 use super::{to_ms, Effect, Job, Placement, Scheduler};
 use crate::dependencies::DependencyGraph;
-use crate::job::FinalState;
+use crate::job::{FinalState, JobRecord};
 use crate::watch_cache::{final_key, job_key, LiveJob};
 use crate::wire::{Condition, Write};
 use crate::write_queue::CommitResult;
 
-/// How long a change that nobody waits for may stay off the record, so that others go with
-/// it, as a share of the time in which the tasks of a gang miss one another.
+/// For how long a change that is not urgent may wait for others to be written with it, as a
+/// share of the time within which the tasks of a gang notice that one of them is gone.
 const DEFERRED_WRITE_SHARE: f64 = 0.25;
-/// Pauses before a change is written again, after a rejection and without an answer.
+/// Pause before a rejected change is written again.
 const REJECTED_PAUSE_MS: u64 = 150;
+/// Pause before a change with an unknown outcome is written again.
 const UNKNOWN_PAUSE_MS: u64 = 50;
 
 impl Scheduler {
-    /// The watch cache shows a job's record and how it stands with its dependencies; if they
-    /// are done, it counts as ready since `ready_at`.
+    /// The watch cache shows a job's record and the state of its dependencies; if they are
+    /// done, the job counts as ready since `ready_at`.
     pub fn apply_job(
         &mut self,
         id: &str,
@@ -56,16 +56,16 @@
         job.key_version = job.key_version.max(live.version);
         let writer = record.writer;
         if writer.epoch == self.term.epoch {
-            let newer = writer.change > job.committed_change;
-            if newer {
+            let is_newer = writer.change > job.committed_change;
+            if is_newer {
                 job.committed_change = writer.change;
                 job.committed_done = record.done.clone();
             }
             if job.writing_change == Some(writer.change) {
                 job.writing_change = None;
             }
-            self.update_write_state(id);
-            if newer {
+            self.dirty_jobs.update(job);
+            if is_newer {
                 self.mark_startable_machines(id);
             }
         }
@@ -76,7 +76,7 @@
 
     fn add_from_record(&mut self, id: &str, live: &LiveJob, now: u64) {
         let record = &live.record;
-        debug!("{id} is new: {:?}", record.spec);
+        debug!(job = id, spec = ?record.spec, "new job");
         let mut job = Job::new(id, live, now);
         if record.runs.is_empty() && job.final_state().is_some() {
             job.record_change(now);
@@ -84,10 +84,18 @@
         if !record.spec.spot && !record.cancelled {
             self.record_arrival(&job, now);
         }
+        self.dirty_jobs.update(&mut job);
         self.jobs.insert(id.to_string(), job);
-        self.quota_cache.on_change();
-        self.update_write_state(id);
+        self.quota_cache.invalidate();
         self.link_dependencies(id);
+        self.add_recorded_placements(id, record, now);
+        if record.cancelled {
+            self.stop_cancelled(id, now);
+        }
+        self.needs_planning = true;
+    }
+
+    fn add_recorded_placements(&mut self, id: &str, record: &JobRecord, now: u64) {
         for run in &record.runs {
             let machine: Arc<str> = run.machine.as_str().into();
             let end = run.first.saturating_add(run.count).min(record.spec.tasks);
@@ -96,25 +104,18 @@
                 self.add_placement(id, placement, now);
             }
         }
-        if record.cancelled {
-            self.stop_cancelled(id, now);
-        }
-        self.needs_planning = true;
     }
 
-    /// Counts an arrival by when it was submitted: a successor sees all at once.
+    /// Counts an arrival at the time of its submission: a new leader sees all jobs at once.
     fn record_arrival(&mut self, job: &Job, now: u64) {
-        let wall = self.term.began_wall_ms + now.saturating_sub(self.began_at);
-        let age_ms = (wall as i64 - job.submitted_at as i64).max(0);
+        let wall_ms = self.term.began_wall_ms + now.saturating_sub(self.began_at);
+        let age_ms = (wall_ms as i64 - job.submitted_at as i64).max(0);
         let at = now as i64 - age_ms;
-        let boot_s = self.boot_s();
-        self.arrivals
-            .entry(job.spec.class.clone())
-            .or_insert_with(|| ArrivalRate::new(job.spec.clone(), at))
-            .record(&job.spec, at, boot_s);
+        let boot_s = self.catalog.longest_boot_s();
+        self.arrivals.record(&job.spec, at, boot_s);
     }
 
-    /// A job's cancellation is on record, whether its record was read or not.
+    /// A job's cancellation is recorded; its record itself may not show that yet.
     pub fn mark_cancelled(&mut self, id: &str, now: u64) {
         if let Some(job) = self.jobs.get_mut(id).filter(|job| !job.cancelled) {
             job.cancelled = true;
@@ -122,13 +123,13 @@
         }
     }
 
-    /// A job is not live any more.
+    /// A job is no longer live.
     pub fn remove_job(&mut self, id: &str) {
         self.release_reservations(id);
-        self.quota_cache.on_change();
+        self.quota_cache.invalidate();
         if let Some(job) = self.jobs.remove(id) {
             self.dependency_links.remove(&job);
-            self.dirty_jobs.remove(&job.id, job.write_state);
+            self.dirty_jobs.remove(&job);
             for placement in &job.placements {
                 if let Some(machine) = self.machines.get_mut(&*placement.machine) {
                     machine.unbind(id, None);
@@ -138,7 +139,8 @@
         self.needs_planning = true;
     }
 
-    /// The store has answered a change of a job's record.
+    /// The store has answered the write of a job's change. `final_state` is the one that was
+    /// written with it.
     pub fn on_commit(
         &mut self,
         id: &str,
@@ -150,54 +152,30 @@
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
-        let was_writing = job.writing_change == Some(change);
-        if was_writing {
-            job.writing_change = None;
+        let is_committed = matches!(result, CommitResult::Committed { .. });
+        job.on_write_result(change, result, now);
+        if is_committed && final_state.is_some() {
+            self.remove_job(id);
+            return;
         }
-        match result {
-            CommitResult::Committed { revision } => {
-                job.key_version = job.key_version.max(*revision);
-                if final_state.is_some() {
-                    self.remove_job(id);
-                    return;
-                }
-                if change > job.committed_change {
-                    job.committed_change = change;
-                    if was_writing {
-                        job.committed_done = std::mem::take(&mut job.writing_done);
-                    }
-                    job.changed_at = now;
-                }
-                job.write_after = now;
-                self.mark_startable_machines(id);
-            }
-            CommitResult::Conflict { revision, .. } => job.write_after_revision = *revision,
-            CommitResult::Rejected => job.write_after = now + REJECTED_PAUSE_MS,
-            // The same change under the same condition: if the first one did
-            // get through, this one fails and the watch cache tells.
-            CommitResult::Unknown => job.write_after = now + UNKNOWN_PAUSE_MS,
+        self.dirty_jobs.update(job);
+        if is_committed {
+            self.mark_startable_machines(id);
         }
-        self.update_write_state(id);
     }
 
-    /// Writes what has changed. Placements and ends go at once; of the rest, those that
-    /// have waited the longest go as far as `spare_writes` changes allow.
+    /// Writes changes: urgent ones at once, and of the others up to `spare_writes` that have
+    /// waited the longest.
     pub(super) fn write_changes(&mut self, now: u64, revision: u64, spare_writes: usize) {
-        let mut considered = 0;
-        let mut may_write = |id: &&Arc<str>| {
-            considered += 1;
-            self.jobs
-                .get(&***id)
+        let jobs = &self.jobs;
+        let may_write = |id: &str| {
+            jobs.get(id)
                 .is_some_and(|job| now >= job.write_after && revision >= job.write_after_revision)
         };
-        let urgent = self.dirty_jobs.urgent.iter();
-        let mut due: Vec<Arc<str>> = urgent.filter(&mut may_write).cloned().collect();
-        let wait_ms = to_ms(self.cluster.workers.gang_peer_s * DEFERRED_WRITE_SHARE);
-        let deferred = self.dirty_jobs.deferred.iter();
-        let waited = deferred.take_while(|(since, _)| now >= since + wait_ms);
-        let waited = waited.map(|(_, id)| id).filter(&mut may_write);
-        due.extend(waited.take(spare_writes).cloned());
-        self.work.records_considered += considered;
+        let max_wait_ms = to_ms(self.cluster.workers.gang_peer_s * DEFERRED_WRITE_SHARE);
+        let due = self
+            .dirty_jobs
+            .due(may_write, spare_writes, max_wait_ms, now);
         for id in due {
             self.write_record(&id);
         }
@@ -216,7 +194,8 @@
                 Write::set(final_key(id), state.to_value()),
             ],
             None => {
-                let record = job.to_record(self.term.epoch).to_value(self.format);
+                let format = self.record_capacity.format();
+                let record = job.to_record(self.term.epoch).to_value(format);
                 vec![Write::set(job_key(id), record)]
             }
         };
@@ -229,6 +208,34 @@
             conditions,
             writes,
         });
-        self.update_write_state(id);
+        self.dirty_jobs.update(job);
+    }
+}
+
+impl Job {
+    /// Applies the store's answer to the write of one of its changes.
+    fn on_write_result(&mut self, change: u64, result: &CommitResult, now: u64) {
+        let was_writing = self.writing_change == Some(change);
+        if was_writing {
+            self.writing_change = None;
+        }
+        match result {
+            CommitResult::Committed { revision } => {
+                self.key_version = self.key_version.max(*revision);
+                self.write_after = now;
+                if change > self.committed_change {
+                    self.committed_change = change;
+                    self.changed_at = now;
+                    if was_writing {
+                        self.committed_done = std::mem::take(&mut self.writing_done);
+                    }
+                }
+            }
+            CommitResult::Conflict { revision, .. } => self.write_after_revision = *revision,
+            CommitResult::Rejected => self.write_after = now + REJECTED_PAUSE_MS,
+            // The same change under the same condition is written again: if the first write
+            // was executed, this one fails and the watch cache shows the record.
+            CommitResult::Unknown => self.write_after = now + UNKNOWN_PAUSE_MS,
+        }
     }
 }
--- a/src/scheduler/scale_in.rs
+++ b/src/scheduler/scale_in.rs
@@ -6,21 +6,15 @@
 use tracing::info;
 
 use super::job_state::StartDelivery;
-use super::reconcile::Reachability;
 use super::{to_ms, Effect, Scheduler};
 use crate::machine::{CloudStatus, Machine, TerminationClass, TerminationReason};
 
 /// Heartbeats in a row that show no effect of the answers, after which a machine counts as
-/// out of reach.
+/// unreachable.
 const INEFFECTIVE_ANSWERS_MAX: u32 = 2;
-/// Of the silent machines, one in so many that others redirected lately shows that the
-/// silence is ours.
-const REDIRECTED_FRACTION: usize = 4;
-/// Fewer machines that should report say nothing about who is cut off.
-const PARTITION_MACHINES_MIN: usize = 3;
-/// Leases after which a silent machine is returned in any case.
+/// Leases after which a silent machine is terminated in any case.
 const EXPIRED_LEASES: f64 = 2.0;
-/// AgentStatus intervals after which a machine that is not listed any more counts as silent.
+/// Heartbeat intervals after which a machine that is not listed any more counts as silent.
 const UNLISTED_INTERVALS: f64 = 2.5;
 /// Boot times after which a machine is not expected to come up any more.
 const NEVER_BOOTED_BOOTS: f64 = 3.5;
@@ -28,83 +22,80 @@
 const BOOT_DEFAULT_S: f64 = 60.0;
 /// A deletion that was not confirmed is sent again after this time.
 pub(super) const TERMINATION_RETRY_MS: u64 = 4000;
-/// Most machines of one deletion.
+/// At most how many machines one deletion names.
 const TERMINATION_BATCH_MAX: usize = 100;
 
-/// What holds for all machines as they are reviewed.
-struct TerminationContext {
+/// What holds for all machines during a review.
+struct TerminationReview {
+    now: u64,
     /// After this silence machines count as lost.
     lost_after_ms: u64,
-    /// This controller is rather cut off itself.
+    /// It is probably this controller that is cut off.
     is_partitioned: bool,
-    /// Machines in the reserve.
-    standby_capacity: HashSet<Arc<str>>,
+    /// Machines that are held ready as standby capacity.
+    standby_machines: HashSet<Arc<str>>,
 }
 
-impl Scheduler {
-    /// So many machines are silent at once that it is rather this controller that is cut
-    /// off: surely if they came to others, and not if some are still heard, or if the
-    /// others hear nothing, either. Then they are gone, or a zone of them is, and nobody
-    /// waits for them.
-    fn is_partitioned(&self, now: u64) -> bool {
-        let Reachability { silent, up } = self.reachability(now);
-        if up < PARTITION_MACHINES_MIN || silent * 2 <= up {
-            return false;
-        }
-        // Of many, one reports at any time.
-        let half_interval_ms = to_ms(self.cluster.workers.report_s / 2.0);
-        let heard = now < self.last_status_at + half_interval_ms;
-        self.redirected_elsewhere
-            .map_or(!heard, |n| n as usize * REDIRECTED_FRACTION >= silent)
-    }
+/// A machine that is to be terminated.
+struct DueTermination {
+    machine: Arc<str>,
+    reason: TerminationReason,
+}
 
-    /// Whether machines that can't be reached were returned in this term.
+impl Scheduler {
+    /// Whether machines were terminated in this term because they could not be reached.
     pub fn has_terminated_unreachable(&self) -> bool {
-        self.has_terminated_unreachable
+        self.terminations.has_terminated_unreachable()
     }
 
-    /// Returns what is of no use any more: machines that are gone, silent, out of reach,
-    /// drained or idle.
+    /// Terminates machines that have no more use: they are gone, silent, unreachable, drained
+    /// or idle.
     pub(super) fn terminate_machines(&mut self, now: u64) {
         let is_partitioned = self.is_partitioned(now);
         self.drain_recorded_terminations();
         for machine in self.machines.values_mut() {
             machine.update_idle(self.term.epoch, now);
         }
-        let context = TerminationContext {
+        let review = TerminationReview {
+            now,
             lost_after_ms: self.lost_after_ms(now),
             is_partitioned,
-            standby_capacity: self.standby_capacity(now).machines,
+            standby_machines: self.standby_capacity(now).machines,
         };
-        let machines = self.machines.values();
-        let due: Vec<(Arc<str>, TerminationReason)> = machines
-            .filter_map(|machine| {
-                let reason = self.find_termination_reason(machine, &context, now)?;
-                Some((machine.name.clone(), reason))
-            })
-            .collect();
         let mut terminations = Vec::new();
-        for (name, reason) in due {
-            if self.begin_termination(&name, reason, now) {
-                terminations.push(name.to_string());
+        for due in self.due_terminations(&review) {
+            if self.begin_termination(&due, now) {
+                terminations.push(due.machine.to_string());
             }
         }
-        for part in terminations.chunks(TERMINATION_BATCH_MAX) {
+        for batch in terminations.chunks(TERMINATION_BATCH_MAX) {
             self.effects.push(Effect::Terminate {
-                machines: part.to_vec(),
+                machines: batch.to_vec(),
             });
         }
     }
 
-    /// Machines are on record to be returned: they get no work from here on, under this
-    /// leader and those after it.
+    fn due_terminations(&self, review: &TerminationReview) -> Vec<DueTermination> {
+        let machines = self.machines.values();
+        let due = machines.filter_map(|machine| {
+            let reason = self.find_termination_reason(machine, review)?;
+            Some(DueTermination {
+                machine: machine.name.clone(),
+                reason,
+            })
+        });
+        due.collect()
+    }
+
+    /// The termination of machines is recorded: they get no more tasks, under this leader and
+    /// the next ones.
     pub fn on_termination_recorded(&mut self, machines: &[String]) {
-        self.recorded_terminations.extend(machines.iter().cloned());
+        self.terminations.record(machines);
         self.drain_recorded_terminations();
     }
 
     fn drain_recorded_terminations(&mut self) {
-        for name in &self.recorded_terminations {
+        for name in self.terminations.recorded() {
             if let Some(machine) = self.machines.get_mut(name) {
                 if machine.termination_reason.is_none() {
                     machine.termination_reason = Some(TerminationReason::OnRecord);
@@ -114,15 +105,15 @@
         }
     }
 
-    /// Machines are not returned after all: those that were idle may have work again.
+    /// The termination of machines was rejected: those that were idle may get tasks again.
     pub fn on_termination_rejected(&mut self, machines: &[String]) {
         for name in machines {
-            self.recorded_terminations.remove(name);
+            self.terminations.reject(name);
             let Some(machine) = self.machines.get_mut(name) else {
                 continue;
             };
-            let group = machine.termination_reason.map(TerminationReason::group);
-            if group == Some(TerminationClass::Idle) {
+            let class = machine.termination_reason.map(TerminationReason::group);
+            if class == Some(TerminationClass::Idle) {
                 machine.termination_reason = None;
                 machine.termination_sent_at = None;
                 machine.next_termination_at = 0;
@@ -133,83 +124,70 @@
         }
     }
 
-    /// After this silence machines count as lost. A leader that does not keep up gives
-    /// them their whole lease.
-    fn lost_after_ms(&self, now: u64) -> u64 {
-        let mut share = self.operator.lost_lease_share;
-        if self.is_lagging(now) {
-            share = share.max(1.0);
-        }
-        to_ms(self.cluster.workers.lease_s * share)
-    }
-
-    /// Why a machine is to be returned, if it is.
+    /// Why a machine is to be terminated, if it is.
     fn find_termination_reason(
         &self,
         machine: &Machine,
-        context: &TerminationContext,
-        now: u64,
+        review: &TerminationReview,
     ) -> Option<TerminationReason> {
-        let silent_ms = self.silent_ms(machine, now);
+        let silent_ms = self.silent_ms(machine, review.now);
         let not_listed_ms = to_ms(self.cluster.workers.report_s * UNLISTED_INTERVALS);
         if machine.cloud_status == CloudStatus::Failed {
             return Some(TerminationReason::Failed);
         }
-        if self.is_interrupted(machine, now) {
+        if self.is_interrupted(machine, review.now) {
             return Some(TerminationReason::SpotInterruption);
         }
         if machine.cloud_status == CloudStatus::Gone && silent_ms > not_listed_ms {
             return Some(TerminationReason::NotListed);
         }
-        let drained = !machine.is_occupied() && !self.has_unrecorded_result(machine);
-        if machine.termination_reason.is_some() && drained {
+        let is_drained = !machine.is_occupied() && !self.has_unrecorded_result(machine);
+        if machine.termination_reason.is_some() && is_drained {
             return machine.termination_reason;
         }
         if machine.is_up() {
-            return self.find_reason_while_up(machine, context, silent_ms, now);
+            return self.find_reason_while_up(machine, review, silent_ms);
         }
         if machine.cloud_status == CloudStatus::NotListed && machine.machine_type.is_empty() {
-            // On record only: nobody has seen it since this leader began.
-            let unknown = self.has_machine_list
-                && silent_ms > context.lost_after_ms
-                && !context.is_partitioned;
-            return unknown.then_some(TerminationReason::Unknown);
+            // Only a record names it: it was not seen since this leader began.
+            let is_unknown =
+                self.has_machine_list && silent_ms > review.lost_after_ms && !review.is_partitioned;
+            return is_unknown.then_some(TerminationReason::Unknown);
         }
         let boot_ms = to_ms(self.boot_s_of(machine) * NEVER_BOOTED_BOOTS);
-        (now > machine.known_since + boot_ms).then_some(TerminationReason::NeverBooted)
+        (review.now > machine.known_since + boot_ms).then_some(TerminationReason::NeverBooted)
     }
 
     fn is_interrupted(&self, machine: &Machine, now: u64) -> bool {
         let margin_ms = to_ms(self.cluster.workers.gang_peer_s) / 2;
         machine.interruption_deadline.is_some_and(|at| {
-            let silent_since = machine.last_status_at.is_none_or(|heard| heard < at);
-            now > at + margin_ms && silent_since
+            let is_silent_since = machine.last_status_at.is_none_or(|heard| heard < at);
+            now > at + margin_ms && is_silent_since
         })
     }
 
     fn find_reason_while_up(
         &self,
         machine: &Machine,
-        context: &TerminationContext,
+        review: &TerminationReview,
         silent_ms: u64,
-        now: u64,
     ) -> Option<TerminationReason> {
-        // By then nothing is left to save on it, whoever was cut off. And of an empty one
-        // nothing is lost even if it is our fault.
+        // After that no task is left on it, whichever side was cut off. And of an empty one
+        // nothing is lost even if the fault is ours.
         let expired_ms = to_ms(self.cluster.workers.lease_s * EXPIRED_LEASES);
-        let nothing_to_lose = !machine.is_occupied() || silent_ms > expired_ms;
-        if silent_ms > context.lost_after_ms && (!context.is_partitioned || nothing_to_lose) {
+        let has_nothing_to_lose = !machine.is_occupied() || silent_ms > expired_ms;
+        if silent_ms > review.lost_after_ms && (!review.is_partitioned || has_nothing_to_lose) {
             return Some(TerminationReason::Silent);
         }
-        let unreachable = machine.ineffective_answers >= INEFFECTIVE_ANSWERS_MAX
-            || self.has_lost_start(machine, now);
-        if unreachable && !context.is_partitioned {
+        let is_unreachable = machine.ineffective_answers >= INEFFECTIVE_ANSWERS_MAX
+            || self.has_lost_start(machine, review.now);
+        if is_unreachable && !review.is_partitioned {
             return Some(TerminationReason::Unreachable);
         }
-        let idle = self.is_idle_for_long(machine, now)
-            && !context.standby_capacity.contains(&machine.name)
+        let is_idle = self.is_idle_for_long(machine, review.now)
+            && !review.standby_machines.contains(&machine.name)
             && !self.has_unrecorded_result(machine);
-        idle.then_some(TerminationReason::Idle)
+        is_idle.then_some(TerminationReason::Idle)
     }
 
     fn is_idle_for_long(&self, machine: &Machine, now: u64) -> bool {
@@ -228,12 +206,12 @@
     }
 
     fn boot_s_of(&self, machine: &Machine) -> f64 {
-        let machine_type = self.machine_type(&machine.machine_type);
-        machine_type.map_or(BOOT_DEFAULT_S, |t| t.boot_s)
+        let machine_type = self.catalog.machine_type(&machine.machine_type);
+        machine_type.map_or(BOOT_DEFAULT_S, |machine_type| machine_type.boot_s)
     }
 
-    /// Whether nothing was heard of a start that went straight to a machine, for longer
-    /// than its next heartbeats took.
+    /// Whether the outcome of a direct start has been unknown for longer than the machine's
+    /// next heartbeats took.
     fn has_lost_start(&self, machine: &Machine, now: u64) -> bool {
         if machine.direct_start_at.is_none() {
             return false;
@@ -250,15 +228,16 @@
         })
     }
 
-    /// Drains a machine from now on. True if its deletion is to be sent.
-    fn begin_termination(&mut self, name: &str, reason: TerminationReason, now: u64) -> bool {
-        let Some(machine) = self.machines.get_mut(name) else {
+    /// Drains a machine from now on. Returns whether its deletion is to be sent.
+    fn begin_termination(&mut self, due: &DueTermination, now: u64) -> bool {
+        let reason = due.reason;
+        let Some(machine) = self.machines.get_mut(&*due.machine) else {
             return false;
         };
         if machine.termination_reason.is_none() {
             self.needs_planning = true;
         }
-        // One that was drained and is lost meanwhile is not waited for any more.
+        // One that was being drained and is lost meanwhile need not be empty any more.
         if machine.termination_reason.is_none() || reason.group() == TerminationClass::Lost {
             machine.termination_reason = Some(reason);
         }
@@ -267,18 +246,21 @@
         }
         machine.next_termination_at = now + TERMINATION_RETRY_MS;
         if machine.termination_sent_at.is_none() {
-            info!("returning {name}: {reason}");
-            self.has_terminated_unreachable |= matches!(
+            info!(machine = %due.machine, %reason, "terminating machine");
+            let is_unreachable = matches!(
                 reason,
                 TerminationReason::Silent | TerminationReason::Unreachable
             );
+            if is_unreachable {
+                self.terminations.note_unreachable();
+            }
         }
         machine.termination_sent_at = Some(now);
         true
     }
 
-    /// The limit of calls to the cloud has no capacity for a deletion yet. It is asked for again
-    /// as soon as a call may be made, not only when an answer would be overdue: after the
+    /// The rate limit for calls to the cloud does not allow a deletion yet. It is requested
+    /// again as soon as a call may be made, not only when an answer would be overdue: after the
     /// loss of a third of the fleet there are many calls.
     pub fn on_termination_postponed(&mut self, machines: &[String], now: u64) {
         let retry_at = now + to_ms(1.0 / self.cluster.cloud.rps);
--- a/src/scheduler/snapshots.rs
+++ b/src/scheduler/snapshots.rs
@@ -6,46 +6,61 @@
 use super::{to_ms, Scheduler};
 use crate::plan::{JobView, Resources, Snapshot, TeamView};
 
-/// What the views of all jobs need.
-pub(super) struct SnapshotContext {
+/// The time of a plan.
+#[derive(Debug, Clone, Copy)]
+pub(super) struct PlanTime {
+    /// The steady clock, in milliseconds.
     pub now: u64,
-    pub now_s: f64,
-    /// Machines that no gang may count on: few.
+    /// The time of day, in milliseconds.
+    pub wall_ms: u64,
+}
+
+impl PlanTime {
+    /// The time of day in seconds, as the planner has it.
+    pub fn now_s(self) -> f64 {
+        self.wall_ms as f64 / 1000.0
+    }
+
+    /// A time of the steady clock as a time of day, in seconds.
+    pub fn wall_s_of(self, at: u64) -> f64 {
+        self.now_s() - self.now.saturating_sub(at) as f64 / 1000.0
+    }
+}
+
+/// What the views of all jobs depend on.
+pub(super) struct SnapshotContext {
+    pub time: PlanTime,
+    /// The few machines that no gang may rely on.
     pub unreliable: HashSet<Arc<str>>,
-    /// Zones of the tasks that no record puts where they are, by job.
+    /// Zones of orphans, by the id of the job.
     pub orphan_zones: HashMap<String, Vec<Arc<str>>>,
+    /// At most how many runs a record holds.
     pub runs_max: usize,
 }
 
 impl Scheduler {
-    /// Whether the planner may run: the state is rebuilt as far as needed.
-    /// Machines that were heard may have work without the cloud's list, so if
-    /// that can't be had, the planner waits for a round of reports only; what is
-    /// to be rented or returned waits for the list.
+    /// Whether the state is complete enough to plan. Machines that were heard may get tasks
+    /// without the cloud's list, so if that cannot be had, the planner only waits for one
+    /// heartbeat interval; provisioning and termination wait for the list.
     pub fn is_ready(&self, now: u64) -> bool {
-        let heard = now > self.began_at + to_ms(self.cluster.workers.report_s);
-        !self.machine_types.is_empty() && (self.has_machine_list || heard)
+        let was_heard = now > self.began_at + to_ms(self.cluster.workers.report_s);
+        !self.catalog.is_empty() && (self.has_machine_list || was_heard)
     }
 
-    /// A snapshot to plan on. `wall_ms` is the time of day, as job records hold it.
+    /// A snapshot to plan on. `wall_ms` is the time of day in milliseconds, as in job records.
     pub fn snapshot(&mut self, now: u64, wall_ms: u64) -> Snapshot {
+        let time = PlanTime { now, wall_ms };
         self.needs_planning = false;
-        if std::mem::take(&mut self.end_backoffs) {
-            for job in self.jobs.values_mut() {
-                job.backoff_until = 0;
-            }
-        }
+        self.end_due_backoffs();
         for machine in self.machines.values_mut() {
             machine.update_orphans();
         }
-        let now_s = wall_ms as f64 / 1000.0;
-        let (machines, unreliable) = self.machine_views(now, now_s);
+        let machines = self.machine_views(time);
         let context = SnapshotContext {
-            now,
-            now_s,
-            unreliable,
+            time,
+            unreliable: machines.unreliable,
             orphan_zones: self.orphan_zones(),
-            runs_max: self.runs_max(),
+            runs_max: self.record_capacity.runs_max(self.machines.keys()),
         };
         let jobs = self.jobs.values();
         let jobs: Vec<JobView> = jobs
@@ -53,36 +68,34 @@
             .collect();
         self.has_pending_jobs = !jobs.is_empty();
         Snapshot {
-            machines,
+            machines: machines.views,
             jobs,
             teams: self.team_views(),
-            now_s,
+            now_s: time.now_s(),
             on_demand_penalty_s: self.cluster.workers.lease_s,
         }
     }
 
-    /// What each team uses, everything counted that may be on a machine.
+    fn end_due_backoffs(&mut self) {
+        if std::mem::take(&mut self.end_backoffs) {
+            for job in self.jobs.values_mut() {
+                job.backoff_until = 0;
+            }
+        }
+    }
+
+    /// The usage of each team, including every task that may be on a machine.
     pub(super) fn team_views(&self) -> HashMap<String, TeamView> {
-        let teams = self.cluster.teams.iter().map(|team| {
-            let view = TeamView {
-                cpus_max: team.cpus_max,
-                gpus_max: team.gpus_max,
-                nominal_cpus: team.cpus,
-                nominal_gpus: team.gpus,
-                ..TeamView::default()
-            };
-            (team.name.clone(), view)
-        });
-        let mut views: HashMap<String, TeamView> = teams.collect();
+        let mut views = self.unused_team_views();
         for job in self.jobs.values() {
             let Some(view) = views.get_mut(&job.spec.team) else {
                 continue;
             };
             view.add_tasks(Resources::of(&job.spec), job.placements.len());
             if !job.is_waiting {
-                let left = (u64::from(job.spec.tasks) - job.done.len()) as f64;
-                view.requested_cpus += job.spec.cpus * left;
-                view.requested_gpus += job.spec.gpus * left;
+                let unfinished = (u64::from(job.spec.tasks) - job.done.len()) as f64;
+                view.requested_cpus += job.spec.cpus * unfinished;
+                view.requested_gpus += job.spec.gpus * unfinished;
             }
         }
         for machine in self.machines.values() {
@@ -98,6 +111,35 @@
         views
     }
 
+    /// The teams with their quotas, and without usage.
+    fn unused_team_views(&self) -> HashMap<String, TeamView> {
+        let teams = self.cluster.teams.iter().map(|team| {
+            let view = TeamView {
+                cpus_max: team.cpus_max,
+                gpus_max: team.gpus_max,
+                nominal_cpus: team.cpus,
+                nominal_gpus: team.gpus,
+                ..TeamView::default()
+            };
+            (team.name.clone(), view)
+        });
+        teams.collect()
+    }
+
+    /// Whether a team uses no more than its quota limit, including every task that may be on a
+    /// machine.
+    pub(super) fn is_team_within_limit(&mut self, team: &str) -> bool {
+        let limits = self.cluster.teams.iter().find(|limits| limits.name == team);
+        if !limits.is_some_and(|limits| limits.cpus_max > 0.0 || limits.gpus_max > 0.0) {
+            return true;
+        }
+        if let Some(is_within_limit) = self.quota_cache.get(team) {
+            return is_within_limit;
+        }
+        self.quota_cache.store(self.team_views());
+        self.quota_cache.get(team).unwrap_or(true)
+    }
+
     fn orphan_zones(&self) -> HashMap<String, Vec<Arc<str>>> {
         let mut zones: HashMap<String, Vec<Arc<str>>> = HashMap::new();
         for machine in self.machines.values() {
--- a/src/scheduler/starts.rs
+++ b/src/scheduler/starts.rs
@@ -1,41 +1,53 @@
-//! Starts that are on record and have not gone out.
+//! Sending recorded starts, and direct commands.
 
+use std::net::SocketAddr;
 use std::sync::Arc;
 
-use super::job_state::StartDelivery;
+use super::job_state::{Placement, StartDelivery};
 use super::{to_ms, DirectStart, Effect, Scheduler};
 use crate::job::task_name;
+use crate::machine::Machine;
 use crate::wire;
 
-/// Why starts that were sent straight to an agent were surely not carried out.
+/// Why starts that were sent straight to an agent were certainly not executed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StartFailure {
-    /// No connection came about.
+    /// No connection was established.
     NotSent,
     /// The agent has rejected the commands.
     Rejected,
 }
 
+/// Where direct commands for an agent are sent.
+struct AgentTarget {
+    address: SocketAddr,
+    incarnation: u64,
+}
+
+impl AgentTarget {
+    /// `None` if the machine's agent has not sent a status yet.
+    fn of(machine: &Machine) -> Option<AgentTarget> {
+        let address = machine.address.filter(|_| machine.incarnation > 0)?;
+        Some(AgentTarget {
+            address,
+            incarnation: machine.incarnation,
+        })
+    }
+}
+
 impl Scheduler {
-    /// Starts for a machine may be on record and not on their way.
+    /// Whether a machine may have recorded starts that are not on their way.
     pub fn is_startable(&self, machine: &str) -> bool {
-        self.startable.contains(machine)
+        self.starts.contains(machine)
     }
 
-    /// Machines with starts on record that may not be on their way, and that have come up
-    /// since the last call: a heartbeat of theirs that waits is answered.
+    /// Machines that have become startable since the last call: heartbeats of theirs that are
+    /// held back are answered now.
     pub fn take_newly_startable(&mut self) -> Vec<Arc<str>> {
-        std::mem::take(&mut self.newly_startable)
-    }
-
-    /// A machine has starts on record that may not be on their way.
-    pub(super) fn mark_startable(&mut self, machine: Arc<str>) {
-        self.newly_startable.push(machine.clone());
-        self.startable.insert(machine);
+        self.starts.take_new()
     }
 
-    /// An agent has said that it did not carry out a start that went straight to it, or
-    /// the start was never sent: it may go out anew.
+    /// Direct starts were certainly not executed: they may be sent again.
     pub fn on_start_failed(
         &mut self,
         machine: &str,
@@ -52,129 +64,112 @@
             let Some(job) = self.jobs.get_mut(&*start.job) else {
                 continue;
             };
-            let placement = job.placements.iter_mut().find(|p| {
-                p.task == start.task
-                    && p.attempt == start.attempt
-                    && *p.machine == *machine
-                    && p.phase.is_none()
-                    && matches!(p.delivery, Some(StartDelivery::Direct { .. }))
-            });
-            let Some(placement) = placement else {
+            let mut placements = job.placements.iter_mut();
+            let is_failed = |placement: &&mut Placement| {
+                *placement.machine == *machine && placement.awaits_direct_start(start)
+            };
+            let Some(placement) = placements.find(is_failed) else {
                 continue;
             };
             placement.delivery = None;
-            let machine = placement.machine.clone();
-            self.mark_startable(machine);
+            self.starts.insert(placement.machine.clone());
             self.needs_planning = true;
         }
     }
 
-    /// The starts that are due on a machine, marked as sent.
+    /// The starts that are due on a machine; they count as sent from here on.
     pub(super) fn take_starts(
         &mut self,
         name: &str,
         delivery: StartDelivery,
         now: u64,
     ) -> Vec<DirectStart> {
-        let mut starts = Vec::new();
-        self.startable.remove(name);
+        self.starts.remove(name);
         let Some(machine) = self.machines.get(name) else {
-            return starts;
+            return vec![];
         };
         if !machine.is_retained() {
-            return starts;
+            return vec![];
         }
-        let direct = matches!(delivery, StartDelivery::Direct { .. });
-        for recorded in &machine.bound_tasks {
-            let Some(job) = self.jobs.get_mut(&*recorded.job) else {
+        let mut starts = Vec::new();
+        for bound_task in &machine.bound_tasks {
+            let Some(job) = self.jobs.get_mut(&*bound_task.job) else {
                 continue;
             };
             if job.cancelled {
                 continue;
             }
             let committed_change = job.committed_change;
-            let Some(placement) = job.placement_mut(recorded.task) else {
+            let Some(placement) = job.placement_mut(bound_task.task) else {
                 continue;
             };
-            let due = placement.is_start_pending()
-                && placement.change <= committed_change
-                && placement.stop.is_none();
-            if due && !(direct && placement.restarts_in_place) {
-                placement.delivery = Some(delivery);
-                placement.start_attempts += 1;
-                placement.since = now;
-                starts.push(DirectStart {
-                    job: recorded.job.clone(),
-                    task: recorded.task,
-                    attempt: recorded.attempt,
-                });
+            if !placement.may_start(committed_change, delivery) {
+                continue;
             }
+            placement.on_start_sent(delivery, now);
+            starts.push(DirectStart {
+                job: bound_task.job.clone(),
+                task: bound_task.task,
+                attempt: bound_task.attempt,
+            });
         }
         starts
     }
 
-    /// Sends starts that have no heartbeat to go with straight to the agents that are
-    /// known to have our epoch.
+    /// Sends starts without a heartbeat to answer straight to the agents that have our epoch.
+    /// `may_start`: this controller's lease is certainly valid.
     pub fn send_direct_starts(&mut self, may_start: bool, now: u64) {
         if !may_start || self.is_overloaded(now) {
             return;
         }
-        // What the limit leaves no capacity for stays: a heartbeat may come first.
-        while self.direct_start_limit.available(now, 0.0) > 0 {
-            let Some(name) = self.startable.pop_first() else {
-                return;
-            };
-            self.work.starts_considered += 1;
-            let Some(machine) = self.machines.get(&*name) else {
+        while let Some(name) = self.starts.pop_within_limit(now) {
+            let Some(target) = self.direct_start_target(&name, now) else {
+                // The answer to its next heartbeat carries them.
                 continue;
             };
-            let (Some(address), incarnation) = (machine.address, machine.incarnation) else {
-                continue;
-            };
-            if incarnation == 0
-                || now < machine.unreachable_until
-                || !self.is_placeable(machine, now)
-            {
-                // Its next heartbeat takes them.
-                continue;
-            }
             let delivery = StartDelivery::Direct {
-                incarnation,
+                incarnation: target.incarnation,
                 at: now,
             };
             let starts = self.take_starts(&name, delivery, now);
             if starts.is_empty() {
                 continue;
             }
-            let _ = self.direct_start_limit.try_take(now, 1.0, 0.0);
+            self.starts.charge(now);
             if let Some(machine) = self.machines.get_mut(&*name) {
                 machine.direct_start_at = Some(now);
             }
-            let commands = starts.iter().map(start_command).collect();
             self.effects.push(Effect::Commands {
                 machine: name,
-                address,
-                incarnation,
-                commands,
+                address: target.address,
+                incarnation: target.incarnation,
+                commands: starts.iter().map(start_command).collect(),
                 starts,
             });
         }
     }
 
-    /// Sends commands that are to go straight to agents.
+    fn direct_start_target(&self, name: &str, now: u64) -> Option<AgentTarget> {
+        let machine = self.machines.get(name)?;
+        let target = AgentTarget::of(machine)?;
+        let is_usable = now >= machine.unreachable_until && self.is_placeable(machine, now);
+        is_usable.then_some(target)
+    }
+
+    /// Sends the queued direct commands.
     pub(super) fn send_direct_commands(&mut self) {
-        for (name, mut commands) in std::mem::take(&mut self.direct_commands) {
+        for (name, mut commands) in self.direct_commands.take_all() {
             let Some(machine) = self.machines.get(&*name) else {
                 continue;
             };
-            let Some(address) = machine.address.filter(|_| machine.incarnation > 0) else {
+            let Some(target) = AgentTarget::of(machine) else {
                 continue;
             };
             commands.truncate(super::COMMANDS_MAX);
             self.effects.push(Effect::Commands {
-                machine: Arc::clone(&name),
-                address,
-                incarnation: machine.incarnation,
+                machine: name,
+                address: target.address,
+                incarnation: target.incarnation,
                 commands,
                 starts: vec![],
             });
--- /dev/null
+++ b/src/scheduler/task_exits.rs
@@ -0,0 +1,120 @@
+//! What follows from the exit of a task.
+
+use tracing::{debug, warn};
+
+use super::job_state::{Job, TaskKey};
+use super::{to_ms, Scheduler};
+use crate::job::Shape;
+use crate::machine::{ExitCause, Machine, TerminationReason};
+
+/// Longest rest after task errors, as a power of two.
+const FAILURE_DOUBLINGS_MAX: u32 = 5;
+/// Longest rest after refused starts, as a power of two.
+const REFUSED_DOUBLINGS_MAX: u32 = 4;
+
+/// The rest of a job after a refused start, in seconds: `unit_s` doubles with each failure, up
+/// to `max_s`.
+struct RefusalRest {
+    unit_s: f64,
+    max_s: f64,
+}
+
+impl Scheduler {
+    /// A task has exited, or its start was refused.
+    pub(super) fn on_exit(&mut self, task: &TaskKey, machine: &str, cause: ExitCause, now: u64) {
+        debug!(%task, machine, ?cause, "task exited");
+        match cause {
+            ExitCause::Done => self.on_task_done(task, machine),
+            ExitCause::Error => self.on_task_error(task, machine, now),
+            ExitCause::InsufficientCapacity | ExitCause::InUse | ExitCause::UnknownTask => {
+                let rest = RefusalRest {
+                    unit_s: self.cluster.workers.report_s / 4.0,
+                    max_s: f64::INFINITY,
+                };
+                self.rest_after_refusal(&task.job, rest, now);
+            }
+            ExitCause::GangTimeout => {
+                let rest = RefusalRest {
+                    unit_s: 1.0,
+                    max_s: self.operator.backoff_max_s,
+                };
+                self.rest_after_refusal(&task.job, rest, now);
+            }
+            ExitCause::Stopped { .. } | ExitCause::GangMemberLost => {}
+        }
+        self.remove_placement(task, now);
+    }
+
+    fn on_task_done(&mut self, task: &TaskKey, machine: &str) {
+        let Some(job) = self.jobs.get_mut(&*task.job) else {
+            return;
+        };
+        match job.spec.shape {
+            // They complete together: if one is done, all are.
+            Shape::Gang => job.done.fill(job.spec.tasks),
+            Shape::Array => job.done.insert(task.task),
+            Shape::Service => {}
+        }
+        job.failures = 0;
+        if let Some(machine) = self.machines.get_mut(machine) {
+            machine.failed_jobs.clear();
+        }
+    }
+
+    /// A job that has failed on several machines on which no other job has, and that has never
+    /// run, is itself at fault: it rests, and machines are not blamed for it. Many tasks that
+    /// fail together count once.
+    fn on_task_error(&mut self, task: &TaskKey, machine: &str, now: u64) {
+        let heartbeat_interval_s = self.cluster.workers.report_s;
+        let Some(job) = self.jobs.get_mut(&*task.job) else {
+            return;
+        };
+        let has_run = has_shown_that_it_runs(job, to_ms(heartbeat_interval_s), now);
+        job.avoided_machines.insert(machine.into());
+        let is_job_trusted = has_run || job.avoided_machines.len() == 1;
+        let machine = self.machines.get_mut(machine);
+        let is_machine_at_fault =
+            machine.is_some_and(|machine| blame_machine(machine, task, is_job_trusted));
+        if !is_machine_at_fault && now >= job.retry_after {
+            job.failures += 1;
+            let doublings = (job.failures - 1).min(FAILURE_DOUBLINGS_MAX);
+            let rest_s = heartbeat_interval_s * f64::from(1u32 << doublings);
+            job.retry_after = now + to_ms(rest_s.min(self.cluster.workers.lease_s));
+        }
+    }
+
+    /// A job rests after a refused start, twice as long each time.
+    fn rest_after_refusal(&mut self, id: &str, rest: RefusalRest, now: u64) {
+        let Some(job) = self.jobs.get_mut(id) else {
+            return;
+        };
+        job.failures += 1;
+        let doublings = job.failures.min(REFUSED_DOUBLINGS_MAX);
+        let rest_s = (rest.unit_s * f64::from(1u32 << doublings)).min(rest.max_s);
+        job.retry_after = now + to_ms(rest_s);
+    }
+}
+
+/// Counts a failed task against its machine. Returns whether the machine is at fault; it is
+/// then drained.
+fn blame_machine(machine: &mut Machine, task: &TaskKey, is_job_trusted: bool) -> bool {
+    machine.failed_jobs.insert(task.job.clone());
+    let is_at_fault = is_job_trusted || machine.failed_jobs.len() > 1;
+    if is_at_fault && machine.termination_reason.is_none() {
+        warn!(machine = %machine.name, %task, "draining machine after a task error");
+        machine.termination_reason = Some(TerminationReason::TaskFailed);
+        machine.view = None;
+    }
+    is_at_fault
+}
+
+/// Whether a job has completed a task, or run for a heartbeat interval.
+fn has_shown_that_it_runs(job: &Job, heartbeat_interval_ms: u64, now: u64) -> bool {
+    let long_ago = |since: u64| now > since + heartbeat_interval_ms;
+    let ran = |running_since: Option<u64>| running_since.is_some_and(long_ago);
+    !job.done.is_empty()
+        || job
+            .placements
+            .iter()
+            .any(|placement| ran(placement.running_since))
+}
--- /dev/null
+++ b/src/scheduler/terminations.rs
@@ -0,0 +1,66 @@
+//! Terminations of machines beyond the machine's own state: those that the store records and
+//! those that the cloud has confirmed.
+
+use std::collections::{BTreeSet, HashMap};
+
+/// How long terminated machines are remembered, beyond the lag of the cloud's list: statuses
+/// of machines that no longer exist may arrive minutes late.
+const TERMINATED_MEMORY_MS: u64 = 600_000;
+
+/// Terminations that are recorded or confirmed in this term.
+#[derive(Debug, Default)]
+pub(super) struct Terminations {
+    /// Machines that are recorded with the holder of the termination duty.
+    recorded: BTreeSet<String>,
+    /// Machines whose deletion the cloud has confirmed, and when.
+    confirmed_at: HashMap<String, u64>,
+    /// Whether a machine was terminated because it could not be reached.
+    has_terminated_unreachable: bool,
+}
+
+impl Terminations {
+    /// The store records that these machines are to be terminated.
+    pub fn record(&mut self, machines: &[String]) {
+        self.recorded.extend(machines.iter().cloned());
+    }
+
+    /// A recorded termination was rejected.
+    pub fn reject(&mut self, machine: &str) {
+        self.recorded.remove(machine);
+    }
+
+    pub fn is_recorded(&self, machine: &str) -> bool {
+        self.recorded.contains(machine)
+    }
+
+    /// The machines whose termination is recorded, by name.
+    pub fn recorded(&self) -> impl Iterator<Item = &String> {
+        self.recorded.iter()
+    }
+
+    /// The cloud has confirmed that a machine is permanently deleted.
+    pub fn confirm(&mut self, machine: &str, now: u64) {
+        self.confirmed_at.insert(machine.to_string(), now);
+        self.recorded.remove(machine);
+    }
+
+    /// Whether a machine is permanently deleted: what still arrives from or about it is late.
+    pub fn is_confirmed(&self, machine: &str) -> bool {
+        self.confirmed_at.contains_key(machine)
+    }
+
+    /// Forgets machines that neither the cloud's list nor a late status can show any more.
+    pub fn forget_old(&mut self, list_lag_ms: u64, now: u64) {
+        let memory_ms = 4 * list_lag_ms + TERMINATED_MEMORY_MS;
+        self.confirmed_at.retain(|_, at| now < *at + memory_ms);
+    }
+
+    /// A machine is terminated because it could not be reached.
+    pub fn note_unreachable(&mut self) {
+        self.has_terminated_unreachable = true;
+    }
+
+    pub fn has_terminated_unreachable(&self) -> bool {
+        self.has_terminated_unreachable
+    }
+}
