--- a/src/scheduler/agent_status.rs
+++ b/src/scheduler/agent_status.rs
@@ -4,7 +4,7 @@
 
 use tracing::debug;
 
-use super::job_state::{Placement, StartDelivery, TaskKey};
+use super::placement::{Placement, StartDelivery, TaskKey};
 use super::{to_ms, Scheduler};
 use crate::job::task_name;
 use crate::machine::{AnswerCheck, BoundTask, ExitCause, Machine, TaskPhase, TerminationReason};
--- a/src/scheduler/commands.rs
+++ b/src/scheduler/commands.rs
@@ -1,6 +1,6 @@
 //! The commands in the answer to a heartbeat.
 
-use super::job_state::{Placement, StartDelivery, StopRequest};
+use super::placement::{Placement, StartDelivery, StopRequest};
 use super::starts::start_command;
 use super::{to_ms, Job, Scheduler, COMMANDS_MAX};
 use crate::job::task_name;
@@ -88,7 +88,8 @@
             return false;
         };
         let job = self.jobs.get(&task.job);
-        cause != ExitCause::Done || job.is_none_or(|job| job.committed_done.contains(task.task))
+        cause != ExitCause::Done
+            || job.is_none_or(|job| job.record.committed_done().contains(task.task))
     }
 
     /// Repeats stops that have shown no effect.
@@ -134,7 +135,7 @@
     pub(super) fn has_unrecorded_result(&self, machine: &Machine) -> bool {
         machine.reported_tasks.iter().any(|task| {
             let is_unrecorded =
-                |job: &Job| !job.cancelled && !job.committed_done.contains(task.task);
+                |job: &Job| !job.cancelled && !job.record.committed_done().contains(task.task);
             task.phase == TaskPhase::Exited(ExitCause::Done)
                 && self.jobs.get(&task.job).is_some_and(is_unrecorded)
         })
--- a/src/scheduler/decisions.rs
+++ b/src/scheduler/decisions.rs
@@ -5,10 +5,10 @@
 
 use tracing::{debug, info};
 
-use super::job_state::TaskKey;
+use super::placement::TaskKey;
 use super::record_capacity::TaskBinding;
 use super::snapshots::PlanTime;
-use super::{to_ms, Job, Placement, Scheduler};
+use super::{Job, Placement, Scheduler};
 use crate::machine::Machine;
 use crate::plan::{
     is_allowed, Decision, PlannedPlacement, PlannedReservation, Reservation, Resources, TeamView,
@@ -17,8 +17,6 @@
 /// The share (numerator and denominator) of an array's new placements that is tried next if
 /// they do not fit into its record.
 const FITTING_SHARE: (usize, usize) = (3, 4);
-/// Longest backoff, as a power of two, in failed cycles.
-const FAILED_CYCLES_MAX: u32 = 8;
 
 impl Scheduler {
     /// Applies a decision of the planner, as far as it still holds: the state may have changed
@@ -38,7 +36,9 @@
             self.apply_reservation(reservation, now);
         }
         for id in &decision.failed {
-            self.back_off(id, now);
+            if let Some(job) = self.jobs.get_mut(&**id) {
+                job.retry.back_off(self.operator.backoff_max_s, now);
+            }
         }
         for id in &decision.skipped_uncached_machines {
             if let Some(job) = self.jobs.get_mut(&**id) {
@@ -71,16 +71,6 @@
         job.reserved_at = now;
     }
 
-    /// The KEP's standard backoff: it starts at a second and doubles up to a cap.
-    fn back_off(&mut self, id: &str, now: u64) {
-        let max_s = self.operator.backoff_max_s;
-        if let Some(job) = self.jobs.get_mut(id) {
-            job.failed_cycles = (job.failed_cycles + 1).min(FAILED_CYCLES_MAX);
-            let backoff_s = f64::from(1u32 << (job.failed_cycles - 1));
-            job.backoff_until = now + to_ms(backoff_s.min(max_s));
-        }
-    }
-
     fn apply_placement(
         &mut self,
         planned: &PlannedPlacement,
@@ -169,13 +159,12 @@
         let Some(job) = self.jobs.get_mut(&**id) else {
             return;
         };
-        job.failed_cycles = 0;
+        job.retry.on_placed();
         job.placed_at = now;
         job.waiting_for_cache_since = None;
         let attempt = job.next_attempt;
         job.next_attempt += 1;
-        let change = job.record_change(now);
-        job.urgent_change = change;
+        let change = job.record.add_urgent_change(now);
         self.dirty_jobs.update(job);
         debug!(job = %id, attempt, ?bindings, "placing tasks");
         for binding in bindings {
--- a/src/scheduler/dirty_jobs.rs
+++ b/src/scheduler/dirty_jobs.rs
@@ -4,7 +4,8 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-use super::job_state::{Job, WriteState};
+use super::record_state::WriteState;
+use super::Job;
 
 /// Jobs with changes that are neither recorded nor being written.
 ///
--- a/src/scheduler/effects.rs
+++ b/src/scheduler/effects.rs
@@ -1,4 +1,4 @@
-//! What the scheduler wants done outside.
+//! The scheduler's output: requests and writes for the controller to perform.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -7,10 +7,10 @@
 use crate::job::FinalState;
 use crate::wire::{Command, Condition, Write};
 
-/// One start that went straight to an agent.
+/// A start that was sent straight to an agent.
 #[derive(Debug, Clone, PartialEq)]
 pub struct DirectStart {
-    /// The job.
+    /// The id of its job.
     pub job: Arc<str>,
     /// The task's number.
     pub task: u32,
@@ -18,20 +18,20 @@
     pub attempt: u64,
 }
 
-/// What the scheduler wants done outside.
+/// A request or write for the controller to perform.
 #[derive(Debug, Clone)]
 pub enum Effect {
-    /// Write a job's record, or how it ended.
+    /// Write a job's record, or its final state, by a transaction.
     Write {
-        /// The job.
+        /// The id of the job.
         job: String,
-        /// The job's count of changes that the record holds.
+        /// The number of the job's last change that the record contains.
         change: u64,
-        /// How the job ended, if it did.
+        /// The final state that is written, if the job has ended.
         final_state: Option<FinalState>,
-        /// All have to hold.
+        /// The conditions of the transaction.
         conditions: Vec<Condition>,
-        /// The changes.
+        /// The writes of the transaction.
         writes: Vec<Write>,
     },
     /// Send commands straight to an agent.
@@ -47,7 +47,7 @@
         /// Which of them are starts.
         starts: Vec<DirectStart>,
     },
-    /// Ask an agent for a report.
+    /// Ask an agent for its status.
     Inspect {
         /// The machine's name.
         machine: Arc<str>,
@@ -56,11 +56,11 @@
     },
     /// Provision machines.
     Provision {
-        /// The provisioning request's unique name.
+        /// The unique name of the request.
         idempotency_key: String,
-        /// What kind of machine.
+        /// The kind of machine.
         kind: MachineKind,
-        /// How many.
+        /// The number of machines.
         count: u64,
     },
     /// Terminate machines.
--- a/src/scheduler/gangs.rs
+++ b/src/scheduler/gangs.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use super::job_state::TaskKey;
+use super::placement::TaskKey;
 use super::{to_ms, Job, Placement, Scheduler};
 use crate::machine::{Machine, TaskPhase};
 use crate::plan::fetch_s;
--- a/src/scheduler/job_views.rs
+++ b/src/scheduler/job_views.rs
@@ -1,7 +1,6 @@
 //! The planner's view of jobs.
 
 use std::collections::HashSet;
-use std::sync::Arc;
 
 use super::snapshots::SnapshotContext;
 use super::{objectives, to_ms, Job, Placement, Scheduler};
@@ -60,7 +59,7 @@
         let now = context.time.now;
         let cache_wait_ended = |since: u64| now > since + self.cache_wait_ms(job);
         Some(JobView {
-            backing_off: now < job.retry_after.max(job.backoff_until),
+            backing_off: job.retry.is_backing_off(now),
             overdue: is_overdue,
             prefers_cached: !is_overdue
                 && !job.waiting_for_cache_since.is_some_and(cache_wait_ended),
@@ -109,6 +108,7 @@
     ) -> JobView {
         let stated = &self.cluster.objectives;
         let boot_s = self.catalog.longest_boot_s();
+        let lease_s = self.cluster.workers.lease_s;
         JobView {
             id: job.id.clone(),
             spec: job.spec.clone(),
@@ -116,7 +116,7 @@
             ready_at_s: job.ready_at as f64 / 1000.0,
             start_by_s: objectives::start_by_s(job, stated, boot_s, context.time.now_s()),
             zones,
-            avoided_machines: self.avoided_machines(job, context.time.now),
+            avoided_machines: job.retry.avoided_machines(lease_s, context.time.now),
             backing_off: false,
             incomplete: false,
             overdue: false,
@@ -131,16 +131,6 @@
         not_begun && now_s > job.ready_at as f64 / 1000.0 + wait_s
     }
 
-    /// Machines that a job avoids, as it failed there. Faulty machines are terminated
-    /// meanwhile, and for its own faults the job rests; after that it must not wait beside
-    /// machines with capacity.
-    fn avoided_machines(&self, job: &Job, now: u64) -> HashSet<Arc<str>> {
-        if now > job.retry_after + to_ms(self.cluster.workers.lease_s) {
-            return HashSet::new();
-        }
-        job.avoided_machines.clone()
-    }
-
     /// How long an array skips machines without its image.
     fn cache_wait_ms(&self, job: &Job) -> u64 {
         to_ms(CACHE_WAIT_FETCHES * self.catalog.longest_fetch_s(job.spec.image_gb))
--- a/src/scheduler/machine_list.rs
+++ b/src/scheduler/machine_list.rs
@@ -2,7 +2,7 @@
 
 use std::collections::HashSet;
 
-use super::job_state::TaskKey;
+use super::placement::TaskKey;
 use super::scale_in::TERMINATION_RETRY_MS;
 use super::{to_ms, Scheduler};
 use crate::machine::{CloudStatus, Machine};
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -19,14 +19,18 @@
 //! | `ReadDelay` | how far this controller is behind | `read_delay` |
 //! | `PartitionDetector` | whether this controller is cut off | `partition` |
 //!
+//! Each [`Job`] in turn owns a `RecordState` (which of its changes are recorded) and a
+//! `RetryState` (its failures).
+//!
 //! The other modules coordinate: they apply events (`records`, `agent_status`, `task_exits`,
-//! `machine_list`),
+//! `machine_list`), bind and stop tasks (`bindings`, `stops`),
 //! build the planner's snapshot (`snapshots`, `job_views`, `machine_views`, `objectives`), apply
 //! its decision (`decisions`, `scale_out`, `spot_queue`, `standby_capacity`), review the state as time passes
 //! (`reconcile`, `gangs`, `probes`, `scale_in`), and emit commands (`commands`, `starts`).
 
 mod agent_status;
 mod arrivals;
+mod bindings;
 mod commands;
 mod decisions;
 mod dependency_links;
@@ -34,14 +38,14 @@
 mod dirty_jobs;
 mod effects;
 mod gangs;
-mod job_state;
+mod job;
 mod job_views;
 mod machine_catalog;
 mod machine_list;
 mod machine_views;
 mod objectives;
 mod partition;
-mod placements;
+mod placement;
 mod probes;
 mod provisioning;
 mod quota_cache;
@@ -49,7 +53,9 @@
 mod read_delay;
 mod reconcile;
 mod record_capacity;
+mod record_state;
 mod records;
+mod retry_state;
 mod scale_in;
 mod scale_out;
 mod snapshots;
@@ -57,6 +63,7 @@
 mod standby_capacity;
 mod start_queue;
 mod starts;
+mod stops;
 mod task_exits;
 mod terminations;
 
@@ -65,7 +72,8 @@
 
 pub use agent_status::StatusOrigin;
 pub use effects::{DirectStart, Effect};
-pub use job_state::{Job, Placement};
+pub use job::Job;
+pub use placement::Placement;
 pub use provisioning::ProvisioningOutcome;
 pub use reachability::Reachability;
 pub use starts::StartFailure;
@@ -118,7 +126,7 @@
 /// The leader's scheduling state.
 ///
 /// Jobs hold their placements, and machines the tasks that are bound to them; both change
-/// together, in `add_placement` and `remove_placement` only.
+/// together, in `bindings` and `records` only.
 ///
 /// Unless stated otherwise, `now` is the steady clock in milliseconds.
 #[derive(Debug)]
--- a/src/scheduler/reconcile.rs
+++ b/src/scheduler/reconcile.rs
@@ -1,6 +1,6 @@
 //! What is done as time passes.
 
-use super::job_state::TaskKey;
+use super::placement::TaskKey;
 use super::{to_ms, Scheduler};
 use crate::machine::TaskPhase;
 
--- a/src/scheduler/record_capacity.rs
+++ b/src/scheduler/record_capacity.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use super::job_state::Job;
+use super::Job;
 use crate::job::{json_length, TaskRun, PACKED_FORMAT};
 use crate::settings::StoreLimits;
 
--- a/src/scheduler/records.rs
+++ b/src/scheduler/records.rs
@@ -14,10 +14,6 @@
 /// For how long a change that is not urgent may wait for others to be written with it, as a
 /// share of the time within which the tasks of a gang notice that one of them is gone.
 const DEFERRED_WRITE_SHARE: f64 = 0.25;
-/// Pause before a rejected change is written again.
-const REJECTED_PAUSE_MS: u64 = 150;
-/// Pause before a change with an unknown outcome is written again.
-const UNKNOWN_PAUSE_MS: u64 = 50;
 
 impl Scheduler {
     /// The watch cache shows a job's record and the state of its dependencies; if they are
@@ -53,17 +49,10 @@
             return;
         };
         let record = &live.record;
-        job.key_version = job.key_version.max(live.version);
+        job.record.on_version(live.version);
         let writer = record.writer;
         if writer.epoch == self.term.epoch {
-            let is_newer = writer.change > job.committed_change;
-            if is_newer {
-                job.committed_change = writer.change;
-                job.committed_done = record.done.clone();
-            }
-            if job.writing_change == Some(writer.change) {
-                job.writing_change = None;
-            }
+            let is_newer = job.record.on_own_record(writer.change, &record.done);
             self.dirty_jobs.update(job);
             if is_newer {
                 self.mark_startable_machines(id);
@@ -79,7 +68,7 @@
         debug!(job = id, spec = ?record.spec, "new job");
         let mut job = Job::new(id, live, now);
         if record.runs.is_empty() && job.final_state().is_some() {
-            job.record_change(now);
+            job.record.add_change(now);
         }
         if !record.spec.spot && !record.cancelled {
             self.record_arrival(&job, now);
@@ -153,7 +142,7 @@
             return;
         };
         let is_committed = matches!(result, CommitResult::Committed { .. });
-        job.on_write_result(change, result, now);
+        job.record.on_write_result(change, result, now);
         if is_committed && final_state.is_some() {
             self.remove_job(id);
             return;
@@ -170,7 +159,7 @@
         let jobs = &self.jobs;
         let may_write = |id: &str| {
             jobs.get(id)
-                .is_some_and(|job| now >= job.write_after && revision >= job.write_after_revision)
+                .is_some_and(|job| job.record.may_write(now, revision))
         };
         let max_wait_ms = to_ms(self.cluster.workers.gang_peer_s * DEFERRED_WRITE_SHARE);
         let due = self
@@ -187,7 +176,10 @@
             return;
         };
         let final_state = job.final_state();
-        let conditions = vec![term_condition, Condition::new(job_key(id), job.key_version)];
+        let conditions = vec![
+            term_condition,
+            Condition::new(job_key(id), job.record.key_version()),
+        ];
         let writes = match final_state {
             Some(state) => vec![
                 Write::delete(job_key(id)),
@@ -199,11 +191,10 @@
                 vec![Write::set(job_key(id), record)]
             }
         };
-        job.writing_change = Some(job.change);
-        job.writing_done = job.done.clone();
+        job.record.begin_write(&job.done);
         self.effects.push(Effect::Write {
             job: id.to_string(),
-            change: job.change,
+            change: job.record.change(),
             final_state,
             conditions,
             writes,
@@ -211,31 +202,3 @@
         self.dirty_jobs.update(job);
     }
 }
-
-impl Job {
-    /// Applies the store's answer to the write of one of its changes.
-    fn on_write_result(&mut self, change: u64, result: &CommitResult, now: u64) {
-        let was_writing = self.writing_change == Some(change);
-        if was_writing {
-            self.writing_change = None;
-        }
-        match result {
-            CommitResult::Committed { revision } => {
-                self.key_version = self.key_version.max(*revision);
-                self.write_after = now;
-                if change > self.committed_change {
-                    self.committed_change = change;
-                    self.changed_at = now;
-                    if was_writing {
-                        self.committed_done = std::mem::take(&mut self.writing_done);
-                    }
-                }
-            }
-            CommitResult::Conflict { revision, .. } => self.write_after_revision = *revision,
-            CommitResult::Rejected => self.write_after = now + REJECTED_PAUSE_MS,
-            // The same change under the same condition is written again: if the first write
-            // was executed, this one fails and the watch cache shows the record.
-            CommitResult::Unknown => self.write_after = now + UNKNOWN_PAUSE_MS,
-        }
-    }
-}
--- a/src/scheduler/scale_in.rs
+++ b/src/scheduler/scale_in.rs
@@ -5,7 +5,7 @@
 
 use tracing::info;
 
-use super::job_state::StartDelivery;
+use super::placement::StartDelivery;
 use super::{to_ms, Effect, Scheduler};
 use crate::machine::{CloudStatus, Machine, TerminationClass, TerminationReason};
 
--- a/src/scheduler/snapshots.rs
+++ b/src/scheduler/snapshots.rs
@@ -79,7 +79,7 @@
     fn end_due_backoffs(&mut self) {
         if std::mem::take(&mut self.end_backoffs) {
             for job in self.jobs.values_mut() {
-                job.backoff_until = 0;
+                job.retry.end_backoff();
             }
         }
     }
--- a/src/scheduler/starts.rs
+++ b/src/scheduler/starts.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use super::job_state::{Placement, StartDelivery};
+use super::placement::{Placement, StartDelivery, TaskKey};
 use super::{to_ms, DirectStart, Effect, Scheduler};
 use crate::job::task_name;
 use crate::machine::Machine;
@@ -77,6 +77,27 @@
         }
     }
 
+    /// The starts of a job may have become due: its machines are considered with their next
+    /// answers.
+    pub(super) fn mark_startable_machines(&mut self, id: &str) {
+        let Some(job) = self.jobs.get(id) else { return };
+        let is_due = |placement: &&Placement| {
+            placement.is_start_pending() && job.record.is_committed(placement.change)
+        };
+        for placement in job.placements.iter().filter(is_due) {
+            self.starts.insert(placement.machine.clone());
+        }
+    }
+
+    /// A recorded task that is certainly not on its machine may be started there under its
+    /// attempt.
+    pub(super) fn restart_in_place(&mut self, task: &TaskKey) {
+        let job = self.jobs.get_mut(&*task.job);
+        if let Some(placement) = job.and_then(|job| job.placement_mut(task.task)) {
+            placement.restart_in_place();
+        }
+    }
+
     /// The starts that are due on a machine; they count as sent from here on.
     pub(super) fn take_starts(
         &mut self,
@@ -99,11 +120,14 @@
             if job.cancelled {
                 continue;
             }
-            let committed_change = job.committed_change;
-            let Some(placement) = job.placement_mut(bound_task.task) else {
+            let Some(placement) = job
+                .placements
+                .iter_mut()
+                .find(|placement| placement.task == bound_task.task)
+            else {
                 continue;
             };
-            if !placement.may_start(committed_change, delivery) {
+            if !job.record.is_committed(placement.change) || !placement.may_start(delivery) {
                 continue;
             }
             placement.on_start_sent(delivery, now);
--- a/src/scheduler/task_exits.rs
+++ b/src/scheduler/task_exits.rs
@@ -2,23 +2,12 @@
 
 use tracing::{debug, warn};
 
-use super::job_state::{Job, TaskKey};
-use super::{to_ms, Scheduler};
+use super::placement::TaskKey;
+use super::retry_state::RefusalRest;
+use super::{to_ms, Job, Scheduler};
 use crate::job::Shape;
 use crate::machine::{ExitCause, Machine, TerminationReason};
 
-/// Longest rest after task errors, as a power of two.
-const FAILURE_DOUBLINGS_MAX: u32 = 5;
-/// Longest rest after refused starts, as a power of two.
-const REFUSED_DOUBLINGS_MAX: u32 = 4;
-
-/// The rest of a job after a refused start, in seconds: `unit_s` doubles with each failure, up
-/// to `max_s`.
-struct RefusalRest {
-    unit_s: f64,
-    max_s: f64,
-}
-
 impl Scheduler {
     /// A task has exited, or its start was refused.
     pub(super) fn on_exit(&mut self, task: &TaskKey, machine: &str, cause: ExitCause, now: u64) {
@@ -31,14 +20,14 @@
                     unit_s: self.cluster.workers.report_s / 4.0,
                     max_s: f64::INFINITY,
                 };
-                self.rest_after_refusal(&task.job, rest, now);
+                self.rest_after_refusal(&task.job, &rest, now);
             }
             ExitCause::GangTimeout => {
                 let rest = RefusalRest {
                     unit_s: 1.0,
                     max_s: self.operator.backoff_max_s,
                 };
-                self.rest_after_refusal(&task.job, rest, now);
+                self.rest_after_refusal(&task.job, &rest, now);
             }
             ExitCause::Stopped { .. } | ExitCause::GangMemberLost => {}
         }
@@ -55,7 +44,7 @@
             Shape::Array => job.done.insert(task.task),
             Shape::Service => {}
         }
-        job.failures = 0;
+        job.retry.on_task_done();
         if let Some(machine) = self.machines.get_mut(machine) {
             machine.failed_jobs.clear();
         }
@@ -70,28 +59,22 @@
             return;
         };
         let has_run = has_shown_that_it_runs(job, to_ms(heartbeat_interval_s), now);
-        job.avoided_machines.insert(machine.into());
-        let is_job_trusted = has_run || job.avoided_machines.len() == 1;
+        let is_first_machine = job.retry.avoid_machine(machine);
+        let is_job_trusted = has_run || is_first_machine;
         let machine = self.machines.get_mut(machine);
         let is_machine_at_fault =
             machine.is_some_and(|machine| blame_machine(machine, task, is_job_trusted));
-        if !is_machine_at_fault && now >= job.retry_after {
-            job.failures += 1;
-            let doublings = (job.failures - 1).min(FAILURE_DOUBLINGS_MAX);
-            let rest_s = heartbeat_interval_s * f64::from(1u32 << doublings);
-            job.retry_after = now + to_ms(rest_s.min(self.cluster.workers.lease_s));
+        if !is_machine_at_fault {
+            let lease_s = self.cluster.workers.lease_s;
+            job.retry
+                .rest_after_error(heartbeat_interval_s, lease_s, now);
         }
     }
 
-    /// A job rests after a refused start, twice as long each time.
-    fn rest_after_refusal(&mut self, id: &str, rest: RefusalRest, now: u64) {
-        let Some(job) = self.jobs.get_mut(id) else {
-            return;
-        };
-        job.failures += 1;
-        let doublings = job.failures.min(REFUSED_DOUBLINGS_MAX);
-        let rest_s = (rest.unit_s * f64::from(1u32 << doublings)).min(rest.max_s);
-        job.retry_after = now + to_ms(rest_s);
+    fn rest_after_refusal(&mut self, id: &str, rest: &RefusalRest, now: u64) {
+        if let Some(job) = self.jobs.get_mut(id) {
+            job.retry.rest_after_refusal(rest, now);
+        }
     }
 }
 
