--- a/src/machine/mod.rs
+++ b/src/machine/mod.rs
@@ -111,14 +111,14 @@
 }
 
 impl Machine {
-    /// A machine that has not sent a status yet.
-    pub fn new(name: &str, machine_type: &str, zone: &str, spot: bool, now: u64) -> Machine {
+    /// A machine of which only the name is known yet.
+    pub fn new(name: &str, now: u64) -> Machine {
         Machine {
             name: name.into(),
             address: None,
-            machine_type: machine_type.into(),
-            zone: zone.into(),
-            spot,
+            machine_type: "".into(),
+            zone: "".into(),
+            spot: false,
             incarnation: 0,
             serial: 0,
             epoch: 0,
@@ -149,6 +149,12 @@
         }
     }
 
+    /// The machine with its type, zone and kind.
+    pub fn with_kind(mut self, machine_type: &str, zone: &str, spot: bool) -> Machine {
+        self.set_kind(machine_type, zone, spot);
+        self
+    }
+
     /// Applies a status. Returns false if it is not newer than the last one.
     pub fn apply_status(&mut self, status: &AgentStatus, now: u64) -> bool {
         if (status.incarnation, status.serial) <= (self.incarnation, self.serial) {
@@ -172,7 +178,8 @@
         true
     }
 
-    fn set_kind(&mut self, machine_type: &str, zone: &str, spot: bool) {
+    /// Sets its type, its zone and whether it is a spot machine.
+    pub fn set_kind(&mut self, machine_type: &str, zone: &str, spot: bool) {
         if *self.machine_type != *machine_type || *self.zone != *zone || self.spot != spot {
             self.machine_type = machine_type.into();
             self.zone = zone.into();
@@ -181,6 +188,12 @@
         }
     }
 
+    /// For how long it has been silent, in a term that began at `began_at`.
+    pub fn silent_ms(&self, began_at: u64, now: u64) -> u64 {
+        let last_status_at = self.last_status_at.unwrap_or(self.known_since);
+        now.saturating_sub(last_status_at.max(began_at))
+    }
+
     /// The reported task that is this bound task in the same attempt.
     pub fn reported_task(&self, bound_task: &BoundTask) -> Option<&ReportedTask> {
         self.reported_tasks
--- a/src/scheduler/agent_status.rs
+++ b/src/scheduler/agent_status.rs
@@ -1,6 +1,6 @@
 //! Applying the statuses that agents send.
 
-use std::sync::Arc;
+use std::collections::BTreeMap;
 
 use tracing::debug;
 
@@ -80,25 +80,10 @@
         let Some(schedulability) = self.apply_status(received) else {
             return false;
         };
-        let Some(machine) = self.machines.get(&status.machine) else {
+        let Some(effects) = self.apply_tasks(received, schedulability) else {
             return false;
         };
-        let name = machine.name.clone();
-        let has_our_epoch = status.epoch >= self.term.epoch;
-        let mut effects = StatusEffects {
-            may_start: machine.is_retained() && has_our_epoch,
-            freed_capacity: is_newly_free(machine, received, schedulability),
-            start_pending: false,
-        };
-        // A status without our epoch may be a copy from before an earlier leader cleared a
-        // task and started it again under its attempt, or of an incarnation that has ended:
-        // what it says of tasks proves nothing.
-        if has_our_epoch {
-            for bound_task in machine.bound_tasks.clone() {
-                self.apply_task(&bound_task, received, &mut effects);
-            }
-        }
-        self.complete_status(&name, effects.start_pending, now);
+        self.complete_status(&status.machine, effects.start_pending, now);
         if schedulability == Schedulability::BecameSchedulable {
             self.retry_backed_off();
         }
@@ -114,13 +99,7 @@
             now,
         } = received;
         let is_lagging = self.is_lagging(now);
-        let machine = self
-            .machines
-            .entry(status.machine.clone())
-            .or_insert_with(|| {
-                let (machine_type, zone) = (&status.machine_type, &status.zone);
-                Machine::new(&status.machine, machine_type, zone, status.spot, now)
-            });
+        let machine = find_or_add_machine(&mut self.machines, status, now);
         let had_orphans = machine.orphans().next().is_some();
         let was_heard = machine.last_status_at.is_some();
         let (old_epoch, old_incarnation) = (machine.epoch, machine.incarnation);
@@ -155,6 +134,32 @@
         })
     }
 
+    /// Applies what a status says of the tasks that are bound to its machine. `None` if the
+    /// machine is unknown.
+    fn apply_tasks(
+        &mut self,
+        received: ReceivedStatus,
+        schedulability: Schedulability,
+    ) -> Option<StatusEffects> {
+        let status = received.status;
+        let machine = self.machines.get(&status.machine)?;
+        let has_our_epoch = status.epoch >= self.term.epoch;
+        let mut effects = StatusEffects {
+            may_start: machine.is_retained() && has_our_epoch,
+            freed_capacity: is_newly_free(machine, received, schedulability),
+            start_pending: false,
+        };
+        // A status without our epoch may be a copy from before an earlier leader cleared a
+        // task and started it again under its attempt, or of an incarnation that has ended:
+        // what it says of tasks proves nothing.
+        if has_our_epoch {
+            for bound_task in machine.bound_tasks.clone() {
+                self.apply_task(&bound_task, received, &mut effects);
+            }
+        }
+        Some(effects)
+    }
+
     /// Applies what a status says of a bound task.
     fn apply_task(
         &mut self,
@@ -287,8 +292,8 @@
     }
 
     /// Stops orphans, and brings what follows from the machine's tasks up to date.
-    fn complete_status(&mut self, name: &Arc<str>, start_pending: bool, now: u64) {
-        let Some(machine) = self.machines.get_mut(&**name) else {
+    fn complete_status(&mut self, name: &str, start_pending: bool, now: u64) {
+        let Some(machine) = self.machines.get_mut(name) else {
             return;
         };
         let stops: Vec<Command> = machine
@@ -303,10 +308,22 @@
         }
         machine.update_orphans();
         machine.update_idle(self.term.epoch, now);
-        self.direct_commands.extend(name.clone(), stops);
+        self.direct_commands.extend(machine.name.clone(), stops);
     }
 }
 
+/// The machine of a status, added if it was unknown.
+fn find_or_add_machine<'a>(
+    machines: &'a mut BTreeMap<String, Machine>,
+    status: &AgentStatus,
+    now: u64,
+) -> &'a mut Machine {
+    machines.entry(status.machine.clone()).or_insert_with(|| {
+        let (machine_type, zone) = (&status.machine_type, &status.zone);
+        Machine::new(&status.machine, now).with_kind(machine_type, zone, status.spot)
+    })
+}
+
 /// Whether the machine of a status just became free of tasks, or just became available.
 fn is_newly_free(
     machine: &Machine,
--- a/src/scheduler/bindings.rs
+++ b/src/scheduler/bindings.rs
@@ -18,7 +18,7 @@
         let machine = self
             .machines
             .entry(name.to_string())
-            .or_insert_with(|| Machine::new(name, "", "", false, now));
+            .or_insert_with(|| Machine::new(name, now));
         machine.bound_tasks.push(BoundTask {
             job: job.id.clone(),
             task: placement.task,
--- a/src/scheduler/commands.rs
+++ b/src/scheduler/commands.rs
@@ -2,9 +2,9 @@
 
 use super::placement::{Placement, StartDelivery, StopRequest};
 use super::starts::start_command;
-use super::{to_ms, Job, Scheduler, COMMANDS_MAX};
+use super::{to_ms, Scheduler, COMMANDS_MAX};
 use crate::job::task_name;
-use crate::machine::{ExitCause, ExpectedEffect, Machine, ReportedTask, TaskPhase};
+use crate::machine::{ExitCause, ExpectedEffect, ReportedTask, TaskPhase};
 use crate::wire::{self, AgentStatus, Command};
 
 /// A stop is not sent again within this time.
@@ -129,17 +129,6 @@
             });
         }
     }
-
-    /// Whether a task was done on a machine and that is not recorded yet: if this leader ends
-    /// now, the machine's status is all that the next leader has of it.
-    pub(super) fn has_unrecorded_result(&self, machine: &Machine) -> bool {
-        machine.reported_tasks.iter().any(|task| {
-            let is_unrecorded =
-                |job: &Job| !job.cancelled && !job.record.committed_done().contains(task.task);
-            task.phase == TaskPhase::Exited(ExitCause::Done)
-                && self.jobs.get(&task.job).is_some_and(is_unrecorded)
-        })
-    }
 }
 
 /// The grace period with which to repeat the stop of a task, if it is to be repeated: in
--- a/src/scheduler/gangs.rs
+++ b/src/scheduler/gangs.rs
@@ -87,7 +87,8 @@
         for placement in placements.filter(|placement| placement.is_start_pending()) {
             let machine = self.machines.get(&*placement.machine);
             let is_lost = machine.is_none_or(|machine| {
-                !machine.is_retained() || self.silent_ms(machine, now) > silence_tolerance_ms
+                !machine.is_retained()
+                    || machine.silent_ms(self.began_at, now) > silence_tolerance_ms
             });
             if is_lost {
                 review.lost.push(TaskKey::new(&job.id, placement.task));
--- a/src/scheduler/machine_list.rs
+++ b/src/scheduler/machine_list.rs
@@ -39,13 +39,10 @@
         let machine = self.machines.entry(listed.name.clone());
         let machine = machine.or_insert_with(|| {
             let (machine_type, zone) = (&listed.machine_type, &listed.zone);
-            Machine::new(&listed.name, machine_type, zone, listed.spot, since)
+            Machine::new(&listed.name, since).with_kind(machine_type, zone, listed.spot)
         });
         if machine.machine_type.is_empty() {
-            machine.machine_type = listed.machine_type.as_str().into();
-            machine.zone = listed.zone.as_str().into();
-            machine.spot = listed.spot;
-            machine.view = None;
+            machine.set_kind(&listed.machine_type, &listed.zone, listed.spot);
         }
         if machine.address.is_none() {
             let endpoint = listed.endpoint.as_ref();
--- a/src/scheduler/machine_views.rs
+++ b/src/scheduler/machine_views.rs
@@ -35,7 +35,7 @@
             && machine.epoch >= self.term.epoch
             && machine.ineffective_answers == 0
             && !machine.is_reachability_unverified()
-            && self.silent_ms(machine, now) <= silence_tolerance_ms
+            && machine.silent_ms(self.began_at, now) <= silence_tolerance_ms
             && now.saturating_sub(last_heartbeat_at.max(self.began_at)) <= silence_tolerance_ms
     }
 
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -22,11 +22,16 @@
 //! Each [`Job`] in turn owns a `RecordState` (which of its changes are recorded) and a
 //! `RetryState` (its failures).
 //!
-//! The other modules coordinate: they apply events (`records`, `agent_status`, `task_exits`,
-//! `machine_list`), bind and stop tasks (`bindings`, `stops`),
-//! build the planner's snapshot (`snapshots`, `job_views`, `machine_views`, `objectives`), apply
-//! its decision (`decisions`, `scale_out`, `spot_queue`, `standby_capacity`), review the state as time passes
-//! (`reconcile`, `gangs`, `probes`, `scale_in`), and emit commands (`commands`, `starts`).
+//! The other modules coordinate. They
+//! - apply events: `records`, `agent_status`, `task_exits`, `machine_list`;
+//! - bind and stop tasks: `bindings`, `stops`;
+//! - build the planner's snapshot: `snapshots`, `job_views`, `machine_views`, `team_usage`;
+//! - apply its decision: `decisions`, `scale_out`, `standby_capacity`;
+//! - review the state as time passes: `reconcile`, `reachability`, `gangs`, `probes`, `scale_in`;
+//! - send commands: `commands`, `starts`.
+//!
+//! Decisions that need no access to the scheduler are apart: `objectives`, `spot_queue`,
+//! `termination_review`.
 
 mod agent_status;
 mod arrivals;
@@ -65,6 +70,8 @@
 mod starts;
 mod stops;
 mod task_exits;
+mod team_usage;
+mod termination_review;
 mod terminations;
 
 use std::collections::BTreeMap;
--- a/src/scheduler/provisioning.rs
+++ b/src/scheduler/provisioning.rs
@@ -222,7 +222,7 @@
         for name in names {
             let machine = self.machines.entry(name.clone());
             machine.or_insert_with(|| {
-                Machine::new(&name, &kind.machine_type, &kind.zone, kind.spot, now)
+                Machine::new(&name, now).with_kind(&kind.machine_type, &kind.zone, kind.spot)
             });
         }
     }
--- a/src/scheduler/reachability.rs
+++ b/src/scheduler/reachability.rs
@@ -1,7 +1,6 @@
 //! For how long machines have been silent, and which of them cannot be reached.
 
 use super::{to_ms, Scheduler};
-use crate::machine::Machine;
 
 /// Heartbeat intervals after which a machine that should report counts as silent.
 const SILENT_INTERVALS: f64 = 2.5;
@@ -23,12 +22,6 @@
         to_ms(self.cluster.workers.report_s * self.operator.silent_reports)
     }
 
-    /// For how long a machine has been silent in this term.
-    pub(super) fn silent_ms(&self, machine: &Machine, now: u64) -> u64 {
-        let last_status_at = machine.last_status_at.unwrap_or(machine.known_since);
-        now.saturating_sub(last_status_at.max(self.began_at))
-    }
-
     /// The silence after which machines count as lost. A leader that is lagging gives them
     /// their whole lease.
     pub(super) fn lost_after_ms(&self, now: u64) -> u64 {
@@ -49,7 +42,8 @@
         let mut reachability = Reachability { silent: 0, up: 0 };
         for machine in self.machines.values().filter(|machine| machine.is_up()) {
             reachability.up += 1;
-            if self.silent_ms(machine, now) > silent_ms || machine.ineffective_answers > 0 {
+            if machine.silent_ms(self.began_at, now) > silent_ms || machine.ineffective_answers > 0
+            {
                 reachability.silent += 1;
             }
         }
