--- a/src/scheduler/agent_status.rs
+++ b/src/scheduler/agent_status.rs
@@ -4,7 +4,8 @@
 
 use tracing::debug;
 
-use super::placement::{Placement, StartDelivery, TaskKey};
+use super::placement::{StartDelivery, TaskKey};
+use super::task_observation::{ReceivedStatus, TaskObservation};
 use super::{to_ms, Scheduler};
 use crate::job::task_name;
 use crate::machine::{AnswerCheck, BoundTask, ExitCause, Machine, TaskPhase, TerminationReason};
@@ -23,14 +24,6 @@
     DirectResponse,
 }
 
-/// A status as it was received.
-#[derive(Clone, Copy)]
-pub(super) struct ReceivedStatus<'a> {
-    pub status: &'a AgentStatus,
-    pub origin: StatusOrigin,
-    pub now: u64,
-}
-
 /// Whether a status made its machine available for new work.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Schedulability {
@@ -38,16 +31,6 @@
     BecameSchedulable,
 }
 
-/// What a status says of a bound task.
-enum TaskObservation {
-    /// The task is present, in this phase.
-    Present(TaskPhase),
-    /// The task is absent, and cannot be started by a command that is still on its way.
-    ConfirmedAbsent,
-    /// The task is absent, but a start may still be on its way.
-    MayStillStart,
-}
-
 /// What followed from the tasks of a status.
 struct StatusEffects {
     /// Tasks may be started on the machine.
@@ -170,10 +153,10 @@
         let Some((_, placement)) = self.placement_of(bound_task) else {
             return;
         };
-        if overtakes_second_start(placement, received) {
-            return;
-        }
-        match self.observe_task(bound_task, placement, received) {
+        let machine = &self.machines[&received.status.machine];
+        let reported = machine.reported_task(bound_task);
+        match TaskObservation::new(placement, reported, received) {
+            TaskObservation::Outdated => {}
             TaskObservation::Present(TaskPhase::Exited(cause)) => {
                 self.apply_exit(bound_task, cause, received, effects);
             }
@@ -188,20 +171,6 @@
         }
     }
 
-    fn observe_task(
-        &self,
-        bound_task: &BoundTask,
-        placement: &Placement,
-        received: ReceivedStatus,
-    ) -> TaskObservation {
-        let machine = &self.machines[&received.status.machine];
-        match machine.reported_task(bound_task) {
-            Some(reported) => TaskObservation::Present(reported.phase),
-            None if confirms_absence(placement, received) => TaskObservation::ConfirmedAbsent,
-            None => TaskObservation::MayStillStart,
-        }
-    }
-
     /// A bound task has exited, or was refused.
     fn apply_exit(
         &mut self,
@@ -335,47 +304,3 @@
             || machine.idle_since == Some(received.now)
             || received.status.tasks.is_empty())
 }
-
-/// Whether a status may have overtaken the answer that carries a second start. Such a start
-/// has the attempt of the first one: the status may show how the first one ended.
-fn overtakes_second_start(placement: &Placement, received: ReceivedStatus) -> bool {
-    let Some(StartDelivery::Answer {
-        incarnation,
-        serial,
-    }) = placement.delivery
-    else {
-        return false;
-    };
-    let ReceivedStatus { status, origin, .. } = received;
-    let is_later_heartbeat = origin == StatusOrigin::Heartbeat && status.serial > serial;
-    placement.restarts_in_place && status.incarnation == incarnation && !is_later_heartbeat
-}
-
-/// Whether a status that lacks a task proves that the task is not on the machine and will not
-/// be started there by a command that is still on its way.
-fn confirms_absence(placement: &Placement, received: ReceivedStatus) -> bool {
-    if placement.phase.is_some() {
-        return true;
-    }
-    let ReceivedStatus { status, origin, .. } = received;
-    match (placement.change, placement.delivery) {
-        // An earlier leader's start is no longer accepted once the agent has seen this epoch.
-        (0, None) => !placement.restarts_in_place,
-        (_, None) => false,
-        // A start travels in the answer to a heartbeat, and the next heartbeat is sent after
-        // the answer was accepted or dropped. Other bodies may overtake the answer.
-        (
-            _,
-            Some(StartDelivery::Answer {
-                incarnation,
-                serial,
-            }),
-        ) => {
-            let is_later = (status.incarnation, status.serial) > (incarnation, serial);
-            origin == StatusOrigin::Heartbeat && is_later
-        }
-        // A start that went straight to the agent may be held back in the network until the
-        // incarnation has ended.
-        (_, Some(StartDelivery::Direct { incarnation, .. })) => status.incarnation > incarnation,
-    }
-}
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -31,7 +31,7 @@
 //! - send commands: `commands`, `starts`.
 //!
 //! Decisions that need no access to the scheduler are apart: `objectives`, `spot_queue`,
-//! `termination_review`.
+//! `task_observation`, `termination_review`.
 
 mod agent_status;
 mod arrivals;
@@ -70,6 +70,7 @@
 mod starts;
 mod stops;
 mod task_exits;
+mod task_observation;
 mod team_usage;
 mod termination_review;
 mod terminations;
