--- /dev/null
+++ b/src/plan/cycle/decision_builder.rs
@@ -0,0 +1,100 @@
+//! Records what a cycle decides, by the names of machines and jobs.
+
+use crate::plan::decision::{
+    Decision, PlannedPlacement, PlannedReservation, PlannedStop, UnmetDemand,
+};
+use crate::plan::fleet::Fleet;
+use crate::plan::resources::Resources;
+use crate::plan::search::Assignment;
+use crate::plan::snapshot::JobView;
+
+/// A decision under construction.
+#[derive(Default)]
+pub(super) struct DecisionBuilder {
+    decision: Decision,
+}
+
+impl DecisionBuilder {
+    /// The decision, with what the cycle cost.
+    pub fn finish(self, machines_examined: u64) -> Decision {
+        Decision {
+            machines_examined,
+            ..self.decision
+        }
+    }
+
+    /// Adds a gang without a placement, which backs off.
+    pub fn add_failed(&mut self, job: &JobView) {
+        self.decision.failed.push(job.id.clone());
+    }
+
+    /// Adds an array that skipped machines without its image.
+    pub fn add_skipped(&mut self, job: &JobView) {
+        let skipped = &mut self.decision.skipped_uncached_machines;
+        skipped.push(job.id.clone());
+    }
+
+    /// Adds the placements of an assignment. A job has one entry for all its placements, as
+    /// one record holds them.
+    pub fn add_placements(&mut self, job: &JobView, assignment: &Assignment, fleet: &Fleet) {
+        let tasks = assignment.tasks.iter();
+        let tasks = tasks.map(|assigned| (assigned.task, fleet.machine_name(assigned.machine)));
+        let mut placements = self.decision.placements.iter_mut();
+        match placements.find(|placement| placement.job == job.id) {
+            Some(placement) => placement.tasks.extend(tasks),
+            None => self.decision.placements.push(PlannedPlacement {
+                job: job.id.clone(),
+                tasks: tasks.collect(),
+            }),
+        }
+    }
+
+    /// Adds the victims of an assignment, and the reservations for its tasks.
+    pub fn add_preemption(&mut self, job: &JobView, assignment: &Assignment, fleet: &Fleet) {
+        for victim in &assignment.victims {
+            let view = &fleet.machine(victim.machine).tasks[victim.task];
+            self.decision.stops.push(PlannedStop {
+                job: view.job.clone(),
+                task: view.task,
+                machine: fleet.machine_name(victim.machine),
+                preemptor: job.id.clone(),
+            });
+        }
+        for assigned in &assignment.tasks {
+            self.decision.reservations.push(PlannedReservation {
+                job: job.id.clone(),
+                machine: fleet.machine_name(assigned.machine),
+                resources: Resources::of(&job.spec),
+            });
+        }
+    }
+
+    /// Adds the unmet demand of a job of which the tasks of an assignment could have capacity.
+    pub fn add_unmet(&mut self, job: &JobView, assignment: &Assignment, fleet: &Fleet) {
+        let mut unmet = UnmetDemand {
+            job: job.id.clone(),
+            count: (job.pending.len() - assignment.tasks.len()) as u32,
+            zones: job.zones.clone(),
+            machines: Vec::with_capacity(assignment.tasks.len()),
+        };
+        for assigned in &assignment.tasks {
+            let view = fleet.machine(assigned.machine);
+            *unmet.zones.entry(view.zone.clone()).or_insert(0) += 1;
+            unmet.machines.push(view.name.clone());
+        }
+        self.decision.unmet.push(unmet);
+    }
+
+    /// Adds the unmet demand of tasks of an array, each for itself, if there are any.
+    pub fn add_unmet_array(&mut self, job: &JobView, count: usize) {
+        if count == 0 {
+            return;
+        }
+        self.decision.unmet.push(UnmetDemand {
+            job: job.id.clone(),
+            count: count as u32,
+            zones: job.zones.clone(),
+            machines: vec![],
+        });
+    }
+}
--- /dev/null
+++ b/src/plan/cycle/state.rs
@@ -0,0 +1,191 @@
+//! The state of a cycle: the fleet, what is earmarked, and their indexes.
+
+use std::collections::BTreeSet;
+
+use crate::plan::cost::CostModel;
+use crate::plan::fleet::{Earmarks, Fleet, FleetView, TaskIndex};
+use crate::plan::indexes::FleetIndexes;
+use crate::plan::preemption::Preemptor;
+use crate::plan::resources::Resources;
+use crate::plan::search::{Assignment, Search, SearchMode, SearchRequest};
+use crate::plan::snapshot::{JobView, Reservation, Snapshot};
+
+/// The fleet with what the cycle has decided so far.
+///
+/// It owns the fleet and its indexes, and updates the indexes with each change.
+pub(super) struct CycleState {
+    fleet: Fleet,
+    earmarks: Earmarks,
+    /// The indexes of the fleet as it is.
+    indexes: FleetIndexes,
+    /// The indexes of the fleet without earmarked capacity, once unmet demand was calculated.
+    unearmarked_indexes: Option<FleetIndexes>,
+}
+
+impl CycleState {
+    /// The state at the beginning of a cycle. `smallest_demand`: no job of the queue asks for
+    /// less of anything.
+    pub fn new(snapshot: Snapshot, smallest_demand: Resources) -> CycleState {
+        let costs = CostModel {
+            now_s: snapshot.now_s,
+            on_demand_penalty_s: snapshot.on_demand_penalty_s,
+        };
+        let fleet = Fleet::new(snapshot.machines, snapshot.teams, costs);
+        CycleState {
+            earmarks: Earmarks::new(fleet.len()),
+            indexes: FleetIndexes::new(FleetView::actual(&fleet), smallest_demand),
+            unearmarked_indexes: None,
+            fleet,
+        }
+    }
+
+    /// The fleet.
+    pub fn fleet(&self) -> &Fleet {
+        &self.fleet
+    }
+
+    /// Whether capacity is reserved for a job.
+    pub fn has_reservation(&self, job: &JobView) -> bool {
+        self.fleet.reservations.is_holder(&job.id)
+    }
+
+    /// Counts tasks of a job as in use by its team.
+    pub fn charge_team(&mut self, job: &JobView, count: usize) {
+        self.fleet.quotas.charge(job, count);
+    }
+
+    /// Searches for machines for a job's tasks.
+    pub fn search(&mut self, request: SearchRequest) -> Option<Assignment> {
+        search(&mut self.fleet, None, &mut self.indexes, request)
+    }
+
+    /// Searches for machines without counting on earmarked capacity.
+    fn search_without_earmarks(&mut self, request: SearchRequest) -> Option<Assignment> {
+        let indexes = self.unearmarked_indexes.get_or_insert_with(|| {
+            let view = FleetView::without_earmarks(&self.fleet, &self.earmarks);
+            FleetIndexes::new(view, self.indexes.smallest_demand())
+        });
+        search(&mut self.fleet, Some(&self.earmarks), indexes, request)
+    }
+
+    /// Places the tasks of an assignment. It releases what was reserved for the job.
+    pub fn place(&mut self, job: &JobView, assignment: &Assignment) {
+        let demand = Resources::of(&job.spec);
+        let mut changed = BTreeSet::new();
+        for assigned in &assignment.tasks {
+            self.fleet.take_capacity(assigned.machine, demand);
+            changed.insert(assigned.machine);
+        }
+        self.charge_team(job, assignment.tasks.len());
+        changed.extend(self.fleet.reservations.release(&job.id));
+        self.update_indexes(&changed);
+    }
+
+    /// Marks the victims of an assignment, and reserves capacity for its tasks until they
+    /// have left.
+    pub fn preempt(&mut self, job: &JobView, assignment: &Assignment) {
+        let mut changed = BTreeSet::new();
+        for victim in &assignment.victims {
+            self.fleet.mark_victim(*victim);
+            changed.insert(victim.machine);
+        }
+        for assigned in &assignment.tasks {
+            let reservation = Reservation {
+                job: job.id.clone(),
+                resources: Resources::of(&job.spec),
+                priority: job.spec.priority,
+            };
+            self.fleet.reservations.add(assigned.machine, reservation);
+            changed.insert(assigned.machine);
+        }
+        self.update_indexes(&changed);
+    }
+
+    /// Earmarks the capacity that a job without a placement could use, so that no later job's
+    /// unmet demand counts on it. Returns what was earmarked.
+    pub fn earmark(&mut self, job: &JobView) -> Option<Assignment> {
+        let assignment = self.search_to_earmark(job)?;
+        let mut changed = BTreeSet::new();
+        for victim in &assignment.victims {
+            let TaskIndex { machine, task } = *victim;
+            let freed = self.fleet.machine(machine).tasks[task].resources;
+            self.earmarks.add_victim(*victim, freed);
+            changed.insert(machine);
+        }
+        let demand = Resources::of(&job.spec);
+        for assigned in &assignment.tasks {
+            self.earmarks.add_task(assigned.machine, demand);
+            changed.insert(assigned.machine);
+        }
+        self.update_unearmarked_indexes(&changed);
+        Some(assignment)
+    }
+
+    fn search_to_earmark(&mut self, job: &JobView) -> Option<Assignment> {
+        let request = SearchRequest {
+            job,
+            pending: &job.pending,
+            mode: SearchMode::Free,
+            min_count: 0,
+        };
+        let found = self.search_without_earmarks(request);
+        let is_partial = |found: &Assignment| found.tasks.len() < job.pending.len();
+        if job.incomplete && found.as_ref().is_none_or(is_partial) {
+            return self.search_without_earmarks(SearchRequest {
+                mode: SearchMode::WithVictims,
+                ..request
+            });
+        }
+        found
+    }
+
+    /// Updates the indexes after a change of the fleet.
+    fn update_indexes(&mut self, machines: &BTreeSet<usize>) {
+        let view = FleetView::actual(&self.fleet);
+        for machine in machines {
+            self.indexes.update(view, *machine);
+        }
+        self.update_unearmarked_indexes(machines);
+    }
+
+    /// Updates the indexes that depend on earmarks, if there are any.
+    fn update_unearmarked_indexes(&mut self, machines: &BTreeSet<usize>) {
+        let Some(indexes) = &mut self.unearmarked_indexes else {
+            return;
+        };
+        let view = FleetView::without_earmarks(&self.fleet, &self.earmarks);
+        for machine in machines {
+            indexes.update(view, *machine);
+        }
+    }
+}
+
+/// Prepares a search and runs it. `indexes` are those of the view with the same earmarks.
+fn search(
+    fleet: &mut Fleet,
+    earmarks: Option<&Earmarks>,
+    indexes: &mut FleetIndexes,
+    request: SearchRequest,
+) -> Option<Assignment> {
+    let spec = &request.job.spec;
+    let with_victims = request.mode == SearchMode::WithVictims;
+    if !with_victims && indexes.is_full() {
+        // On a full fleet nothing need be prepared for the many jobs that wait.
+        return (request.min_count == 0).then(Assignment::default);
+    }
+    fleet.prepare_image(&spec.image);
+    let view = FleetView::new(fleet, earmarks);
+    let is_within_nominal_quota = fleet.quotas.is_within_nominal_quota(&spec.team);
+    let preemptor = Preemptor::new(request.job, is_within_nominal_quota);
+    indexes.prepare_image(view, &spec.image);
+    if with_victims {
+        indexes.prepare_candidates(view, &preemptor);
+    }
+    let search = Search {
+        view,
+        indexes,
+        request,
+        preemptor: &preemptor,
+    };
+    search.run()
+}
--- a/src/plan/decision.rs
+++ b/src/plan/decision.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use super::resources::Resources;
-use super::snapshot::{JobView, ZoneCounts};
+use super::snapshot::ZoneCounts;
 
 /// Places for tasks of a job.
 #[derive(Debug, Clone, PartialEq)]
@@ -69,15 +69,3 @@
     /// Machines that the others would use: not to be returned meanwhile.
     pub machines: Vec<Arc<str>>,
 }
-
-impl UnmetDemand {
-    /// Tasks of an array, each for itself.
-    pub(super) fn of_array(job: &JobView, count: usize) -> UnmetDemand {
-        UnmetDemand {
-            job: job.id.clone(),
-            count: count as u32,
-            zones: job.zones.clone(),
-            machines: vec![],
-        }
-    }
-}
--- a/src/plan/image_map.rs
+++ b/src/plan/fleet/images.rs
@@ -3,19 +3,27 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 
-use super::snapshot::MachineView;
+use crate::plan::snapshot::MachineView;
 
-/// The machines that have or fetch an image. Machines go by their index.
+/// The machines that have or fetch an image.
 #[derive(Debug, Default)]
-pub(super) struct ImageMachines {
+pub(in crate::plan) struct ImageMachines {
     machines: Vec<usize>,
     has_image: Vec<bool>,
 }
 
 impl ImageMachines {
-    /// The machines, in order.
-    pub fn machines(&self) -> &[usize] {
-        &self.machines
+    fn new(image: &str, machines: &[Arc<MachineView>]) -> ImageMachines {
+        let has_image: Vec<bool> = machines
+            .iter()
+            .map(|machine| machine.images.iter().any(|other| **other == *image))
+            .collect();
+        let indexes = has_image.iter().enumerate();
+        let with_image = indexes.filter(|(_, has)| **has).map(|(index, _)| index);
+        ImageMachines {
+            machines: with_image.collect(),
+            has_image,
+        }
     }
 
     /// Whether a machine is one of them.
@@ -24,32 +32,26 @@
     }
 }
 
-/// The machines of all images that were asked for.
+/// The machines of each image that a search has asked for.
 #[derive(Debug, Default)]
-pub(super) struct ImageMap(HashMap<Arc<str>, ImageMachines>);
+pub(in crate::plan) struct ImageMap(HashMap<Arc<str>, ImageMachines>);
 
 impl ImageMap {
     /// Makes sure that the machines of an image are known.
     pub fn prepare(&mut self, image: &str, machines: &[Arc<MachineView>]) {
-        if self.0.contains_key(image) {
-            return;
+        if !self.0.contains_key(image) {
+            let known = ImageMachines::new(image, machines);
+            self.0.insert(image.into(), known);
         }
-        let has_image: Vec<bool> = machines
-            .iter()
-            .map(|machine| machine.images.iter().any(|other| **other == *image))
-            .collect();
-        let indexes = has_image.iter().enumerate();
-        let with_image = indexes.filter(|(_, has)| **has).map(|(index, _)| index);
-        let machines = with_image.collect();
-        let known = ImageMachines {
-            machines,
-            has_image,
-        };
-        self.0.insert(image.into(), known);
     }
 
     /// The machines of an image, once prepared.
     pub fn get(&self, image: &str) -> Option<&ImageMachines> {
         self.0.get(image)
     }
+
+    /// The machines of an image in rising order, once prepared.
+    pub fn machines_with(&self, image: &str) -> &[usize] {
+        self.get(image).map_or(&[], |known| &known.machines)
+    }
 }
--- /dev/null
+++ b/src/plan/fleet/mod.rs
@@ -0,0 +1,128 @@
+//! The cycle's view of the machines and teams.
+//!
+//! A [`Fleet`] owns the state that a cycle changes: the free capacity of each machine, the
+//! reservations on it, the victims chosen on it and the quota in use. [`Earmarks`] hold the
+//! capacity that gangs without a placement would use. A [`FleetView`] combines both for
+//! readers: with earmarks for a search for unmet demand, without them for all others.
+//!
+//! Nothing here knows of indexes or searches. Whoever changes a fleet updates the indexes
+//! made from it.
+
+mod earmarks;
+mod images;
+mod kinds;
+mod reservations;
+mod team_quotas;
+mod view;
+
+use std::cell::Cell;
+use std::collections::HashMap;
+use std::sync::Arc;
+
+pub(super) use earmarks::Earmarks;
+pub(super) use images::ImageMachines;
+pub(super) use view::FleetView;
+
+use super::cost::CostModel;
+use super::resources::Resources;
+use super::snapshot::{MachineView, TeamView};
+use crate::job::JobSpec;
+use images::ImageMap;
+use kinds::MachineKinds;
+use reservations::Reservations;
+use team_quotas::TeamQuotas;
+
+/// A task by its place in the fleet.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
+pub(super) struct TaskIndex {
+    /// The index of its machine.
+    pub machine: usize,
+    /// Its index among the tasks of the machine.
+    pub task: usize,
+}
+
+/// Machines and teams with what a cycle has decided so far.
+pub(super) struct Fleet {
+    machines: Vec<Arc<MachineView>>,
+    /// The kind of each machine.
+    pub kinds: MachineKinds,
+    /// Which machines have or fetch which image.
+    pub images: ImageMap,
+    /// What the teams use, and their nominal quotas and limits.
+    pub quotas: TeamQuotas,
+    /// What placements cost.
+    pub costs: CostModel,
+    /// What is reserved on each machine.
+    pub reservations: Reservations,
+    /// Free capacity by machine, reservations included.
+    free: Vec<Resources>,
+    /// Victims chosen in this cycle, by machine: no other job may choose them again.
+    victims: Vec<Vec<usize>>,
+    machines_examined: Cell<u64>,
+}
+
+impl Fleet {
+    /// The fleet at the beginning of a cycle.
+    pub fn new(
+        machines: Vec<Arc<MachineView>>,
+        teams: HashMap<String, TeamView>,
+        costs: CostModel,
+    ) -> Fleet {
+        Fleet {
+            kinds: MachineKinds::new(&machines),
+            images: ImageMap::default(),
+            quotas: TeamQuotas::new(teams),
+            costs,
+            reservations: Reservations::new(&machines),
+            free: machines.iter().map(|machine| machine.free).collect(),
+            victims: vec![vec![]; machines.len()],
+            machines_examined: Cell::new(0),
+            machines,
+        }
+    }
+
+    /// The number of machines.
+    pub fn len(&self) -> usize {
+        self.machines.len()
+    }
+
+    /// A machine as it was when the snapshot was taken.
+    pub fn machine(&self, machine: usize) -> &MachineView {
+        &self.machines[machine]
+    }
+
+    /// A machine's name.
+    pub fn machine_name(&self, machine: usize) -> Arc<str> {
+        self.machines[machine].name.clone()
+    }
+
+    /// For each kind, whether a job may use its machines; only those of `zone`, if given.
+    pub fn allowed_kinds(&self, spec: &JobSpec, zone: Option<&str>) -> Vec<bool> {
+        self.kinds.allowed_for(spec, zone, &self.machines)
+    }
+
+    /// Makes sure that the machines with an image are known.
+    pub fn prepare_image(&mut self, image: &str) {
+        self.images.prepare(image, &self.machines);
+    }
+
+    /// Takes capacity of a machine for a task.
+    pub fn take_capacity(&mut self, machine: usize, demand: Resources) {
+        self.free[machine].sub(demand);
+    }
+
+    /// Marks a task as a victim of this cycle.
+    pub fn mark_victim(&mut self, victim: TaskIndex) {
+        self.victims[victim.machine].push(victim.task);
+    }
+
+    /// Counts that a machine was examined for a job: the measure of what a cycle costs.
+    pub fn note_examined(&self) {
+        self.machines_examined.set(self.machines_examined.get() + 1);
+    }
+
+    /// How often a machine was examined for a job.
+    pub fn machines_examined(&self) -> u64 {
+        self.machines_examined.get()
+    }
+}
--- /dev/null
+++ b/src/plan/indexes/mod.rs
@@ -0,0 +1,166 @@
+//! The machines of a fleet in the orders that searches need.
+//!
+//! [`FleetIndexes`] are made from one view of a fleet. Whoever changes something about a
+//! machine calls [`FleetIndexes::update`] with the same view afterwards.
+
+mod capacity_index;
+mod preemption_candidates;
+
+use std::collections::{BTreeMap, BTreeSet, HashMap};
+use std::sync::Arc;
+
+pub(super) use capacity_index::{BucketIter, CapacityIndex};
+pub(super) use preemption_candidates::{CandidateCost, CandidateIter, PreemptionCandidates};
+
+use super::fleet::FleetView;
+use super::preemption::Preemptor;
+use super::resources::Resources;
+use crate::job::Priority;
+
+/// The most lists of preemption candidates that are kept: jobs of a class mostly ask for the
+/// same, and each list that is kept has to be updated with each change.
+const CANDIDATE_LISTS_MAX: usize = 8;
+
+/// Indexes of all machines of a fleet.
+pub(super) struct FleetIndexes {
+    /// No job of the queue asks for less of anything. Capacity only shrinks within a cycle, so
+    /// machines without capacity for it can't take a task as they are.
+    smallest_demand: Resources,
+    /// Machines with capacity for the smallest demand, beside all reservations.
+    all: CapacityIndex,
+    /// Of these the ones that have an image, for the images that were prepared.
+    by_image: HashMap<Arc<str>, CapacityIndex>,
+    /// Preemption candidates, least recently prepared first.
+    candidates: Vec<PreemptionCandidates>,
+    /// Machines with reservations of jobs of a priority: jobs of a higher priority may use
+    /// the capacity.
+    reserved: BTreeMap<Priority, BTreeSet<usize>>,
+}
+
+impl FleetIndexes {
+    /// Indexes of all machines in a view. `smallest_demand`: no job of the queue asks for less
+    /// of anything.
+    pub fn new(view: FleetView, smallest_demand: Resources) -> FleetIndexes {
+        let mut indexes = FleetIndexes {
+            smallest_demand,
+            all: CapacityIndex::default(),
+            by_image: HashMap::new(),
+            candidates: vec![],
+            reserved: BTreeMap::new(),
+        };
+        for machine in 0..view.fleet.len() {
+            indexes.update(view, machine);
+        }
+        indexes
+    }
+
+    /// No job of the queue asks for less of anything.
+    pub fn smallest_demand(&self) -> Resources {
+        self.smallest_demand
+    }
+
+    /// Updates the indexes after a change of a machine.
+    pub fn update(&mut self, view: FleetView, machine: usize) {
+        update_capacity(&mut self.all, view, machine, self.smallest_demand);
+        self.update_reserved(view, machine);
+        if !self.by_image.is_empty() {
+            for image in &view.fleet.machine(machine).images {
+                if let Some(index) = self.by_image.get_mut(image) {
+                    update_capacity(index, view, machine, self.smallest_demand);
+                }
+            }
+        }
+        for candidates in &mut self.candidates {
+            candidates.update(view, machine);
+        }
+    }
+
+    fn update_reserved(&mut self, view: FleetView, machine: usize) {
+        for machines in self.reserved.values_mut() {
+            machines.remove(&machine);
+        }
+        for reservation in view.fleet.reservations.on(machine) {
+            let machines = self.reserved.entry(reservation.priority).or_default();
+            machines.insert(machine);
+        }
+    }
+
+    /// Whether no machine has capacity for any job of the queue, nor a reservation.
+    pub fn is_full(&self) -> bool {
+        self.all.is_empty() && self.reserved.values().all(BTreeSet::is_empty)
+    }
+
+    /// The machines with unreserved capacity.
+    pub fn all(&self) -> &CapacityIndex {
+        &self.all
+    }
+
+    /// Machines with reservations of jobs of lower priorities.
+    pub fn reserved_below(&self, priority: Priority) -> impl Iterator<Item = usize> + '_ {
+        let lower = self.reserved.range(..priority);
+        lower.flat_map(|(_, machines)| machines.iter().copied())
+    }
+
+    /// Makes sure that there is an index of the machines that have an image. The image has to
+    /// be prepared in the fleet before.
+    pub fn prepare_image(&mut self, view: FleetView, image: &str) {
+        if self.by_image.contains_key(image) {
+            return;
+        }
+        let mut index = CapacityIndex::default();
+        for machine in view.fleet.images.machines_with(image) {
+            update_capacity(&mut index, view, *machine, self.smallest_demand);
+        }
+        self.by_image.insert(image.into(), index);
+    }
+
+    /// The machines with unreserved capacity that have an image, once prepared.
+    pub fn with_image(&self, image: &str) -> Option<&CapacityIndex> {
+        self.by_image.get(image)
+    }
+
+    /// Makes sure that there is a list of preemption candidates for a job, also by its image.
+    pub fn prepare_candidates(&mut self, view: FleetView, preemptor: &Preemptor) {
+        self.prepare_candidate_list(view, preemptor);
+        let image = preemptor.spec.image.as_str();
+        let lists = self.candidates.iter_mut();
+        for candidates in lists.filter(|candidates| candidates.is_for(preemptor)) {
+            candidates.prepare_image(view, image);
+        }
+    }
+
+    fn prepare_candidate_list(&mut self, view: FleetView, preemptor: &Preemptor) {
+        if preemptor.is_within_nominal_quota {
+            // Which teams borrow quota changes with every placement: the list is made anew.
+            self.candidates
+                .retain(|candidates| !candidates.is_for(preemptor));
+        } else if self.candidates_for(preemptor).is_some() {
+            return;
+        }
+        if self.candidates.len() >= CANDIDATE_LISTS_MAX {
+            self.candidates.remove(0);
+        }
+        self.candidates
+            .push(PreemptionCandidates::new(view, preemptor.clone()));
+    }
+
+    /// The preemption candidates for a job, once prepared.
+    pub fn candidates_for(&self, preemptor: &Preemptor) -> Option<&PreemptionCandidates> {
+        self.candidates
+            .iter()
+            .find(|candidates| candidates.is_for(preemptor))
+    }
+}
+
+/// Updates a capacity index after a change of a machine.
+fn update_capacity(
+    index: &mut CapacityIndex,
+    view: FleetView,
+    machine: usize,
+    smallest_demand: Resources,
+) {
+    let free = view.unreserved_capacity(machine);
+    let capacity = free.fits(smallest_demand).then_some(free);
+    let total = view.fleet.machine(machine).total;
+    index.set(machine, view.fleet.kinds.of(machine), total, capacity);
+}
--- /dev/null
+++ b/src/plan/indexes/preemption_candidates.rs
@@ -0,0 +1,129 @@
+//! Machines that could take one more task of a job with preemption, by cost.
+
+use std::collections::{btree_set, BTreeSet, HashMap, HashSet};
+use std::sync::Arc;
+
+use crate::plan::fleet::FleetView;
+use crate::plan::preemption::{Preemptor, VictimSelector};
+use crate::plan::ranked_machine::{Rank, RankedMachine};
+
+/// Machines by the cost of one more task, fetches aside.
+type CostOrder = BTreeSet<RankedMachine>;
+
+/// The machines that would have capacity for one more task of a preemptor if others were
+/// preempted, the cheapest first, fetches aside. They hold for all alike preemptors without
+/// reservations.
+pub(in crate::plan) struct PreemptionCandidates {
+    preemptor: Preemptor,
+    ordered: CostOrder,
+    /// Of these the ones that have an image, for the images that were prepared.
+    by_image: HashMap<Arc<str>, CostOrder>,
+    cost_of: HashMap<usize, Rank>,
+}
+
+impl PreemptionCandidates {
+    /// The candidates among all machines in a view.
+    pub fn new(view: FleetView, preemptor: Preemptor) -> PreemptionCandidates {
+        let mut candidates = PreemptionCandidates {
+            preemptor,
+            ordered: CostOrder::new(),
+            by_image: HashMap::new(),
+            cost_of: HashMap::new(),
+        };
+        for machine in 0..view.fleet.len() {
+            candidates.update(view, machine);
+        }
+        candidates
+    }
+
+    /// Whether they hold for this preemptor, too.
+    pub fn is_for(&self, preemptor: &Preemptor) -> bool {
+        self.preemptor.is_like(preemptor)
+    }
+
+    /// Makes sure that the candidates that have an image are known separately. The image has
+    /// to be prepared in the fleet before.
+    pub fn prepare_image(&mut self, view: FleetView, image: &str) {
+        if self.by_image.contains_key(image) {
+            return;
+        }
+        let machines = view.fleet.images.machines_with(image).iter();
+        let with_image = machines.filter_map(|machine| {
+            let rank = *self.cost_of.get(machine)?;
+            let machine = *machine;
+            Some(RankedMachine { rank, machine })
+        });
+        let with_image = with_image.collect();
+        self.by_image.insert(image.into(), with_image);
+    }
+
+    /// Updates the candidates after a change of a machine.
+    pub fn update(&mut self, view: FleetView, machine: usize) {
+        let cost = self.cost_on(view, machine);
+        let known = match cost {
+            Some(cost) => self.cost_of.insert(machine, cost),
+            None => self.cost_of.remove(&machine),
+        };
+        if known == cost {
+            return;
+        }
+        replace(&mut self.ordered, machine, known, cost);
+        for image in &view.fleet.machine(machine).images {
+            if let Some(order) = self.by_image.get_mut(image) {
+                replace(order, machine, known, cost);
+            }
+        }
+    }
+
+    fn cost_on(&self, view: FleetView, machine: usize) -> Option<Rank> {
+        let free = view.free_for_priority(machine, self.preemptor.spec.priority);
+        let selector = VictimSelector::new(view, &self.preemptor);
+        let choice = selector.choose(machine, free, &HashSet::new())?;
+        Some(Rank::new(choice.cost_s))
+    }
+
+    /// The candidates, the cheapest first.
+    pub fn iter(&self) -> CandidateIter<'_> {
+        CandidateIter(self.ordered.iter())
+    }
+
+    /// The candidates that have an image, the cheapest first, once prepared.
+    pub fn iter_with_image(&self, image: &str) -> Option<CandidateIter<'_>> {
+        let ordered = self.by_image.get(image)?;
+        Some(CandidateIter(ordered.iter()))
+    }
+}
+
+/// Moves a machine within an order after a change of its cost.
+fn replace(order: &mut CostOrder, machine: usize, known: Option<Rank>, cost: Option<Rank>) {
+    if let Some(rank) = known {
+        order.remove(&RankedMachine { rank, machine });
+    }
+    if let Some(rank) = cost {
+        order.insert(RankedMachine { rank, machine });
+    }
+}
+
+/// A machine with the cost of one more task on it, fetches aside.
+#[derive(Debug, Clone, Copy)]
+pub(in crate::plan) struct CandidateCost {
+    /// The machine's index.
+    pub machine: usize,
+    /// The cost in seconds.
+    pub cost_s: f64,
+}
+
+/// Preemption candidates, the cheapest first.
+pub(in crate::plan) struct CandidateIter<'a>(btree_set::Iter<'a, RankedMachine>);
+
+impl Iterator for CandidateIter<'_> {
+    type Item = CandidateCost;
+
+    fn next(&mut self) -> Option<CandidateCost> {
+        let entry = self.0.next()?;
+        Some(CandidateCost {
+            machine: entry.machine,
+            cost_s: entry.rank.value(),
+        })
+    }
+}
--- a/src/plan/mod.rs
+++ b/src/plan/mod.rs
@@ -1,18 +1,42 @@
-//! The gang cycle: a pure function from a snapshot to placements, victims and
-//! held capacity. Nothing here knows of sockets, clocks or records.
+//! The planner: a pure function from a [`Snapshot`] of machines, jobs and teams to a
+//! [`Decision`] about placements, victims, reservations and unmet demand.
+//!
+//! Nothing here knows sockets, clocks or records. The same snapshot always gives the same
+//! decision.
+//!
+//! # Layers
+//!
+//! A module uses modules of its own layer's list entry and of lower layers only, lowest first:
+//!
+//! 1. `resources`, `snapshot`, `decision`: the input and output of a cycle, public.
+//! 2. `cost`, `ranked_machine`, `queue_order`: pure helpers on these.
+//! 3. `fleet`: the cycle's view of the machines and teams. It owns what changes within a
+//!    cycle: free capacity, reservations, chosen victims, quota in use, earmarked capacity.
+//! 4. `preemption`: which tasks a job may preempt, and which victims cost the least.
+//! 5. `indexes`: the machines of a fleet in the orders that searches need.
+//! 6. `search`: finds machines for the tasks of one job; changes nothing.
+//! 7. `cycle`: goes through the queue, applies what the searches find to the fleet, keeps
+//!    the indexes up to date and records the decision.
+//!
+//! # Invariants
+//!
+//! - Machines go by their index in the snapshot throughout a cycle.
+//! - Capacity only shrinks within a cycle: victims leave later, so what they free is
+//!   reserved for their preemptor and never given out.
+//! - No task is chosen as a victim twice.
+//! - A search costs in proportion to the tasks it places, not to the number of machines.
 
-mod capacity_index;
-mod capacity_tracker;
+mod cost;
 mod cycle;
-mod cycle_state;
 mod decision;
-mod image_map;
-mod order;
+mod fleet;
+mod indexes;
+mod preemption;
+mod queue_order;
+mod ranked_machine;
 mod resources;
 mod search;
 mod snapshot;
-mod victims;
-mod zone_search;
 
 pub use cycle::cycle;
 pub use decision::{Decision, PlannedPlacement, PlannedReservation, PlannedStop, UnmetDemand};
--- /dev/null
+++ b/src/plan/search/free_machines.rs
@@ -0,0 +1,134 @@
+//! Machines with free capacity, the cheapest first.
+
+use std::collections::BinaryHeap;
+
+use super::candidate::{Candidate, Origin};
+use super::progress::SearchProgress;
+use super::scope::SearchScope;
+use super::SearchMode;
+use crate::plan::indexes::{BucketIter, CapacityIndex};
+use crate::plan::resources::Resources;
+
+/// Machines in the order of what a placement on them costs.
+struct Source<'a> {
+    machines: BucketIter<'a>,
+    /// All of them have the image; otherwise the source counts for those without it.
+    has_image: bool,
+}
+
+/// Merges the buckets of the capacity indexes lazily: the heap holds one machine of each
+/// source, and the machines that were examined individually.
+pub(super) struct FreeMachines<'s, 'a> {
+    scope: &'s SearchScope<'a>,
+    sources: Vec<Source<'a>>,
+    heap: BinaryHeap<Candidate>,
+}
+
+impl<'s, 'a> FreeMachines<'s, 'a> {
+    /// The machines in a scope with capacity for a task.
+    pub fn new(scope: &'s SearchScope<'a>) -> FreeMachines<'s, 'a> {
+        let mut free = FreeMachines {
+            scope,
+            sources: sources(scope),
+            heap: BinaryHeap::new(),
+        };
+        for source in 0..free.sources.len() {
+            free.advance(source);
+        }
+        free.push_extra_capacity();
+        free
+    }
+
+    /// Adds the machines on which the job has capacity that the indexes don't know.
+    fn push_extra_capacity(&mut self) {
+        let scope = self.scope;
+        for machine in scope.extra_capacity.iter().copied() {
+            let is_tried = scope.mode != SearchMode::Cached || scope.has_image(machine);
+            if !is_tried || !scope.is_allowed(machine) {
+                continue;
+            }
+            let free = scope.free_for(machine);
+            if free.fits(scope.demand) {
+                self.push(machine, free, scope.has_image(machine));
+            }
+        }
+    }
+
+    /// Adds a machine back that was just assigned a task and has this capacity left. The image
+    /// is fetched for that task already.
+    pub fn push_assigned(&mut self, machine: usize, free: Resources) {
+        self.push(machine, free, true);
+    }
+
+    fn push(&mut self, machine: usize, free: Resources, has_image: bool) {
+        self.heap.push(Candidate {
+            cost_s: self.scope.placement_cost_s(machine, free, has_image),
+            machine,
+            free,
+            victims: vec![],
+            origin: Origin::Examined,
+        });
+    }
+
+    /// Moves the next machine with capacity from a source to the heap.
+    fn advance(&mut self, index: usize) {
+        let scope = self.scope;
+        let source = &mut self.sources[index];
+        for machine in &mut source.machines {
+            scope.fleet.note_examined();
+            let free = scope.free_for(machine);
+            if !free.fits(scope.demand)
+                || scope.is_avoided(machine)
+                || scope.extra_capacity.contains(&machine)
+            {
+                continue;
+            }
+            self.heap.push(Candidate {
+                cost_s: scope.placement_cost_s(machine, free, source.has_image),
+                machine,
+                free,
+                victims: vec![],
+                origin: Origin::Source(index),
+            });
+            return;
+        }
+    }
+
+    /// The cheapest machine with capacity for one more task.
+    pub fn next(&mut self, progress: &SearchProgress) -> Option<Candidate> {
+        while let Some(candidate) = self.heap.pop() {
+            let machine = candidate.machine;
+            let mut has_image = true;
+            if let Origin::Source(source) = candidate.origin {
+                has_image = self.sources[source].has_image;
+                self.advance(source);
+            }
+            // A machine with the image comes from a source of those that have it, too.
+            let is_duplicate = !has_image && self.scope.has_image(machine);
+            if !is_duplicate
+                && progress.is_current(&candidate)
+                && progress.zone_has_capacity(&self.scope.fleet.machine(machine).zone)
+            {
+                return Some(candidate);
+            }
+        }
+        None
+    }
+}
+
+/// The buckets of the machines with the image and, if they are tried, of all machines.
+fn sources<'a>(scope: &SearchScope<'a>) -> Vec<Source<'a>> {
+    let buckets = |index: &'a CapacityIndex, has_image| {
+        let buckets = scope.buckets(index).into_iter();
+        buckets.map(move |machines| Source {
+            machines,
+            has_image,
+        })
+    };
+    let with_image = scope.indexes.with_image(&scope.job.spec.image).into_iter();
+    let mut sources: Vec<Source> = with_image.flat_map(|index| buckets(index, true)).collect();
+    if scope.mode != SearchMode::Cached {
+        sources.extend(buckets(scope.indexes.all(), false));
+    }
+    sources
+}
--- /dev/null
+++ b/src/plan/search/scope.rs
@@ -0,0 +1,141 @@
+//! What stays the same during a search in one zone, or in all.
+
+use std::collections::BTreeSet;
+
+use super::{Search, SearchMode};
+use crate::plan::cost::fetch_cost_s;
+use crate::plan::fleet::{Fleet, FleetView, ImageMachines};
+use crate::plan::indexes::{BucketIter, CapacityIndex, FleetIndexes, PreemptionCandidates};
+use crate::plan::preemption::{Preemptor, VictimSelector};
+use crate::plan::resources::Resources;
+use crate::plan::snapshot::JobView;
+
+/// The machines that a job may use in a search, and what a placement on them costs.
+pub(super) struct SearchScope<'a> {
+    /// The job.
+    pub job: &'a JobView,
+    /// What each of its tasks asks for.
+    pub demand: Resources,
+    /// Which machines are tried.
+    pub mode: SearchMode,
+    /// The machines.
+    pub fleet: &'a Fleet,
+    /// Their indexes.
+    pub indexes: &'a FleetIndexes,
+    /// The choice of victims for the job.
+    pub victims: VictimSelector<'a>,
+    /// Machines on which the job has capacity that the indexes don't know: its own
+    /// reservations and those of lower priority.
+    pub extra_capacity: BTreeSet<usize>,
+    view: FleetView<'a>,
+    preemptor: &'a Preemptor,
+    image_machines: Option<&'a ImageMachines>,
+    /// For each kind, whether the job may use its machines in this zone.
+    kind_allowed: Vec<bool>,
+}
+
+impl<'a> SearchScope<'a> {
+    /// The scope of a search on the machines of a zone, or of all.
+    pub fn new(search: &Search<'a>, zone: Option<&str>) -> SearchScope<'a> {
+        let job = search.request.job;
+        let fleet = search.view.fleet;
+        let kind_allowed = fleet.allowed_kinds(&job.spec, zone);
+        let own = fleet.reservations.machines_of(&job.id).iter().copied();
+        let lower = search.indexes.reserved_below(job.spec.priority);
+        let extra_capacity = own.chain(lower);
+        let extra_capacity =
+            extra_capacity.filter(|machine| kind_allowed[fleet.kinds.of(*machine)]);
+        SearchScope {
+            extra_capacity: extra_capacity.collect(),
+            job,
+            demand: Resources::of(&job.spec),
+            mode: search.request.mode,
+            fleet,
+            indexes: search.indexes,
+            victims: VictimSelector::new(search.view, search.preemptor),
+            view: search.view,
+            preemptor: search.preemptor,
+            image_machines: fleet.images.get(&job.spec.image),
+            kind_allowed,
+        }
+    }
+
+    /// Whether the job may use a machine.
+    pub fn is_allowed(&self, machine: usize) -> bool {
+        self.kind_allowed[self.fleet.kinds.of(machine)] && !self.is_avoided(machine)
+    }
+
+    /// Whether the job failed on a machine before.
+    pub fn is_avoided(&self, machine: usize) -> bool {
+        let name = &self.fleet.machine(machine).name;
+        self.job.avoided_machines.contains(name)
+    }
+
+    /// Whether a machine has or fetches the job's image.
+    pub fn has_image(&self, machine: usize) -> bool {
+        let known = self.image_machines;
+        known.is_some_and(|known| known.contains(machine))
+    }
+
+    /// The free capacity of a machine for the job.
+    pub fn free_for(&self, machine: usize) -> Resources {
+        let job = self.job;
+        self.view.free_for(machine, &job.id, job.spec.priority)
+    }
+
+    /// The cost of fetching the image on a machine.
+    pub fn fetch_cost_s(&self, machine: usize, has_image: bool) -> f64 {
+        fetch_cost_s(self.fleet.machine(machine), &self.job.spec, has_image)
+    }
+
+    /// The cost of a placement on a machine with this free capacity.
+    pub fn placement_cost_s(&self, machine: usize, free: Resources, has_image: bool) -> f64 {
+        let view = self.fleet.machine(machine);
+        let costs = &self.fleet.costs;
+        let placement_cost_s = costs.placement_cost_s(view, &self.job.spec, free);
+        self.fetch_cost_s(machine, has_image) + placement_cost_s
+    }
+
+    /// The preemption candidates for the job.
+    pub fn preemption_candidates(&self) -> Option<&'a PreemptionCandidates> {
+        self.indexes.candidates_for(self.preemptor)
+    }
+
+    /// The allowed machines of an index that may have capacity for a task, by bucket.
+    pub fn buckets(&self, index: &'a CapacityIndex) -> Vec<BucketIter<'a>> {
+        let totals = self.fleet.kinds.totals();
+        index.buckets_for(self.demand, &self.kind_allowed, totals)
+    }
+
+    /// Whether all machines together hold `count` tasks, if all that the job may preempt were
+    /// stopped.
+    pub fn can_hold(&self, count: usize) -> bool {
+        let candidates = self.preemption_candidates();
+        let preemptable = candidates
+            .into_iter()
+            .flat_map(PreemptionCandidates::iter)
+            .map(|candidate| candidate.machine)
+            .filter(|machine| !self.extra_capacity.contains(machine));
+        let mut held = 0;
+        for machine in self.extra_capacity.iter().copied().chain(preemptable) {
+            if held >= count as u64 {
+                break;
+            }
+            if self.is_allowed(machine) {
+                held += u64::from(self.victims.tasks_if_preempted(machine));
+            }
+        }
+        held >= count as u64
+    }
+
+    /// Whether a machine without the image has capacity for a task.
+    pub fn has_uncached_capacity(&self) -> bool {
+        let machines = self.buckets(self.indexes.all()).into_iter().flatten();
+        let mut machines = machines.chain(self.extra_capacity.iter().copied());
+        machines.any(|machine| {
+            self.is_allowed(machine)
+                && !self.has_image(machine)
+                && self.free_for(machine).fits(self.demand)
+        })
+    }
+}
