--- /dev/null
+++ b/src/cloud/mod.rs
@@ -0,0 +1,125 @@
+//! Which machines to rent: from unmet demand to the number of machines of each kind, by price.
+//!
+//! [`plan_scale_out`] is a pure function. Demands are satisfied in their order, each first on
+//! machines that are on their way, then on machines to be rented: of the offerings that the
+//! job allows, the one with the lowest price for each task that would go on it.
+//!
+//! `offerings` lists what the cloud rents, `open_demand` is a demand being satisfied,
+//! `scale_out_plan` the plan under construction, and `planner` satisfies the demands.
+
+mod offerings;
+mod open_demand;
+mod planner;
+mod scale_out_plan;
+
+use std::sync::Arc;
+
+use crate::job::JobSpec;
+use crate::plan::{is_allowed, tasks_per_zone_max, Resources, ZoneCounts};
+use crate::wire::MachineType;
+use offerings::all_offerings;
+use planner::ScaleOutPlanner;
+use scale_out_plan::ScaleOutPlan;
+
+/// A kind of machine that the cloud rents.
+#[derive(Debug, Clone, PartialEq, Eq, Hash)]
+pub struct MachineKind {
+    /// The name of its type.
+    pub machine_type: String,
+    /// Its zone.
+    pub zone: String,
+    /// Whether it is a spot machine.
+    pub spot: bool,
+}
+
+/// Tasks of one job that need machines.
+#[derive(Debug, Clone)]
+pub struct Demand {
+    /// The job's specification.
+    pub spec: Arc<JobSpec>,
+    /// The number of tasks.
+    pub count: u32,
+    /// Where the job's other tasks are.
+    pub zones: ZoneCounts,
+    /// The most that an on-demand machine may cost for each task of a job that may use spot
+    /// machines, as a multiple of the lowest spot price for each task; 0 for no on-demand
+    /// machines.
+    pub ordinary_price_ratio: f64,
+}
+
+impl Demand {
+    /// How many more of its tasks may be in a zone, given where others are.
+    fn allowed_in_zone(&self, zone: &str, used: &ZoneCounts) -> u32 {
+        let elsewhere = |(other, count): (&Arc<str>, &u32)| *count > 0 && **other != *zone;
+        if self.spec.single_zone && used.iter().any(elsewhere) {
+            return 0;
+        }
+        let here = used.get(zone).copied().unwrap_or(0);
+        tasks_per_zone_max(&self.spec).saturating_sub(here)
+    }
+
+    /// Whether the job has tasks in a zone already.
+    fn has_zone(&self) -> bool {
+        self.zones.values().any(|count| *count > 0)
+    }
+}
+
+/// Machines of a kind on their way.
+#[derive(Debug, Clone)]
+pub struct IncomingMachines {
+    /// Their kind.
+    pub kind: MachineKind,
+    /// The number of machines.
+    pub count: u64,
+}
+
+/// The capacity of a machine of a type.
+pub fn capacity(machine_type: &MachineType) -> Resources {
+    Resources {
+        cpus: machine_type.cpus,
+        gpus: machine_type.gpus,
+        memory_gb: machine_type.memory_gb,
+    }
+}
+
+/// Whether any machine of the cloud could hold one task of a job.
+pub fn can_run(spec: &JobSpec, machine_types: &[MachineType]) -> bool {
+    let demand = Resources::of(spec);
+    machine_types.iter().any(|machine_type| {
+        let allowed = |zone: &String| is_allowed(spec, &machine_type.name, zone, spec.spot);
+        capacity(machine_type).fits(demand) && machine_type.zones.iter().any(allowed)
+    })
+}
+
+/// Decides what to rent so that every demand has capacity on machines that are on their way or
+/// rented, at most `machines_max` machines. Returns the kinds with the number of machines, in
+/// the order of the demands that they are for.
+pub fn plan_scale_out(
+    demands: &[Demand],
+    incoming: Vec<IncomingMachines>,
+    machine_types: &[MachineType],
+    is_sold_out: &dyn Fn(&MachineKind) -> bool,
+    machines_max: u64,
+) -> Vec<(MachineKind, u64)> {
+    let offerings = all_offerings(machine_types, is_sold_out);
+    let mut plan = ScaleOutPlan::new(&incoming, &offerings);
+    let planner = ScaleOutPlanner::new(demands, &offerings, machines_max);
+    let mut zones: Vec<&str> = machine_types
+        .iter()
+        .flat_map(|machine_type| &machine_type.zones)
+        .map(String::as_str)
+        .collect();
+    zones.sort_unstable();
+    zones.dedup();
+    for (index, demand) in demands.iter().enumerate() {
+        if demand.spec.single_zone && !demand.has_zone() {
+            planner.satisfy_in_best_zone(index, &zones, &mut plan);
+        } else {
+            planner.satisfy(index, &demand.zones, &mut plan);
+        }
+    }
+    plan.rented()
+        .iter()
+        .map(|rented| (offerings[rented.offering].kind.clone(), rented.count))
+        .collect()
+}
--- /dev/null
+++ b/src/cloud/open_demand.rs
@@ -0,0 +1,55 @@
+//! A demand that is being satisfied.
+
+use super::offerings::{allowed_offerings, InstanceOffering};
+use super::Demand;
+use crate::plan::{Resources, ZoneCounts};
+
+/// A demand with what is unmet of it.
+pub(super) struct OpenDemand<'a> {
+    /// The demand.
+    pub demand: &'a Demand,
+    /// Its index among all demands.
+    pub index: usize,
+    /// What each task asks for.
+    pub per_task: Resources,
+    /// For each offering, whether the job may use its machines.
+    pub allowed: Vec<bool>,
+    /// Tasks without a machine.
+    pub unmet_count: u32,
+    zones: ZoneCounts,
+}
+
+impl<'a> OpenDemand<'a> {
+    /// A demand of which nothing is met. `zones`: where the job's other tasks are.
+    pub fn new(
+        index: usize,
+        demand: &'a Demand,
+        zones: &ZoneCounts,
+        offerings: &[InstanceOffering],
+    ) -> OpenDemand<'a> {
+        OpenDemand {
+            demand,
+            index,
+            per_task: Resources::of(&demand.spec),
+            allowed: allowed_offerings(&demand.spec, offerings),
+            unmet_count: demand.count,
+            zones: zones.clone(),
+        }
+    }
+
+    /// How many more of its tasks may be in a zone.
+    pub fn allowed_in_zone(&self, zone: &str) -> u32 {
+        self.demand.allowed_in_zone(zone, &self.zones)
+    }
+
+    /// How many of the tasks without a machine may be in a zone.
+    pub fn unmet_in_zone(&self, zone: &str) -> u32 {
+        self.unmet_count.min(self.allowed_in_zone(zone))
+    }
+
+    /// Counts tasks as placed in a zone.
+    pub fn add_placed(&mut self, zone: &str, count: u32) {
+        self.unmet_count -= count;
+        *self.zones.entry(zone.into()).or_insert(0) += count;
+    }
+}
