--- a/src/plan/decision.rs
+++ b/src/plan/decision.rs
@@ -1,20 +1,20 @@
-//! What a cycle decides.
+//! The output of a cycle.
 
 use std::sync::Arc;
 
 use super::resources::Resources;
 use super::snapshot::ZoneCounts;
 
-/// Places for tasks of a job.
+/// Placements of tasks of a job.
 #[derive(Debug, Clone, PartialEq)]
 pub struct PlannedPlacement {
     /// The job.
     pub job: Arc<str>,
-    /// Its tasks, each with a machine.
+    /// Its tasks by number, each with the name of its machine.
     pub tasks: Vec<(u32, Arc<str>)>,
 }
 
-/// A task that is to be stopped to make capacity.
+/// A task to be preempted.
 #[derive(Debug, Clone, PartialEq)]
 pub struct PlannedStop {
     /// The victim's job.
@@ -23,49 +23,49 @@
     pub task: u32,
     /// The victim's machine.
     pub machine: Arc<str>,
-    /// The job that needs the capacity.
+    /// The job that it is preempted for.
     pub preemptor: Arc<str>,
 }
 
-/// Capacity that is to be held until the victims have left.
+/// Capacity to be reserved for a preemptor until the victims have left.
 #[derive(Debug, Clone, PartialEq)]
 pub struct PlannedReservation {
-    /// The job that needs the capacity.
+    /// The preemptor.
     pub job: Arc<str>,
     /// The machine.
     pub machine: Arc<str>,
-    /// How much.
+    /// The capacity.
     pub resources: Resources,
 }
 
 /// What the cycle decided.
 #[derive(Debug, Clone, Default)]
 pub struct Decision {
-    /// Places for tasks.
+    /// Placements, at most one entry for each job.
     pub placements: Vec<PlannedPlacement>,
-    /// Victims.
+    /// Victims; all of a gang's victims or none.
     pub stops: Vec<PlannedStop>,
-    /// Capacity that is held for those who need the victims' capacity.
+    /// Reservations for the preemptors of these victims, one for each task.
     pub reservations: Vec<PlannedReservation>,
-    /// Gangs without capacity: they back off.
+    /// Gangs without a placement, by capacity or quota: they back off.
     pub failed: Vec<Arc<str>>,
-    /// Arrays that skipped free machines for want of their image.
+    /// Arrays that skipped machines with free capacity because these lack their image.
     pub skipped_uncached_machines: Vec<Arc<str>>,
-    /// Tasks for which machines would have to be rented, in queue order.
+    /// Tasks for which machines would have to be rented, in the order of the decisions.
     pub unmet: Vec<UnmetDemand>,
-    /// How often the cycle looked at a machine for a job: what it cost.
+    /// How often the cycle examined a machine for a job: the measure of what it cost.
     pub machines_examined: u64,
 }
 
-/// Tasks of a job that found no capacity, and where the others are or would be.
+/// Tasks of a job for which there is no capacity, and where its others are or would be.
 #[derive(Debug, Clone, PartialEq)]
 pub struct UnmetDemand {
     /// The job.
     pub job: Arc<str>,
-    /// How many tasks.
+    /// The number of tasks.
     pub count: u32,
     /// Where its other tasks are or would be.
     pub zones: ZoneCounts,
-    /// Machines that the others would use: not to be returned meanwhile.
+    /// Machines that the others would use, which must not be terminated meanwhile.
     pub machines: Vec<Arc<str>>,
 }
--- a/src/plan/queue_order.rs
+++ b/src/plan/queue_order.rs
@@ -1,16 +1,18 @@
-//! The order of the queue.
+//! The order in which a cycle schedules jobs.
 
 use std::cmp::{Ordering, Reverse};
 
 use super::snapshot::{JobView, Snapshot};
 use crate::job::Priority;
 
-/// What jobs are ordered by, the most important first.
+/// What jobs are ordered by, the most significant field first.
 struct OrderKey<'a> {
     exceeds_nominal_quota: bool,
     priority: Reverse<Priority>,
-    /// It has missed all objectives and has nothing to lose by waiting.
+    /// It has missed all its objectives, so it loses nothing by waiting longer.
     has_missed_objectives: bool,
+    /// Seconds until the job has to start, plus the work that is left; negative infinity for
+    /// overdue jobs.
     slack_s: f64,
     ready_at_s: f64,
     id: &'a str,
@@ -55,9 +57,9 @@
     }
 }
 
-/// The indexes of the snapshot's jobs in queue order: teams within their nominal quota, then
-/// priority, then what has been overtaken for too long, then the least slack and work,
-/// then age.
+/// The indexes of the snapshot's jobs in queue order: teams within their nominal quota first,
+/// then by priority, then jobs that can still meet an objective or are overdue, then overdue
+/// jobs, then by the least slack and work, then by age.
 pub(super) fn queue_order(snapshot: &Snapshot) -> Vec<usize> {
     let keys = snapshot.jobs.iter().map(|job| OrderKey::new(job, snapshot));
     let mut keyed: Vec<(usize, OrderKey)> = keys.enumerate().collect();
--- a/src/plan/resources.rs
+++ b/src/plan/resources.rs
@@ -1,15 +1,15 @@
-//! What tasks take and machines have.
+//! Amounts of CPUs, GPUs and memory, as tasks ask for them and machines have them.
 
 use crate::job::JobSpec;
 
-/// Differences below this come from rounding.
+/// Differences below this come from rounding and are ignored.
 pub(super) const EPSILON: f64 = 1e-6;
 /// More tasks than any job has.
 pub(super) const COUNT_MAX: f64 = 100_000.0;
 /// How much GPUs weigh in the share of a machine, against CPUs and memory.
 const GPU_WEIGHT: f64 = 2.0;
 
-/// What a task takes, or what a machine has.
+/// Amounts of resources: the demand of a task, or the capacity of a machine.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Resources {
     /// CPUs.
@@ -21,7 +21,7 @@
 }
 
 impl Resources {
-    /// What each task of a job takes.
+    /// The demand of each task of a job.
     pub fn of(spec: &JobSpec) -> Resources {
         Resources {
             cpus: spec.cpus,
@@ -30,21 +30,21 @@
         }
     }
 
-    /// Adds to each.
+    /// Adds another amount of each.
     pub fn add(&mut self, other: Resources) {
         self.cpus += other.cpus;
         self.gpus += other.gpus;
         self.memory_gb += other.memory_gb;
     }
 
-    /// Subtracts from each.
+    /// Subtracts another amount of each. The result may be negative.
     pub fn sub(&mut self, other: Resources) {
         self.cpus -= other.cpus;
         self.gpus -= other.gpus;
         self.memory_gb -= other.memory_gb;
     }
 
-    /// Each, so many times.
+    /// Each amount multiplied by a factor.
     pub fn scaled(self, factor: f64) -> Resources {
         Resources {
             cpus: self.cpus * factor,
@@ -53,14 +53,14 @@
         }
     }
 
-    /// Whether there is enough of each.
+    /// Whether there is enough of each for a task with this demand.
     pub fn fits(&self, demand: Resources) -> bool {
         self.cpus + EPSILON >= demand.cpus
             && self.gpus + EPSILON >= demand.gpus
             && self.memory_gb + EPSILON >= demand.memory_gb
     }
 
-    /// The lesser of each.
+    /// The lesser amount of each.
     pub(super) fn min(self, other: Resources) -> Resources {
         Resources {
             cpus: self.cpus.min(other.cpus),
@@ -69,7 +69,7 @@
         }
     }
 
-    /// How many tasks with this demand fit.
+    /// How many tasks with this demand fit, at most `COUNT_MAX`.
     pub fn count_of(&self, demand: Resources) -> u32 {
         let fitting = |available: f64, demand: f64| {
             if demand <= EPSILON {
@@ -84,7 +84,8 @@
         count.clamp(0.0, COUNT_MAX) as u32
     }
 
-    /// The share that this is of `total`, from 0 to 1.
+    /// The share that this is of `total`, from 0 to 1: the mean of CPUs, memory and, with more
+    /// weight, GPUs.
     pub(super) fn share_of(&self, total: Resources) -> f64 {
         let share = |part: f64, total: f64| if total > EPSILON { part / total } else { 0.0 };
         (share(self.cpus, total.cpus)
@@ -94,10 +95,10 @@
     }
 }
 
-/// Slowest fetch that is reckoned with, in GB a second.
+/// The slowest fetch that is assumed, in GB per second.
 const FETCH_MIN_GB_PER_S: f64 = 0.01;
 
-/// How long the fetch of an image should take.
+/// How long the fetch of an image is expected to take, in seconds.
 pub fn fetch_s(image_gb: f64, fetch_gb_per_s: f64) -> f64 {
     image_gb / fetch_gb_per_s.max(FETCH_MIN_GB_PER_S)
 }
