--- a/src/plan/cycle/mod.rs
+++ b/src/plan/cycle/mod.rs
@@ -76,7 +76,7 @@
             self.place(job, &found);
             return;
         }
-        // A gang whose victims are still leaving waits for them.
+        // A gang whose victims are still being stopped waits for them.
         if self.state.has_reservation(job) {
             return;
         }
@@ -108,7 +108,7 @@
             self.skipped.push(SkippedArray { job, pending: rest });
             return;
         }
-        // An array whose victims are still leaving waits for them.
+        // An array whose victims are still being stopped waits for them.
         if rest.is_empty() || has_reservation {
             return;
         }
--- a/src/plan/cycle/state.rs
+++ b/src/plan/cycle/state.rs
@@ -7,7 +7,7 @@
 use crate::plan::indexes::FleetIndexes;
 use crate::plan::preemption::Preemptor;
 use crate::plan::resources::Resources;
-use crate::plan::search::{Assignment, Search, SearchMode, SearchRequest};
+use crate::plan::search::{search, Assignment, SearchContext, SearchMode, SearchRequest};
 use crate::plan::snapshot::{JobView, Reservation, Snapshot};
 
 /// The fleet with what the cycle has decided so far.
@@ -56,7 +56,7 @@
 
     /// Searches for machines for a job's tasks.
     pub fn search(&mut self, request: SearchRequest) -> Option<Assignment> {
-        search(&mut self.fleet, None, &mut self.indexes, request)
+        prepare_and_search(&mut self.fleet, None, &mut self.indexes, request)
     }
 
     /// Searches for machines without counting on earmarked capacity.
@@ -65,7 +65,7 @@
             let view = FleetView::without_earmarks(&self.fleet, &self.earmarks);
             FleetIndexes::new(view, self.indexes.smallest_demand())
         });
-        search(&mut self.fleet, Some(&self.earmarks), indexes, request)
+        prepare_and_search(&mut self.fleet, Some(&self.earmarks), indexes, request)
     }
 
     /// Places the tasks of an assignment. It releases what was reserved for the job.
@@ -81,8 +81,8 @@
         self.update_indexes(&changed);
     }
 
-    /// Marks the victims of an assignment, and reserves capacity for its tasks until they
-    /// have left.
+    /// Marks the victims of an assignment, and reserves capacity for its tasks until
+    /// these are stopped.
     pub fn preempt(&mut self, job: &JobView, assignment: &Assignment) {
         let mut changed = BTreeSet::new();
         for victim in &assignment.victims {
@@ -160,8 +160,8 @@
     }
 }
 
-/// Prepares a search and runs it. `indexes` are those of the view with the same earmarks.
-fn search(
+/// Prepares what a search goes by, and runs it. `indexes` are those of the view with the same earmarks.
+fn prepare_and_search(
     fleet: &mut Fleet,
     earmarks: Option<&Earmarks>,
     indexes: &mut FleetIndexes,
@@ -181,11 +181,10 @@
     if with_victims {
         indexes.prepare_candidates(view, &preemptor);
     }
-    let search = Search {
+    search(&SearchContext {
         view,
         indexes,
         request,
         preemptor: &preemptor,
-    };
-    search.run()
+    })
 }
--- a/src/plan/decision.rs
+++ b/src/plan/decision.rs
@@ -27,7 +27,7 @@
     pub preemptor: Arc<str>,
 }
 
-/// Capacity to be reserved for a preemptor until the victims have left.
+/// Capacity to be reserved for a preemptor until the victims are stopped.
 #[derive(Debug, Clone, PartialEq)]
 pub struct PlannedReservation {
     /// The preemptor.
--- a/src/plan/fleet/mod.rs
+++ b/src/plan/fleet/mod.rs
@@ -5,8 +5,8 @@
 //! capacity that gangs without a placement would use. A [`FleetView`] combines both for
 //! readers: with earmarks for a search for unmet demand, without them for all others.
 //!
-//! Nothing here knows of indexes or searches. Whoever changes a fleet updates the indexes
-//! made from it.
+//! Nothing here knows indexes or searches. The owner of a fleet has to update the indexes made
+//! from it after each change.
 
 mod earmarks;
 mod images;
@@ -32,7 +32,7 @@
 use reservations::Reservations;
 use team_quotas::TeamQuotas;
 
-/// A task by its place in the fleet.
+/// A task on a machine of the fleet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub(super) struct TaskIndex {
     /// The index of its machine.
--- a/src/plan/indexes/mod.rs
+++ b/src/plan/indexes/mod.rs
@@ -1,7 +1,7 @@
 //! The machines of a fleet in the orders that searches need.
 //!
-//! [`FleetIndexes`] are made from one view of a fleet. Whoever changes something about a
-//! machine calls [`FleetIndexes::update`] with the same view afterwards.
+//! [`FleetIndexes`] are made from one view of a fleet. After any change of a machine the caller
+//! passes the same view to [`FleetIndexes::update`].
 
 mod capacity_index;
 mod preemption_candidates;
--- a/src/plan/mod.rs
+++ b/src/plan/mod.rs
@@ -6,7 +6,7 @@
 //!
 //! # Layers
 //!
-//! A module uses modules of its own layer's list entry and of lower layers only, lowest first:
+//! A module uses modules of its own and of lower layers only. The lowest layer comes first:
 //!
 //! 1. `resources`, `snapshot`, `decision`: the input and output of a cycle, public.
 //! 2. `cost`, `ranked_machine`, `queue_order`: pure helpers on these.
@@ -21,8 +21,8 @@
 //! # Invariants
 //!
 //! - Machines go by their index in the snapshot throughout a cycle.
-//! - Capacity only shrinks within a cycle: victims leave later, so what they free is
-//!   reserved for their preemptor and never given out.
+//! - Capacity only shrinks within a cycle: victims are stopped later, so what they
+//!   free is reserved for their preemptor and not used in the same cycle.
 //! - No task is chosen as a victim twice.
 //! - A search costs in proportion to the tasks it places, not to the number of machines.
 
--- a/src/plan/preemption/victims.rs
+++ b/src/plan/preemption/victims.rs
@@ -60,13 +60,13 @@
     }
 
     /// The victims that make capacity for one more task on a machine with this free capacity,
-    /// and what that costs; `None` if no victims make enough. `taken`: victims that the same
-    /// search has chosen already.
+    /// and what that costs; `None` if no victims make enough. `already_chosen`: victims
+    /// that the same search has chosen for other tasks.
     pub fn choose(
         &self,
         machine: usize,
         free: Resources,
-        taken: &HashSet<TaskIndex>,
+        already_chosen: &HashSet<TaskIndex>,
     ) -> Option<VictimChoice> {
         self.fleet.note_examined();
         let demand = Resources::of(&self.preemptor.spec);
@@ -74,7 +74,7 @@
             return None;
         }
         let view = self.fleet.machine(machine);
-        let chosen = self.cheapest_victims(machine, free, taken)?;
+        let chosen = self.cheapest_victims(machine, free, already_chosen)?;
         let wasted_s = self.weighted_waste_s(view, &chosen.victims);
         let spec = &self.preemptor.spec;
         let placement_cost_s = self
@@ -92,7 +92,7 @@
         &self,
         machine: usize,
         free: Resources,
-        taken: &HashSet<TaskIndex>,
+        already_chosen: &HashSet<TaskIndex>,
     ) -> Option<VictimSet> {
         let demand = Resources::of(&self.preemptor.spec);
         let mut chosen = VictimSet {
@@ -103,7 +103,7 @@
             return Some(chosen);
         }
         let view = self.fleet.machine(machine);
-        for index in self.possible_victims(machine, taken) {
+        for index in self.possible_victims(machine, already_chosen) {
             chosen.capacity.add(view.tasks[index].resources);
             chosen.victims.push(index);
             if chosen.capacity.fits(demand) {
@@ -114,7 +114,7 @@
     }
 
     /// The tasks on a machine that may be preempted, by priority and then by what is wasted.
-    fn possible_victims(&self, machine: usize, taken: &HashSet<TaskIndex>) -> Vec<usize> {
+    fn possible_victims(&self, machine: usize, already_chosen: &HashSet<TaskIndex>) -> Vec<usize> {
         let tasks = &self.fleet.machine(machine).tasks;
         let mut possible: Vec<usize> = (0..tasks.len())
             .filter(|task| {
@@ -122,7 +122,7 @@
                     machine,
                     task: *task,
                 };
-                !taken.contains(&task) && self.may_preempt(task)
+                !already_chosen.contains(&task) && self.may_preempt(task)
             })
             .collect();
         let waste_s = |index: usize| self.fleet.costs.preemption_waste_s(&tasks[index]);
--- a/src/plan/search/free_machines.rs
+++ b/src/plan/search/free_machines.rs
@@ -4,8 +4,8 @@
 
 use super::candidate::{Candidate, Origin};
 use super::progress::SearchProgress;
+use super::request::SearchMode;
 use super::scope::SearchScope;
-use super::SearchMode;
 use crate::plan::indexes::{BucketIter, CapacityIndex};
 use crate::plan::resources::Resources;
 
--- a/src/plan/search/preemptable_machines.rs
+++ b/src/plan/search/preemptable_machines.rs
@@ -152,7 +152,9 @@
     free: Resources,
     progress: &SearchProgress,
 ) -> Option<Candidate> {
-    let choice = scope.victims.choose(machine, free, progress.taken())?;
+    let choice = scope
+        .victims
+        .choose(machine, free, progress.chosen_victims())?;
     let has_image = scope.has_image(machine);
     Some(Candidate {
         cost_s: choice.cost_s + scope.fetch_cost_s(machine, has_image),
--- a/src/plan/search/progress.rs
+++ b/src/plan/search/progress.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use super::candidate::Candidate;
-use super::{Assignment, TaskAssignment};
+use super::request::{Assignment, TaskAssignment};
 use crate::plan::fleet::TaskIndex;
 use crate::plan::resources::Resources;
 use crate::plan::snapshot::{tasks_per_zone_max, JobView, MachineView, ZoneCounts};
@@ -16,7 +16,7 @@
     /// Free capacity of the machines with assigned tasks.
     free: HashMap<usize, Resources>,
     /// Victims chosen so far.
-    taken: HashSet<TaskIndex>,
+    chosen_victims: HashSet<TaskIndex>,
     zones: ZoneCounts,
     zone_max: u32,
 }
@@ -27,7 +27,7 @@
         SearchProgress {
             assignment: Assignment::default(),
             free: HashMap::new(),
-            taken: HashSet::new(),
+            chosen_victims: HashSet::new(),
             zones: job.zones.clone(),
             zone_max: tasks_per_zone_max(&job.spec),
         }
@@ -44,8 +44,8 @@
     }
 
     /// The victims chosen so far.
-    pub fn taken(&self) -> &HashSet<TaskIndex> {
-        &self.taken
+    pub fn chosen_victims(&self) -> &HashSet<TaskIndex> {
+        &self.chosen_victims
     }
 
     /// Whether one more task may be in a zone.
@@ -75,7 +75,7 @@
                 machine,
                 task: index,
             };
-            self.taken.insert(victim);
+            self.chosen_victims.insert(victim);
             self.assignment.victims.push(victim);
         }
         free.sub(demand);
--- a/src/plan/search/scope.rs
+++ b/src/plan/search/scope.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use super::{Search, SearchMode};
+use super::request::{SearchContext, SearchMode};
 use crate::plan::cost::fetch_cost_s;
 use crate::plan::fleet::{Fleet, FleetView, ImageMachines};
 use crate::plan::indexes::{BucketIter, CapacityIndex, FleetIndexes, PreemptionCandidates};
@@ -36,12 +36,12 @@
 
 impl<'a> SearchScope<'a> {
     /// The scope of a search on the machines of a zone, or of all.
-    pub fn new(search: &Search<'a>, zone: Option<&str>) -> SearchScope<'a> {
-        let job = search.request.job;
-        let fleet = search.view.fleet;
+    pub fn new(context: &SearchContext<'a>, zone: Option<&str>) -> SearchScope<'a> {
+        let job = context.request.job;
+        let fleet = context.view.fleet;
         let kind_allowed = fleet.allowed_kinds(&job.spec, zone);
         let own = fleet.reservations.machines_of(&job.id).iter().copied();
-        let lower = search.indexes.reserved_below(job.spec.priority);
+        let lower = context.indexes.reserved_below(job.spec.priority);
         let extra_capacity = own.chain(lower);
         let extra_capacity =
             extra_capacity.filter(|machine| kind_allowed[fleet.kinds.of(*machine)]);
@@ -49,12 +49,12 @@
             extra_capacity: extra_capacity.collect(),
             job,
             demand: Resources::of(&job.spec),
-            mode: search.request.mode,
+            mode: context.request.mode,
             fleet,
-            indexes: search.indexes,
-            victims: VictimSelector::new(search.view, search.preemptor),
-            view: search.view,
-            preemptor: search.preemptor,
+            indexes: context.indexes,
+            victims: VictimSelector::new(context.view, context.preemptor),
+            view: context.view,
+            preemptor: context.preemptor,
             image_machines: fleet.images.get(&job.spec.image),
             kind_allowed,
         }
--- a/src/plan/search/zone_search.rs
+++ b/src/plan/search/zone_search.rs
@@ -4,8 +4,8 @@
 use super::free_machines::FreeMachines;
 use super::preemptable_machines::PreemptableMachines;
 use super::progress::SearchProgress;
+use super::request::{Assignment, SearchMode};
 use super::scope::SearchScope;
-use super::{Assignment, SearchMode};
 
 /// A search in progress. Machines with free capacity are used first, and others only if
 /// victims are allowed.
--- a/src/plan/snapshot.rs
+++ b/src/plan/snapshot.rs
@@ -65,7 +65,7 @@
     pub tasks: Vec<TaskView>,
     /// The lowest priority among the tasks that may be preempted.
     pub lowest_priority: Option<Priority>,
-    /// Capacity reserved for preemptors whose victims are still leaving.
+    /// Capacity reserved for preemptors whose victims are still being stopped.
     pub reservations: Vec<Reservation>,
 }
 
