--- a/src/controller/duties/orders.rs
+++ b/src/controller/duties/orders.rs
@@ -7,7 +7,6 @@
 };
 use tracing::{error, info, warn};
 
-use super::request_review::is_conditional;
 use super::{Controller, DutyWrite, WritePurpose};
 use crate::controller::calls::{HttpCall, PendingCall};
 use crate::controller::effects::CLOUD_TIMEOUT_MS;
@@ -16,6 +15,7 @@
 use crate::duties::{refusal_key, OrderKey, OrderPhase, OrderRecord, RefusalRecord};
 use crate::net::Outcome;
 use crate::settings::DutyFence;
+use crate::termination_check::{TerminationCheck, TerminationVerdict};
 use crate::wire::{self, FencingToken, ProvisionRequest, TerminateRequest, Write};
 use crate::write_queue::{CommitResult, WriteClass, WriteRequest};
 
@@ -64,15 +64,18 @@
         let intents = self.watch_cache.duties.intents(duty);
         let mut requests = self.watch_cache.duties.requests(duty);
         let all = requests.len();
-        let occupied = if requests
-            .iter()
-            .any(|request| is_conditional(&request.order))
-        {
+        let revision = self.watch_cache.revision;
+        let depends_on_occupied =
+            |request| TerminationCheck::new(request, revision).needs_occupied_machines();
+        let occupied = if requests.iter().any(depends_on_occupied) {
             self.occupied_machines()
         } else {
             HashSet::new()
         };
-        requests.retain(|request| self.may_satisfy(request, &occupied));
+        requests.retain(|request| {
+            let verdict = TerminationCheck::new(request, revision).verdict(&occupied);
+            verdict == TerminationVerdict::Allowed
+        });
         if let Some(runtime) = self.duties.runtime(duty) {
             if requests.len() < all {
                 // What was left out is looked at again, even if nothing else changes.
--- a/src/controller/duties/request_review.rs
+++ b/src/controller/duties/request_review.rs
@@ -8,6 +8,7 @@
 
 use super::{Controller, DutyWrite, WritePurpose};
 use crate::duties::{OrderKey, OrderPhase, OrderRecord};
+use crate::termination_check::{TerminationCheck, TerminationVerdict};
 
 impl Controller {
     /// Looks at needs to return empty machines, as the holder of a duty. A machine that has
@@ -24,12 +25,9 @@
         if runtime.is_some_and(|runtime| runtime.reviewed_at == Some(reviewed_at)) {
             return;
         }
-        // Only what the records are as recent as: own changes may be ahead of them.
         let mut requests = self.watch_cache.duties.requests(duty);
         requests.retain(|request| {
-            let is_on_record = request.version <= revision;
-            is_conditional(&request.order)
-                && is_on_record
+            TerminationCheck::new(request, revision).needs_occupied_machines()
                 && self.has_no_decision_in_flight(duty, request)
         });
         if !requests.is_empty() && !self.may_send_orders(duty) {
@@ -43,7 +41,8 @@
         }
         let occupied = self.occupied_machines();
         for request in requests {
-            self.review_scaling_request(duty, &request, &occupied);
+            let verdict = TerminationCheck::new(&request, revision).verdict(&occupied);
+            self.execute_verdict(duty, request, verdict);
         }
     }
 
@@ -65,52 +64,38 @@
         runs.map(|run| run.machine.to_string()).collect()
     }
 
-    /// Whether a need may be met: the records that it was checked against hold all that was
-    /// placed before it was written, and none of them is in its way.
-    pub(super) fn may_satisfy(&self, request: &ScalingRequest, occupied: &HashSet<String>) -> bool {
-        let Order::Delete { machines, .. } = &request.order else {
-            return true;
-        };
-        let is_empty = || !machines.iter().any(|machine| occupied.contains(machine));
-        !is_conditional(&request.order)
-            || (request.version <= self.watch_cache.revision && is_empty())
-    }
-
-    fn review_scaling_request(
+    fn execute_verdict(
         &mut self,
         duty: Duty,
-        request: &ScalingRequest,
-        occupied: &HashSet<String>,
+        request: ScalingRequest,
+        verdict: TerminationVerdict,
     ) {
-        let Order::Delete {
-            machines,
-            if_empty: true,
-        } = &request.order
-        else {
-            return;
-        };
         let key = OrderKey {
             duty,
-            request: request.id.clone(),
+            request: request.id,
         };
-        let is_occupied = |machine: &String| occupied.contains(machine);
-        let (busy, empty): (Vec<String>, Vec<String>) =
-            machines.iter().cloned().partition(is_occupied);
-        if !busy.is_empty() {
-            error!(
-                duty = duty.name(),
-                request = request.id,
-                "{busy:?} are not returned: they have tasks on record"
-            );
-            return self.decide(key, OrderPhase::Completed(OrderResult::Rejected));
-        }
-        if duty == Duty::ReclaimIdle {
-            info!(
-                duty = duty.name(),
-                request = request.id,
-                "{empty:?} are idle"
-            );
-            self.forward_to_termination(key, empty);
+        match verdict {
+            TerminationVerdict::Rejected { occupied } => {
+                error!(
+                    duty = duty.name(),
+                    request = key.request,
+                    machines = ?occupied,
+                    "scale-in rejected: machines have tasks on record"
+                );
+                self.decide(key, OrderPhase::Completed(OrderResult::Rejected));
+            }
+            TerminationVerdict::Allowed if duty == Duty::ReclaimIdle => {
+                if let Order::Delete { machines, .. } = request.order {
+                    info!(
+                        duty = duty.name(),
+                        request = key.request,
+                        ?machines,
+                        "machines are idle"
+                    );
+                    self.forward_to_termination(key, machines);
+                }
+            }
+            TerminationVerdict::Allowed | TerminationVerdict::Postponed => {}
         }
     }
 
@@ -159,8 +144,3 @@
         }
     }
 }
-
-/// Whether an order may be given only if the machines are empty.
-pub(super) fn is_conditional(order: &Order) -> bool {
-    matches!(order, Order::Delete { if_empty: true, .. })
-}
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -24,6 +24,7 @@
 pub mod serve;
 pub mod settings;
 mod task_runs;
+pub mod termination_check;
 mod time_units;
 pub mod watch_cache;
 pub mod wire;
--- a/tests/unit/main.rs
+++ b/tests/unit/main.rs
@@ -13,6 +13,7 @@
 mod size;
 mod snapshots;
 mod support;
+mod termination_check;
 mod watch_cache;
 mod wire;
 mod write_queue;
