--- a/src/controller/calls.rs
+++ b/src/controller/calls.rs
@@ -1,25 +1,24 @@
 //! Calls to others, and what their outcomes mean.
 
-use std::net::SocketAddr;
 use std::sync::Arc;
 
 use duty_lease::Duty;
 use tracing::warn;
 
+use super::clock::EventTime;
 use super::duties::SentOrder;
+use super::http::{HttpCall, HttpResponse};
 use super::responses::{self, AgentResponse, ProviderError};
 use super::store_sync::ChangeRead;
-use super::{Controller, EventTime};
+use super::Controller;
 use crate::leader_lease::LeaseRequest;
-use crate::net::{status, Action, Outcome};
+use crate::net::Outcome;
 use crate::peer_protocol::{ForwardedReply, PeerStatus};
 use crate::scheduler::{DirectStart, ProvisioningOutcome, StatusOrigin};
 use crate::wire;
 
 /// Longest time for a call to the store that is not told otherwise.
 pub(super) const STORE_TIMEOUT_MS: u64 = 1500;
-/// The same for a read of a single key.
-pub(super) const READ_TIMEOUT_MS: u64 = 1000;
 
 /// What a call was for.
 #[derive(Debug)]
@@ -78,60 +77,6 @@
     Forward { user: u64 },
 }
 
-/// A request to be sent.
-pub(super) struct HttpCall {
-    pub method: &'static str,
-    pub path: String,
-    pub body: Vec<u8>,
-    pub timeout_ms: u64,
-}
-
-impl HttpCall {
-    pub fn get(path: impl Into<String>, timeout_ms: u64) -> HttpCall {
-        HttpCall {
-            method: "GET",
-            path: path.into(),
-            body: vec![],
-            timeout_ms,
-        }
-    }
-
-    /// A read of a single key of the store.
-    pub fn get_key(key: &str) -> HttpCall {
-        HttpCall::get(format!("/kv/{key}"), READ_TIMEOUT_MS)
-    }
-
-    /// Asks the store for a grant.
-    pub fn create_grant(ttl_ms: u64, timeout_ms: u64) -> HttpCall {
-        let body = wire::encode(&wire::GrantRequest { ttl_ms });
-        HttpCall::post("/grants", body, timeout_ms)
-    }
-
-    /// Renews a grant.
-    pub fn renew_grant(grant: u64, timeout_ms: u64) -> HttpCall {
-        HttpCall::post(format!("/grants/{grant}/renew"), vec![], timeout_ms)
-    }
-
-    /// Ends a grant.
-    pub fn end_grant(grant: u64, timeout_ms: u64) -> HttpCall {
-        HttpCall {
-            method: "DELETE",
-            path: format!("/grants/{grant}"),
-            body: vec![],
-            timeout_ms,
-        }
-    }
-
-    pub fn post(path: impl Into<String>, body: Vec<u8>, timeout_ms: u64) -> HttpCall {
-        HttpCall {
-            method: "POST",
-            path: path.into(),
-            body,
-            timeout_ms,
-        }
-    }
-}
-
 impl PendingCall {
     fn is_store_call(&self) -> bool {
         matches!(
@@ -152,41 +97,17 @@
 }
 
 impl Controller {
-    pub(super) fn call(&mut self, pending: PendingCall, address: SocketAddr, call: HttpCall) {
-        self.stats.count_call(&pending);
-        let tag = self.next_tag;
-        self.next_tag += 1;
-        self.calls.insert(tag, pending);
-        self.actions.push(Action::Call {
-            tag,
-            address,
-            method: call.method,
-            path: call.path,
-            body: call.body,
-            timeout_ms: call.timeout_ms,
-        });
-    }
-
-    pub(super) fn call_store(&mut self, pending: PendingCall, call: HttpCall) {
-        self.call(pending, self.settings.endpoints.state, call);
-    }
-
-    pub(super) fn call_cloud(&mut self, pending: PendingCall, call: HttpCall) {
-        self.call(pending, self.settings.endpoints.cloud, call);
-    }
-
     /// Sends the transactions that the rate limits allow.
     pub(super) fn send_writes(&mut self) {
         loop {
-            let now = self.now.steady;
-            let tag = self.next_tag;
+            let now = self.clock.steady_ms();
+            let tag = self.outbox.next_tag();
             let next = self.writes.next(now, tag, &mut self.store_requests);
             let Some(transaction) = next else {
                 break;
             };
-            let body = wire::encode(&transaction);
-            let call = HttpCall::post("/txn", body, STORE_TIMEOUT_MS);
-            self.call_store(PendingCall::Transaction, call);
+            let call = HttpCall::transaction(&transaction, STORE_TIMEOUT_MS);
+            self.outbox.call_store(PendingCall::Transaction, call);
         }
     }
 
@@ -251,7 +172,7 @@
     }
 
     fn on_provisioning_outcome(&mut self, idempotency_key: &str, epoch: u64, outcome: &Outcome) {
-        let now = self.now.steady;
+        let now = self.clock.steady_ms();
         let Some(scheduler) = self.scheduler_of(epoch) else {
             return;
         };
@@ -270,7 +191,7 @@
     }
 
     fn on_termination_outcome(&mut self, machines: &[String], epoch: u64, outcome: &Outcome) {
-        let now = self.now.steady;
+        let now = self.clock.steady_ms();
         let confirmed = responses::termination(outcome).is_ok();
         if let Some(scheduler) = self.scheduler_of(epoch) {
             scheduler.on_termination_outcome(machines, confirmed, now);
@@ -284,7 +205,7 @@
         starts: &[DirectStart],
         outcome: &Outcome,
     ) {
-        let now = self.now.steady;
+        let now = self.clock.steady_ms();
         let Some(scheduler) = self.scheduler_of(epoch) else {
             return;
         };
@@ -310,13 +231,18 @@
 
     fn on_forward_outcome(&mut self, user: u64, outcome: &Outcome) {
         let Some(reply) = responses::decode_peer::<ForwardedReply>(outcome) else {
-            return self.finish_user(user, status::UNAVAILABLE, Some(1), vec![]);
+            return self.finish_user(user, HttpResponse::unavailable());
         };
         if wire::is_cancelled_reply(&reply.body) {
             if let Some(id) = self.users.get(&user).map(|p| p.id.clone()) {
                 self.acknowledge_cancellation(&id);
             }
         }
-        self.finish_user(user, reply.status as u16, reply.retry_after, reply.body);
+        let response = HttpResponse {
+            status: reply.status as u16,
+            retry_after_s: reply.retry_after,
+            body: reply.body,
+        };
+        self.finish_user(user, response);
     }
 }
--- a/src/controller/cloud_inventory.rs
+++ b/src/controller/cloud_inventory.rs
@@ -4,7 +4,8 @@
 
 use tracing::{debug, error};
 
-use super::calls::{HttpCall, PendingCall};
+use super::calls::PendingCall;
+use super::http::HttpCall;
 use super::machine_list_reader::PageResult;
 use super::{responses, Controller};
 use crate::net::Outcome;
@@ -29,14 +30,14 @@
 
 impl Controller {
     pub(super) fn machine_types_tick(&mut self) {
-        let now = self.now.steady;
+        let now = self.clock.steady_ms();
         if now < self.next_machine_types_at {
             return;
         }
         self.next_machine_types_at = now + TYPES_RETRY_MS;
         if self.cloud_requests.try_take(now, 1.0, TYPES_RESERVE) {
             let call = HttpCall::get("/flavors", TIMEOUT_MS);
-            self.call_cloud(PendingCall::MachineTypes, call);
+            self.outbox.call_cloud(PendingCall::MachineTypes, call);
         }
     }
 
@@ -49,12 +50,12 @@
         if let Some(scheduler) = &mut self.scheduler {
             scheduler.set_machine_types(self.machine_types.clone());
         }
-        self.next_machine_types_at = self.now.steady + TYPES_INTERVAL_MS;
+        self.next_machine_types_at = self.clock.steady_ms() + TYPES_INTERVAL_MS;
     }
 
     /// Asks for the next page of the list when it is due and the limit of calls allows.
     pub(super) fn machine_list_tick(&mut self) {
-        let now = self.now.steady;
+        let now = self.clock.steady_ms();
         if self.scheduler.is_none() || !self.machine_list.is_due(now) {
             return;
         }
@@ -70,11 +71,12 @@
             started_at: self.machine_list.started_at().unwrap_or(now),
             epoch: self.epoch(),
         };
-        self.call_cloud(pending, HttpCall::get(path, TIMEOUT_MS));
+        self.outbox
+            .call_cloud(pending, HttpCall::get(path, TIMEOUT_MS));
     }
 
     pub(super) fn on_machine_list_page(&mut self, started_at: u64, epoch: u64, outcome: &Outcome) {
-        let now = self.now.steady;
+        let now = self.clock.steady_ms();
         if self.machine_list.started_at() != Some(started_at) {
             return;
         }
--- a/src/controller/dependencies.rs
+++ b/src/controller/dependencies.rs
@@ -5,7 +5,8 @@
 
 use tracing::warn;
 
-use super::calls::{HttpCall, PendingCall};
+use super::calls::PendingCall;
+use super::http::HttpCall;
 use super::responses::{self, KeyRead};
 use super::user_types::{RequestStage, UserRequest};
 use super::Controller;
@@ -32,14 +33,14 @@
 impl Controller {
     /// Tells the scheduler what changes of the watch cache mean for jobs with dependencies.
     pub(super) fn forward_dependency_events(&mut self) {
-        let now = self.now;
+        let (now, wall) = (self.clock.steady_ms(), self.clock.wall_ms());
         for event in self.watch_cache.take_dependency_events() {
             let Some(scheduler) = &mut self.scheduler else {
                 continue;
             };
             match event {
-                DependencyEvent::Ready(id) => scheduler.dependencies_done(&id, now.wall),
-                DependencyEvent::Cancelled(id) => scheduler.mark_cancelled(&id, now.steady),
+                DependencyEvent::Ready(id) => scheduler.dependencies_done(&id, wall),
+                DependencyEvent::Cancelled(id) => scheduler.mark_cancelled(&id, now),
             }
         }
     }
@@ -81,7 +82,7 @@
             dependency,
             is_final,
         };
-        self.call_store(pending, HttpCall::get_key(&key));
+        self.outbox.call_store(pending, HttpCall::get_key(&key));
     }
 
     pub(super) fn on_dependency_read(
@@ -105,7 +106,7 @@
                 self.read_dependency(user, dependency, true);
             }
             KeyRead::NotFound => {
-                let after = self.event_count;
+                let after = self.clock.sequence();
                 if let Some(pending) = self.users.get_mut(&user) {
                     pending.names_unknown_job = true;
                     pending.stage = RequestStage::AwaitCache { after, revision: 0 };
@@ -117,7 +118,7 @@
 
     /// Looks up how jobs ended that live ones depend on.
     pub(super) fn lookup_tick(&mut self) {
-        let now = self.now.steady;
+        let now = self.clock.steady_ms();
         if !self.watch_cache.loaded || now < self.lookups.next_at {
             return;
         }
@@ -135,7 +136,7 @@
             self.lookups.in_flight.insert(dependency.clone());
             let call = HttpCall::get_key(&final_key(&dependency));
             let pending = PendingCall::LookUpDependency { dependency };
-            self.call_store(pending, call);
+            self.outbox.call_store(pending, call);
         }
     }
 
@@ -147,7 +148,7 @@
             }
             // Alive, and not in the watch cache yet; or the service is in trouble.
             KeyRead::NotFound | KeyRead::Failed => {
-                self.lookups.next_at = self.now.steady + LOOKUP_RETRY_MS
+                self.lookups.next_at = self.clock.steady_ms() + LOOKUP_RETRY_MS
             }
         }
     }
--- a/src/controller/duties/assignment.rs
+++ b/src/controller/duties/assignment.rs
@@ -27,7 +27,7 @@
 impl Controller {
     /// Decides which duties this controller stands for.
     pub(super) fn assign_duties(&mut self) {
-        let now = self.now.steady;
+        let now = self.clock.steady_ms();
         let live = self.duty_candidates();
         let present: BTreeMap<Duty, String> = Duty::ALL
             .into_iter()
@@ -88,7 +88,7 @@
         if self.scheduler.is_none() {
             return;
         }
-        let now = self.now.steady;
+        let now = self.clock.steady_ms();
         let lease_s = self.settings.cluster.workers.lease_s;
         let settings = self.operator.duties.clone().unwrap_or_default();
         let bound_ms = UNHELD_TTLS * settings.timing(lease_s).ttl_ms;
--- a/src/controller/duties/cleaning.rs
+++ b/src/controller/duties/cleaning.rs
@@ -64,7 +64,7 @@
 impl Controller {
     /// Removes what is due, one record at a time.
     pub(super) fn clean_records(&mut self) {
-        let now = self.now.steady;
+        let now = self.clock.steady_ms();
         if !self.may_send_orders(Duty::CleanState) {
             return;
         }
--- a/src/controller/duties/leases.rs
+++ b/src/controller/duties/leases.rs
@@ -7,7 +7,8 @@
 use tracing::{debug, info, warn};
 
 use super::Controller;
-use crate::controller::calls::{HttpCall, PendingCall};
+use crate::controller::calls::PendingCall;
+use crate::controller::http::HttpCall;
 use crate::controller::responses::{self, CallError};
 use crate::duties::{
     holder_key, token_key, DutyRecords, StoredHolder, DUTIES_PREFIX, LEASES_PREFIX,
@@ -23,7 +24,7 @@
 impl Controller {
     /// Takes the part of this controller in a duty's lease further.
     pub(super) fn run_lease(&mut self, duty: Duty) {
-        let now = self.now.steady;
+        let now = self.clock.steady_ms();
         let generation = self.watch_cache.duties.generation();
         let Some(runtime) = self.duties.runtime(duty) else {
             return;
@@ -49,7 +50,7 @@
     }
 
     fn send_duty_lease_request(&mut self, duty: Duty, id: u64, request: LeaseRequest) {
-        let now = self.now.steady;
+        let now = self.clock.steady_ms();
         if !self.store_requests.try_take(now, 1.0, LEASE_RESERVE) {
             if let Some(runtime) = self.duties.runtime(duty) {
                 runtime.lease.on_response(id, LeaseResponse::Refused, now);
@@ -63,7 +64,7 @@
         let call = match &request {
             LeaseRequest::Read => {
                 let prefix = format!("{LEASES_PREFIX}{}/", duty.name());
-                HttpCall::get(format!("/kv?under={prefix}&most={LEASE_KEYS}"), timeout_ms)
+                HttpCall::get_page(&prefix, None, LEASE_KEYS, timeout_ms)
             }
             LeaseRequest::CreateGrant { ttl_ms } => HttpCall::create_grant(*ttl_ms, timeout_ms),
             LeaseRequest::Acquire {
@@ -77,15 +78,15 @@
                         Condition::new(holder_key(duty), *holder_version),
                         Condition::new(token_key(duty), *token_version),
                     ],
-                    writes: acquisition_writes(duty, holder, *grant, self.now.wall),
+                    writes: acquisition_writes(duty, holder, *grant, self.clock.wall_ms()),
                 };
-                HttpCall::post("/txn", wire::encode(&transaction), timeout_ms)
+                HttpCall::transaction(&transaction, timeout_ms)
             }
             LeaseRequest::Renew { grant } => HttpCall::renew_grant(*grant, timeout_ms),
             LeaseRequest::Release { grant } => HttpCall::end_grant(*grant, timeout_ms),
         };
         let pending = PendingCall::DutyLease { duty, id, request };
-        self.call_store(pending, call);
+        self.outbox.call_store(pending, call);
     }
 
     pub(in crate::controller) fn on_duty_lease_outcome(
@@ -95,7 +96,7 @@
         request: &LeaseRequest,
         outcome: &Outcome,
     ) {
-        let now = self.now.steady;
+        let now = self.clock.steady_ms();
         let response = response_to(duty, request, outcome);
         if let (LeaseRequest::Acquire { holder, .. }, LeaseResponse::Acquired { version }) =
             (request, &response)
--- a/src/controller/duties/mod.rs
+++ b/src/controller/duties/mod.rs
@@ -194,13 +194,13 @@
 
     /// Whether this controller may give orders of a duty at this very moment.
     fn may_send_orders(&mut self, duty: Duty) -> bool {
-        let now = self.now.steady;
+        let now = self.clock.steady_ms();
         let runtime = self.duties.runtime(duty);
         runtime.is_some_and(|runtime| runtime.lease.order_token(now).is_some())
     }
 
     fn set_cloud_share(&mut self) {
-        let now = self.now.steady;
+        let now = self.clock.steady_ms();
         let orders = self.holds(Duty::Rent) || self.holds(Duty::Return);
         let share = match (orders, self.scheduler.is_some()) {
             (true, true) => super::CLOUD_SHARE,
--- a/src/controller/duties/orders.rs
+++ b/src/controller/duties/orders.rs
@@ -8,8 +8,9 @@
 use tracing::{error, info, warn};
 
 use super::{Controller, DutyWrite, WritePurpose};
-use crate::controller::calls::{HttpCall, PendingCall};
+use crate::controller::calls::PendingCall;
 use crate::controller::effects::CLOUD_TIMEOUT_MS;
+use crate::controller::http::HttpCall;
 use crate::controller::responses::{self, ProviderError};
 use crate::controller::WriteOwner;
 use crate::duties::{refusal_key, OrderKey, OrderPhase, OrderRecord, RefusalRecord};
@@ -41,7 +42,7 @@
             return;
         }
         self.sync_order_book(duty);
-        let now = self.now.steady;
+        let now = self.clock.steady_ms();
         let Some(runtime) = self.duties.runtime(duty) else {
             return;
         };
@@ -140,7 +141,7 @@
     }
 
     fn send_order(&mut self, id: OrderId, order: &Order, token: Token) {
-        let now = self.now.steady;
+        let now = self.clock.steady_ms();
         if !self.cloud_requests.try_take(now, 1.0, 0.0) {
             return self.on_order_outcome(id, OrderOutcome::Unknown);
         }
@@ -182,7 +183,7 @@
             token,
             is_provisioning,
         };
-        self.call_cloud(PendingCall::DutyOrder(sent), call);
+        self.outbox.call_cloud(PendingCall::DutyOrder(sent), call);
     }
 
     /// The cloud has answered an order, or there was no answer.
@@ -222,7 +223,7 @@
     }
 
     fn on_order_outcome(&mut self, id: OrderId, outcome: OrderOutcome) {
-        let now = self.now.steady;
+        let now = self.clock.steady_ms();
         let Some(runtime) = self.duties.runtime(id.duty) else {
             return;
         };
@@ -241,7 +242,7 @@
             member,
             token,
             order: id.to_string(),
-            at_ms: self.now.wall,
+            at_ms: self.clock.wall_ms(),
         };
         self.writes.push(WriteRequest {
             owner: WriteOwner::Duty(Box::new(DutyWrite {
@@ -255,14 +256,14 @@
     }
 
     pub(super) fn on_order_recorded(&mut self, id: OrderId, result: &CommitResult) {
-        let now = self.now.steady;
+        let now = self.clock.steady_ms();
         if let Some(runtime) = self.duties.runtime(id.duty) {
             runtime.orders.on_recorded(id, record_outcome(result), now);
         }
     }
 
     pub(super) fn on_order_completed(&mut self, id: OrderId, result: &CommitResult) {
-        let now = self.now.steady;
+        let now = self.clock.steady_ms();
         if let Some(runtime) = self.duties.runtime(id.duty) {
             runtime.orders.on_completed(id, record_outcome(result), now);
         }
--- a/src/controller/duties/scaling_requests.rs
+++ b/src/controller/duties/scaling_requests.rs
@@ -104,7 +104,7 @@
                 groups.entry(group).or_default().push(name);
             }
         }
-        let now = self.now.steady;
+        let now = self.clock.steady_ms();
         if let Some(scheduler) = &mut self.scheduler {
             scheduler.on_termination_postponed(&not_yet, now);
         }
@@ -159,7 +159,7 @@
         let record = OrderRecord {
             order,
             phase: OrderPhase::Needed,
-            since_ms: self.now.wall,
+            since_ms: self.clock.wall_ms(),
         };
         let write = DutyWrite {
             purpose: WritePurpose::ScalingRequest { epoch },
@@ -181,7 +181,7 @@
         changes: &[(OrderKey, Option<OrderRecord>)],
         result: &CommitResult,
     ) {
-        let now = self.now.steady;
+        let now = self.clock.steady_ms();
         for (key, record) in changes {
             let requests = &mut self.duties.requests;
             for machine in record.iter().flat_map(OrderRecord::machines_to_terminate) {
@@ -241,7 +241,7 @@
     }
 
     fn apply_order_record(&mut self, key: &OrderKey, record: &OrderRecord) {
-        let now = self.now.steady;
+        let now = self.clock.steady_ms();
         let Some(scheduler) = &mut self.scheduler else {
             return;
         };
@@ -305,7 +305,7 @@
     }
 
     fn on_order_removed(&mut self, change: &OrderChange) {
-        let now = self.now.steady;
+        let now = self.clock.steady_ms();
         let (Some(scheduler), Some(before)) = (&mut self.scheduler, &change.before) else {
             return;
         };
--- a/src/controller/effects.rs
+++ b/src/controller/effects.rs
@@ -2,7 +2,8 @@
 
 use tracing::{info, trace};
 
-use super::calls::{HttpCall, PendingCall};
+use super::calls::PendingCall;
+use super::http::HttpCall;
 use super::{Controller, WriteOwner};
 use crate::cloud::MachineKind;
 use crate::scheduler::Effect;
@@ -53,7 +54,7 @@
                     starts,
                 };
                 let call = HttpCall::post(wire::COMMANDS_PATH, body, AGENT_TIMEOUT_MS);
-                self.call(pending, address, call);
+                self.outbox.call(pending, address, call);
             }
             Effect::Inspect { machine, address } => {
                 let pending = PendingCall::Agent {
@@ -62,7 +63,7 @@
                     starts: vec![],
                 };
                 let call = HttpCall::get(wire::INSPECT_PATH, AGENT_TIMEOUT_MS);
-                self.call(pending, address, call);
+                self.outbox.call(pending, address, call);
             }
             Effect::Provision {
                 idempotency_key,
@@ -76,7 +77,7 @@
     /// Without certain leadership nothing is rented or deleted: a cut may hold the request
     /// and deliver it to a successor's machines.
     fn may_call_provider(&mut self) -> bool {
-        let now = self.now.steady;
+        let now = self.clock.steady_ms();
         self.lease.is_certain(now) && self.cloud_requests.try_take(now, 1.0, 0.0)
     }
 
@@ -91,7 +92,7 @@
             return self.request_scale_out(idempotency_key, kind, count);
         }
         if !self.may_call_provider() {
-            let now = self.now.steady;
+            let now = self.clock.steady_ms();
             if let Some(scheduler) = &mut self.scheduler {
                 scheduler.on_provisioning_postponed(&idempotency_key, now);
             }
@@ -107,7 +108,7 @@
             fencing: None,
         });
         let call = HttpCall::post(wire::PROVISION_PATH, body, CLOUD_TIMEOUT_MS);
-        self.call_cloud(
+        self.outbox.call_cloud(
             PendingCall::Provision {
                 idempotency_key,
                 epoch,
@@ -121,7 +122,7 @@
             return self.request_scale_in(machines);
         }
         if !self.may_call_provider() {
-            let now = self.now.steady;
+            let now = self.clock.steady_ms();
             if let Some(scheduler) = &mut self.scheduler {
                 scheduler.on_termination_postponed(&machines, now);
             }
@@ -132,6 +133,7 @@
             fencing: None,
         });
         let call = HttpCall::post(wire::TERMINATE_PATH, body, CLOUD_TIMEOUT_MS);
-        self.call_cloud(PendingCall::Terminate { machines, epoch }, call);
+        self.outbox
+            .call_cloud(PendingCall::Terminate { machines, epoch }, call);
     }
 }
--- a/src/controller/format_version.rs
+++ b/src/controller/format_version.rs
@@ -14,7 +14,7 @@
 use crate::duties::DUTIES_FORMAT;
 use crate::job::PACKED_FORMAT;
 use crate::leadership_keys::FORMAT_KEY;
-use crate::net::Outcome;
+use crate::net::{status, Outcome};
 use crate::settings::StoreLimits;
 use crate::time_units::to_ms;
 use crate::watch_cache::member_key;
@@ -59,7 +59,7 @@
             return state.lowered();
         }
         let mut limits = state.clone();
-        if self.now.steady < self.format_state.throttled_until {
+        if self.clock.steady_ms() < self.format_state.throttled_until {
             limits.write_rps = limits.lowered().write_rps;
         }
         limits
@@ -93,7 +93,7 @@
 
     /// Makes this version known, or raises the format.
     pub(super) fn format_tick(&mut self) {
-        let now = self.now.steady;
+        let now = self.clock.steady_ms();
         let state = &mut self.format_state;
         if state.throttled_until > 0 && now >= state.throttled_until {
             state.throttled_until = 0;
@@ -138,7 +138,7 @@
             return;
         }
         let pause_s = self.settings.cluster.workers.report_s * RETRY_INTERVALS;
-        self.format_state.next_write_at = self.now.steady + to_ms(pause_s);
+        self.format_state.next_write_at = self.clock.steady_ms() + to_ms(pause_s);
         if !self.watch_cache.is_superseded() {
             return self.resign(
                 "the next leader is elected out of reach of earlier versions",
@@ -172,23 +172,23 @@
 
     /// The store may have refused a transaction for a lower limit.
     pub(super) fn on_store_refusal(&mut self, outcome: &Outcome) {
-        let Outcome::Answer { status, body } = outcome else {
+        let Outcome::Answer { status: code, body } = outcome else {
             return;
         };
         if self.settings.cluster.state.next.is_none() {
             return;
         }
-        match status {
+        match *code {
             // No transaction with a grant goes through the queue, and ours are well
             // formed: it is too large by now.
-            400 => {
+            status::BAD_REQUEST => {
                 debug!("refused: {}", wire::readable(body));
                 self.confirm_packed_format("the state service holds to its lower limits");
             }
-            429 if self.format() < PACKED_FORMAT => {
+            status::TOO_MANY_REQUESTS if self.format() < PACKED_FORMAT => {
                 let spell_s = self.settings.cluster.workers.report_s * THROTTLED_INTERVALS;
                 let spell_ms = to_ms(spell_s);
-                self.format_state.throttled_until = self.now.steady + spell_ms;
+                self.format_state.throttled_until = self.clock.steady_ms() + spell_ms;
                 self.on_format_changed();
             }
             _ => {}
--- a/src/controller/heartbeats.rs
+++ b/src/controller/heartbeats.rs
@@ -3,6 +3,7 @@
 use tracing::{debug, trace};
 
 use super::deferred_heartbeats::DeferredHeartbeat;
+use super::http::HttpResponse;
 use super::Controller;
 use crate::net::status;
 use crate::scheduler::StatusOrigin;
@@ -21,7 +22,9 @@
             Ok(report) => report,
             Err(error) => {
                 debug!(%error, "malformed heartbeat");
-                return self.answer(connection, status::BAD_REQUEST, None, vec![]);
+                return self
+                    .outbox
+                    .respond(connection, HttpResponse::empty(status::BAD_REQUEST));
             }
         };
         let Some(scheduler) = &self.scheduler else {
@@ -32,7 +35,7 @@
             return self.redirect(connection, report);
         }
         if !self.has_recent_cancellations() {
-            return self.answer(connection, 503, Some(1), vec![]);
+            return self.outbox.respond(connection, HttpResponse::unavailable());
         }
         self.accept_heartbeat(connection, report);
     }
@@ -44,11 +47,11 @@
         let bound_s = (agents.cancel_s - agents.lease_s) * UNKNOWN_CANCELLATIONS_SHARE;
         let bound_ms = to_ms(bound_s);
         let known_at = self.cancellations_known_as_of();
-        known_at.is_some_and(|at| self.now.steady <= at + bound_ms)
+        known_at.is_some_and(|at| self.clock.steady_ms() <= at + bound_ms)
     }
 
     fn accept_heartbeat(&mut self, connection: usize, report: AgentStatus) {
-        let now = self.now.steady;
+        let now = self.clock.steady_ms();
         let certain = self.lease.is_certain(now);
         let Some(scheduler) = &mut self.scheduler else {
             return;
@@ -72,22 +75,25 @@
 
     /// Sends an agent to the leader, if that is known.
     fn redirect(&mut self, connection: usize, report: AgentStatus) {
-        let now = self.now.steady;
+        let now = self.clock.steady_ms();
         self.redirected_agents.insert(report.machine, now);
         let leader = self.watch_cache.leader().map(|(key, _)| key.member.clone());
         let body = wire::encode(&wire::Redirect {
             reports_to: leader.filter(|member| *member != self.settings.member),
         });
-        self.answer(connection, 421, None, body);
+        self.outbox.respond(
+            connection,
+            HttpResponse::new(status::MISDIRECTED_REQUEST, body),
+        );
     }
 
     /// Answers a heartbeat that was taken in, with what there is to do.
     fn answer_heartbeat(&mut self, connection: usize, report: &AgentStatus) {
-        let now = self.now.steady;
+        let now = self.clock.steady_ms();
         let may_start = self.may_start();
         let Some(scheduler) = &mut self.scheduler else {
             // It led a moment ago: the next report finds out who does.
-            return self.answer(connection, 503, Some(1), vec![]);
+            return self.outbox.respond(connection, HttpResponse::unavailable());
         };
         let reply = wire::CommandBatch {
             epoch: scheduler.epoch(),
@@ -102,13 +108,14 @@
             report.tasks,
             reply.commands
         );
-        self.answer(connection, 200, None, wire::encode(&reply));
+        self.outbox
+            .respond(connection, HttpResponse::ok(wire::encode(&reply)));
     }
 
     /// Answers heartbeats that wait for starts, as soon as those are on record, or without
     /// them when the time is over.
     pub(super) fn answer_deferred_heartbeats(&mut self) {
-        let now = self.now.steady;
+        let now = self.clock.steady_ms();
         let held = match &mut self.scheduler {
             Some(scheduler) => {
                 let startable = scheduler.take_newly_startable();
--- /dev/null
+++ b/src/controller/http.rs
@@ -0,0 +1,133 @@
+//! HTTP requests that this controller sends, and its responses to those that it receives.
+
+use crate::net::status;
+use crate::wire;
+
+/// When a client is to try again, in seconds: it waits at least as long in any case.
+pub(super) const RETRY_AFTER_S: u32 = 1;
+/// Default timeout of a read of a single key of the store.
+pub(super) const READ_TIMEOUT_MS: u64 = 1000;
+
+const GET: &str = "GET";
+const POST: &str = "POST";
+const DELETE: &str = "DELETE";
+
+/// A request to be sent.
+pub(super) struct HttpCall {
+    pub method: &'static str,
+    pub path: String,
+    pub body: Vec<u8>,
+    pub timeout_ms: u64,
+}
+
+impl HttpCall {
+    pub fn get(path: impl Into<String>, timeout_ms: u64) -> HttpCall {
+        HttpCall {
+            method: GET,
+            path: path.into(),
+            body: vec![],
+            timeout_ms,
+        }
+    }
+
+    pub fn post(path: impl Into<String>, body: Vec<u8>, timeout_ms: u64) -> HttpCall {
+        HttpCall {
+            method: POST,
+            path: path.into(),
+            body,
+            timeout_ms,
+        }
+    }
+
+    /// Reads a single key of the store.
+    pub fn get_key(key: &str) -> HttpCall {
+        HttpCall::get(format!("/kv/{key}"), READ_TIMEOUT_MS)
+    }
+
+    /// Reads a page of the keys of the store under a prefix, behind the key `from`.
+    pub fn get_page(
+        prefix: &str,
+        from: Option<&str>,
+        keys_max: usize,
+        timeout_ms: u64,
+    ) -> HttpCall {
+        let from = from.map(|key| format!("&from={key}")).unwrap_or_default();
+        let path = format!("/kv?under={prefix}{from}&most={keys_max}");
+        HttpCall::get(path, timeout_ms)
+    }
+
+    /// Sends a transaction to the store.
+    pub fn transaction(transaction: &wire::Transaction, timeout_ms: u64) -> HttpCall {
+        HttpCall::post("/txn", wire::encode(transaction), timeout_ms)
+    }
+
+    /// Asks the store for a grant.
+    pub fn create_grant(ttl_ms: u64, timeout_ms: u64) -> HttpCall {
+        let body = wire::encode(&wire::GrantRequest { ttl_ms });
+        HttpCall::post("/grants", body, timeout_ms)
+    }
+
+    /// Renews a grant.
+    pub fn renew_grant(grant: u64, timeout_ms: u64) -> HttpCall {
+        HttpCall::post(format!("/grants/{grant}/renew"), vec![], timeout_ms)
+    }
+
+    /// Ends a grant.
+    pub fn end_grant(grant: u64, timeout_ms: u64) -> HttpCall {
+        HttpCall {
+            method: DELETE,
+            path: format!("/grants/{grant}"),
+            body: vec![],
+            timeout_ms,
+        }
+    }
+}
+
+/// A response to a request that was received.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub(super) struct HttpResponse {
+    pub status: u16,
+    /// When the client is to try again, in seconds.
+    pub retry_after_s: Option<u32>,
+    pub body: Vec<u8>,
+}
+
+impl HttpResponse {
+    /// A response with a body; the client is not asked to try again.
+    pub fn new(status: u16, body: Vec<u8>) -> HttpResponse {
+        HttpResponse {
+            status,
+            retry_after_s: None,
+            body,
+        }
+    }
+
+    /// A successful response.
+    pub fn ok(body: Vec<u8>) -> HttpResponse {
+        HttpResponse::new(status::OK, body)
+    }
+
+    /// A response without a body.
+    pub fn empty(status: u16) -> HttpResponse {
+        HttpResponse::new(status, vec![])
+    }
+
+    /// Nothing can be said now: the client is to try again.
+    pub fn unavailable() -> HttpResponse {
+        HttpResponse::empty(status::UNAVAILABLE).with_retry_after()
+    }
+
+    /// A response that says what is wrong.
+    pub fn error(status: u16, reason: &str) -> HttpResponse {
+        let body = wire::encode(&wire::ErrorReply { error: reason });
+        HttpResponse::new(status, body)
+    }
+
+    /// Asks the client to try again.
+    pub fn with_retry_after(self) -> HttpResponse {
+        HttpResponse {
+            retry_after_s: Some(RETRY_AFTER_S),
+            ..self
+        }
+    }
+}
--- a/src/controller/leadership.rs
+++ b/src/controller/leadership.rs
@@ -2,7 +2,8 @@
 
 use tracing::{info, warn};
 
-use super::calls::{HttpCall, PendingCall};
+use super::calls::PendingCall;
+use super::http::HttpCall;
 use super::responses::{self, CallError};
 use super::{Controller, WriteOwner};
 use crate::leader_lease::{Election, LeaseRequest, LeaseResponse};
@@ -21,7 +22,9 @@
             return;
         }
         let jitter = self.rng.random::<f64>();
-        let request = self.lease.tick(self.now.steady, &self.watch_cache, jitter);
+        let request = self
+            .lease
+            .tick(self.clock.steady_ms(), &self.watch_cache, jitter);
         if let Some(request) = request {
             self.send_lease_request(request);
         }
@@ -29,25 +32,27 @@
 
     fn send_lease_request(&mut self, request: LeaseRequest) {
         // It goes out in any case.
-        let _ = self.store_requests.try_take(self.now.steady, 1.0, 0.0);
+        let _ = self
+            .store_requests
+            .try_take(self.clock.steady_ms(), 1.0, 0.0);
         let timeout_ms = self.lease.ttl_ms / 3;
         let call = match &request {
             LeaseRequest::Grant => HttpCall::create_grant(self.lease.ttl_ms, timeout_ms),
             LeaseRequest::Renew(grant) => HttpCall::renew_grant(*grant, timeout_ms),
             LeaseRequest::Revoke(grant) => {
                 let call = HttpCall::end_grant(*grant, timeout_ms);
-                return self.call_store(PendingCall::Revoke, call);
+                return self.outbox.call_store(PendingCall::Revoke, call);
             }
             LeaseRequest::Elect(election) => {
                 let transaction = election_transaction(election, &self.settings.member);
-                HttpCall::post("/txn", wire::encode(&transaction), timeout_ms)
+                HttpCall::transaction(&transaction, timeout_ms)
             }
         };
-        self.call_store(PendingCall::Lease(request), call);
+        self.outbox.call_store(PendingCall::Lease(request), call);
     }
 
     pub(super) fn on_lease_outcome(&mut self, request: LeaseRequest, outcome: &Outcome) {
-        let now = self.now.steady;
+        let now = self.clock.steady_ms();
         let response = response_to(&request, outcome);
         let changed = self.lease.on_response(now, response);
         match (request, response) {
@@ -74,7 +79,7 @@
             epoch,
             key: fence.leader_key(),
             key_version: version,
-            began_wall_ms: self.now.wall,
+            began_wall_ms: self.clock.wall_ms(),
         });
         self.begin_term();
     }
@@ -83,7 +88,7 @@
     /// it, its own earlier terms included, are older than that, and none can follow: a
     /// watch cache from before it may lack places whose starts went out.
     pub(super) fn begin_term(&mut self) {
-        let now = self.now.steady;
+        let now = self.clock.steady_ms();
         let revision = self.watch_cache.revision;
         let Some(term) = self
             .pending_term
@@ -124,7 +129,7 @@
 
     /// Gives leadership up, and does not stand for election for so long.
     pub(super) fn resign(&mut self, why: &str, standby_ms: u64) {
-        if let Some(request) = self.lease.resign(self.now.steady, standby_ms) {
+        if let Some(request) = self.lease.resign(self.clock.steady_ms(), standby_ms) {
             self.send_lease_request(request);
         }
         self.step_down(why);
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -2,6 +2,7 @@
 //! actions come out; no sockets and no clocks here.
 
 mod calls;
+mod clock;
 mod cloud_inventory;
 mod deferred_heartbeats;
 mod dependencies;
@@ -9,8 +10,10 @@
 mod effects;
 mod format_version;
 mod heartbeats;
+mod http;
 mod leadership;
 mod machine_list_reader;
+mod outbox;
 mod peers;
 mod planning;
 mod responses;
@@ -32,7 +35,7 @@
 use crate::job::FinalState;
 use crate::leader_lease::{self, LeaderLease};
 use crate::leadership_keys::{LEADER_KEY, LEASE_KEY};
-use crate::net::{Action, Event, Listener, Outcome, Request};
+use crate::net::{status, Action, Event, Listener, Outcome, Request};
 use crate::peer_protocol::{ForwardedRequest, PeerStatus, FORWARD_PATH, STATUS_PATH};
 use crate::rate_limit::TokenBucket;
 use crate::scheduler::{Scheduler, Term};
@@ -41,34 +44,21 @@
 use crate::wire::{self, MachineType};
 use crate::write_queue::{CommitResult, WriteQueue};
 
-use calls::PendingCall;
+pub use clock::Timestamp;
+
+use clock::EventClock;
 use deferred_heartbeats::DeferredHeartbeats;
 use dependencies::DependencyLookups;
 use duties::{DutyState, DutyWrite};
 use format_version::FormatState;
+use http::HttpResponse;
 use machine_list_reader::MachineListReader;
+use outbox::Outbox;
 use peers::PeerView;
 use planning::PlanTimer;
 use stats::{StatsTimer, TrafficStats};
 use store_sync::StoreSync;
-use user_types::{Caller, PendingRequest};
-
-/// The steady clock since the start and the time of day, in milliseconds.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Timestamp {
-    /// The steady clock.
-    pub steady: u64,
-    /// The time of day.
-    pub wall: u64,
-}
-
-/// When something happened: on the clock, and in the order of events, which tells what
-/// came first within a millisecond.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-struct EventTime {
-    at: u64,
-    sequence: u64,
-}
+use user_types::{Caller, PendingRequest, RequestOrigin};
 
 /// Whose change a commit was.
 #[derive(Debug, Clone)]
@@ -88,7 +78,9 @@
     },
 }
 
-/// How often timers are looked at.
+/// Statuses from here on say that the server has failed.
+const SERVER_ERRORS: u16 = 500;
+/// How often timers are checked.
 const TICK_MS: u64 = 100;
 /// What an answer to a user may take before the limit on requests in progress falls.
 const USER_TARGET_MS: u64 = 500;
@@ -114,14 +106,8 @@
     settings: Settings,
     operator: OperatorSettings,
     rng: StdRng,
-    now: Timestamp,
-    /// Events so far.
-    event_count: u64,
-    /// When the first of them came.
-    began_at: Option<u64>,
-    calls: HashMap<u64, PendingCall>,
-    next_tag: u64,
-    actions: Vec<Action>,
+    clock: EventClock,
+    outbox: Outbox,
     /// The local watch cache of the store.
     pub watch_cache: WatchCache,
     store_sync: StoreSync,
@@ -174,12 +160,8 @@
         writes.set_duty_rate(0, duty_write_rate(state));
         Controller {
             rng: StdRng::seed_from_u64(seed),
-            now: Timestamp { steady: 0, wall: 0 },
-            event_count: 0,
-            began_at: None,
-            calls: HashMap::new(),
-            next_tag: 1,
-            actions: vec![],
+            clock: EventClock::new(),
+            outbox: Outbox::new(settings.endpoints.clone()),
             watch_cache: WatchCache::default(),
             store_sync: StoreSync::default(),
             store_requests: TokenBucket::new(follower_requests),
@@ -217,7 +199,7 @@
 
     /// What is to be done outside since the last call.
     pub fn take_actions(&mut self) -> Vec<Action> {
-        std::mem::take(&mut self.actions)
+        self.outbox.take_actions()
     }
 
     /// The epoch under which this controller leads; 0 if it does not.
@@ -232,7 +214,7 @@
 
     /// Takes the leader's or a follower's share of the store.
     fn set_store_share(&mut self, leads: bool) {
-        let now = self.now.steady;
+        let now = self.clock.steady_ms();
         let limits = self.store_limits();
         let others = self.settings.peers.len() as f64;
         let follower_requests = limits.rps / (others + 1.0) * FOLLOWER_REQUESTS;
@@ -247,31 +229,17 @@
         self.writes.set_writes_max(limits.txn_ops);
     }
 
-    fn begin_event(&mut self, now: Timestamp) {
-        self.now = now;
-        self.event_count += 1;
-        self.began_at.get_or_insert(now.steady);
-    }
-
-    fn event_time(&self) -> EventTime {
-        EventTime {
-            at: self.now.steady,
-            sequence: self.event_count,
-        }
-    }
-
-    /// Takes in an event.
-    pub fn handle_event(&mut self, now: Timestamp, handle_event: Event) {
-        self.begin_event(now);
-        match handle_event {
+    /// Handles an event.
+    pub fn handle_event(&mut self, now: Timestamp, event: Event) {
+        self.clock.begin_event(now);
+        match event {
             Event::Request {
                 connection,
                 listener,
                 request,
             } => self.on_request(connection, listener, request),
             Event::Reply { tag, outcome } => {
-                if let Some(call) = self.calls.remove(&tag) {
-                    self.stats.replies += 1;
+                if let Some(call) = self.outbox.complete(tag) {
                     self.on_reply(tag, call, outcome);
                 }
             }
@@ -289,7 +257,7 @@
 
     /// Does what has come due. To be called at least as often as `wait_ms` says.
     pub fn tick(&mut self, now: Timestamp) {
-        self.begin_event(now);
+        self.clock.begin_event(now);
         if now.steady < self.next_tick_at {
             return;
         }
@@ -313,7 +281,7 @@
     }
 
     fn scheduler_tick(&mut self) {
-        let now = self.now.steady;
+        let now = self.clock.steady_ms();
         // Agents may have gone to the one that is not heard.
         let redirected = self.redirected_elsewhere();
         let most_heard = redirected.peers_heard * 2 > self.peers.len();
@@ -332,7 +300,7 @@
 
     /// Sends what has come due: reads, changes and the scheduler's effects.
     fn flush(&mut self) {
-        let now = self.now.steady;
+        let now = self.clock.steady_ms();
         if let Some(scheduler) = &mut self.scheduler {
             scheduler.flush(now, self.watch_cache.revision, 0);
         }
@@ -367,22 +335,28 @@
                 Ok(status) => {
                     let body = self.status_for(&status).encode_to_vec();
                     self.on_peer_status(&status.member.clone(), status);
-                    self.answer(connection, 200, None, body);
+                    self.outbox.respond(connection, HttpResponse::ok(body));
                 }
-                Err(_) => self.answer(connection, 400, None, vec![]),
+                Err(_) => self
+                    .outbox
+                    .respond(connection, HttpResponse::empty(status::BAD_REQUEST)),
             },
             FORWARD_PATH => match ForwardedRequest::decode(request.body.as_slice()) {
                 Ok(forwarded) => {
                     let caller = Caller {
                         connection,
-                        forwarded: true,
+                        origin: RequestOrigin::Peer,
                     };
                     let ForwardedRequest { method, path, body } = forwarded;
                     self.on_user_request(caller, &method, &path, body);
                 }
-                Err(_) => self.answer(connection, 400, None, vec![]),
+                Err(_) => self
+                    .outbox
+                    .respond(connection, HttpResponse::empty(status::BAD_REQUEST)),
             },
-            _ => self.answer(connection, 404, None, vec![]),
+            _ => self
+                .outbox
+                .respond(connection, HttpResponse::empty(status::NOT_FOUND)),
         }
     }
 
@@ -390,16 +364,21 @@
         match (request.method.as_str(), request.path.as_str()) {
             ("POST", wire::HEARTBEAT_PATH) => self.on_heartbeat(connection, &request.body),
             ("GET", wire::HEALTH_PATH) => {
-                let status = if self.is_healthy() { 200 } else { 503 };
-                self.answer(connection, status, None, vec![]);
+                let status = if self.is_healthy() {
+                    status::OK
+                } else {
+                    status::UNAVAILABLE
+                };
+                self.outbox.respond(connection, HttpResponse::empty(status));
             }
             (_, wire::HEARTBEAT_PATH | wire::HEALTH_PATH) => {
-                self.answer(connection, 405, None, vec![]);
+                self.outbox
+                    .respond(connection, HttpResponse::empty(status::METHOD_NOT_ALLOWED));
             }
             _ => {
                 let caller = Caller {
                     connection,
-                    forwarded: false,
+                    origin: RequestOrigin::User,
                 };
                 let Request { method, path, body } = request;
                 self.on_user_request(caller, &method, &path, body);
@@ -407,17 +386,8 @@
         }
     }
 
-    fn answer(&mut self, connection: usize, status: u16, retry_after: Option<u32>, body: Vec<u8>) {
-        self.actions.push(Action::Answer {
-            connection,
-            status,
-            retry_after,
-            body,
-        });
-    }
-
     fn on_commit(&mut self, owner: WriteOwner, result: CommitResult) {
-        let now = self.now.steady;
+        let now = self.clock.steady_ms();
         match owner {
             WriteOwner::User(user) => self.on_user_commit(user, &result),
             WriteOwner::FormatVersion => {}
@@ -449,7 +419,7 @@
         };
         let is_leader_key = |key: &String| key == LEADER_KEY || key == LEASE_KEY;
         if failed.iter().any(is_leader_key) {
-            self.lease.resign(self.now.steady, 0);
+            self.lease.resign(self.clock.steady_ms(), 0);
             self.step_down("a change failed on the leader key");
         }
     }
@@ -457,9 +427,12 @@
     /// Notes that the store has answered, or says that the limit is reached.
     fn record_store_outcome(&mut self, outcome: &Outcome) {
         match outcome {
-            Outcome::Answer { status: 429, .. } => self.store_requests.drain(),
-            Outcome::Answer { status, .. } if *status < 500 => {
-                self.store_sync.answered_at = Some(self.now.steady);
+            Outcome::Answer {
+                status: status::TOO_MANY_REQUESTS,
+                ..
+            } => self.store_requests.drain(),
+            Outcome::Answer { status, .. } if *status < SERVER_ERRORS => {
+                self.store_sync.answered_at = Some(self.clock.steady_ms());
             }
             _ => {}
         }
--- a/src/controller/peers.rs
+++ b/src/controller/peers.rs
@@ -4,7 +4,8 @@
 
 use prost::Message;
 
-use super::calls::{HttpCall, PendingCall};
+use super::calls::PendingCall;
+use super::http::HttpCall;
 use super::Controller;
 use crate::peer_protocol::{PeerStatus, STATUS_PATH};
 use crate::time_units::to_ms;
@@ -60,7 +61,7 @@
 
 impl Controller {
     fn status(&self) -> PeerStatus {
-        let now = self.now.steady;
+        let now = self.clock.steady_ms();
         let span_s = self.settings.cluster.workers.report_s * REDIRECTED_INTERVALS;
         let span_ms = to_ms(span_s);
         let lately = |times: &BTreeMap<String, u64>| {
@@ -71,7 +72,7 @@
             store_reachable: self.is_store_reachable(),
             leading_epoch: self.epoch(),
             redirected_agents: lately(&self.redirected_agents) as u32,
-            process_age_ms: self.began_at.map_or(0, |at| now - at),
+            process_age_ms: self.clock.process_age_ms(),
             acknowledged_cancellations: vec![],
             known_format: self.known_format(),
         }
@@ -91,7 +92,7 @@
     /// Users are told here that a job is cancelled. What is over has no tasks
     /// any more.
     pub(super) fn acknowledge_cancellation(&mut self, id: &str) {
-        let now = self.now.steady;
+        let now = self.clock.steady_ms();
         if self.watch_cache.final_state(id).is_none() {
             self.acknowledged_cancellations
                 .entry(id.to_string())
@@ -105,7 +106,7 @@
     /// A leader that can't read the store asked another controller, and
     /// was told of all cancellations that users had been told of there.
     pub(super) fn sync_cancellations(&mut self, member: &str, status: &PeerStatus, sent_at: u64) {
-        let now = self.now.steady;
+        let now = self.clock.steady_ms();
         let Some(scheduler) = &mut self.scheduler else {
             return;
         };
@@ -139,11 +140,16 @@
             valid.map_or(0, |sync| sync.asked_at)
         });
         // One that is alone has told them all itself.
-        Some(synced_at.min().unwrap_or(self.now.steady).max(read_at))
+        Some(
+            synced_at
+                .min()
+                .unwrap_or(self.clock.steady_ms())
+                .max(read_at),
+        )
     }
 
     pub(super) fn on_peer_status(&mut self, member: &str, status: PeerStatus) {
-        let now = self.now.steady;
+        let now = self.clock.steady_ms();
         if let Some(peer) = self.peers.get_mut(member) {
             peer.heard_at = Some(now);
             peer.status = status;
@@ -159,7 +165,7 @@
     /// Whether this leader is cut off from every agent while others redirect them:
     /// another controller should lead.
     fn is_cut_off_from_agents(&self) -> bool {
-        let now = self.now.steady;
+        let now = self.clock.steady_ms();
         let Some(scheduler) = &self.scheduler else {
             return false;
         };
@@ -178,7 +184,7 @@
     }
 
     pub(super) fn live_peers(&self) -> impl Iterator<Item = &PeerView> {
-        let now = self.now.steady;
+        let now = self.clock.steady_ms();
         let alive = move |peer: &&PeerView| peer.heard_at.is_some_and(|at| now < at + ALIVE_MS);
         self.peers.values().filter(alive)
     }
@@ -199,14 +205,14 @@
 
     /// What another controller has said of itself lately.
     pub(super) fn recent_status(&self, member: &str) -> Option<&PeerStatus> {
-        let now = self.now.steady;
+        let now = self.clock.steady_ms();
         let peer = self.peers.get(member)?;
         let heard = peer.heard_at.is_some_and(|at| now < at + HEARD_MS);
         heard.then_some(&peer.status)
     }
 
     pub(super) fn peers_tick(&mut self) {
-        let now = self.now.steady;
+        let now = self.clock.steady_ms();
         if now < self.next_status_at {
             return;
         }
@@ -233,7 +239,7 @@
                 sent_at: now,
             };
             let call = HttpCall::post(STATUS_PATH, body.clone(), STATUS_TIMEOUT_MS);
-            self.call(pending, peer.address, call);
+            self.outbox.call(pending, peer.address, call);
         }
     }
 }
--- a/src/controller/planning.rs
+++ b/src/controller/planning.rs
@@ -26,7 +26,7 @@
 impl Controller {
     /// A snapshot to plan on, when it is time.
     pub fn take_due_snapshot(&mut self, now: Timestamp) -> Option<Snapshot> {
-        self.now = now;
+        self.clock.set(now);
         let next_at = self.plan_timer.next_at;
         let certain = self.lease.is_certain(now.steady);
         if self.plan_timer.in_progress || now.steady < next_at || !certain {
@@ -57,7 +57,7 @@
 
     /// Takes in what was planned on the last snapshot, which was made under this epoch.
     pub fn apply_plan(&mut self, now: Timestamp, epoch: u64, decision: Decision) {
-        self.now = now;
+        self.clock.set(now);
         let took_ms = now.steady.saturating_sub(self.plan_timer.next_at);
         self.stats.plans += 1;
         self.stats.plan_ms += took_ms;
--- a/src/controller/stats.rs
+++ b/src/controller/stats.rs
@@ -2,7 +2,6 @@
 
 use tracing::{info, warn};
 
-use super::calls::PendingCall;
 use super::Controller;
 use crate::fleet_capacity::limit_capacities;
 
@@ -29,11 +28,6 @@
     pub heartbeats: u64,
     pub users: u64,
     pub peers: u64,
-    pub replies: u64,
-    store_calls: u64,
-    cloud_calls: u64,
-    agent_calls: u64,
-    peer_calls: u64,
     pub plans: u64,
     pub plan_ms: u64,
     /// The longest that a tick was late.
@@ -42,25 +36,9 @@
     pub read_delay_ms: u64,
 }
 
-impl TrafficStats {
-    pub fn count_call(&mut self, call: &PendingCall) {
-        let count = match call {
-            PendingCall::Agent { .. } => &mut self.agent_calls,
-            PendingCall::PeerStatus { .. } | PendingCall::Forward { .. } => &mut self.peer_calls,
-            PendingCall::MachineTypes
-            | PendingCall::MachineList { .. }
-            | PendingCall::Provision { .. }
-            | PendingCall::Terminate { .. }
-            | PendingCall::DutyOrder(_) => &mut self.cloud_calls,
-            _ => &mut self.store_calls,
-        };
-        *count += 1;
-    }
-}
-
 impl Controller {
     pub(super) fn stats_tick(&mut self) {
-        let now = self.now.steady;
+        let now = self.clock.steady_ms();
         if now < self.stats_timer.next_at {
             return;
         }
@@ -87,16 +65,17 @@
             );
         }
         let stats = std::mem::take(&mut self.stats);
+        let calls = self.outbox.take_stats();
         info!(
             "in: {} check-ins, {} users, {} peers, {} replies; calls: {} state, {} cloud, {} workers, {} mesh; {} plans in {} ms; late by {} ms, behind by {} ms",
             stats.heartbeats,
             stats.users,
             stats.peers,
-            stats.replies,
-            stats.store_calls,
-            stats.cloud_calls,
-            stats.agent_calls,
-            stats.peer_calls,
+            calls.replies,
+            calls.store_calls,
+            calls.cloud_calls,
+            calls.agent_calls,
+            calls.peer_calls,
             stats.plans,
             stats.plan_ms,
             stats.tick_late_ms,
--- a/src/controller/store_sync.rs
+++ b/src/controller/store_sync.rs
@@ -3,10 +3,12 @@
 
 use tracing::{debug, error, info, warn};
 
-use super::calls::{HttpCall, PendingCall, READ_TIMEOUT_MS, STORE_TIMEOUT_MS};
+use super::calls::{PendingCall, STORE_TIMEOUT_MS};
+use super::clock::EventTime;
+use super::http::{HttpCall, READ_TIMEOUT_MS};
 use super::responses::{self, CallError};
 use super::user_types::RequestStage;
-use super::{Controller, EventTime};
+use super::Controller;
 use crate::duties::DUTIES_PREFIX;
 use crate::leadership_keys::LEADERSHIP_PREFIX;
 use crate::net::{status, Outcome};
@@ -64,21 +66,21 @@
 impl Controller {
     /// Whether the store has answered lately.
     pub(super) fn is_store_reachable(&self) -> bool {
-        let now = self.now.steady;
+        let now = self.clock.steady_ms();
         let answered_at = self.store_sync.answered_at;
         answered_at.is_some_and(|at| now < at + WATCH_HOLD_MS + STORE_TIMEOUT_MS)
     }
 
     /// Leadership is certain and the watch cache recent enough to start tasks.
     pub(super) fn may_start(&self) -> bool {
-        let now = self.now.steady;
+        let now = self.clock.steady_ms();
         let complete = self.store_sync.complete_as_of;
         let recent = complete.is_some_and(|c| now < c.at + WATCH_HOLD_MS + STORE_TIMEOUT_MS);
         recent && self.lease.is_certain(now)
     }
 
     pub(super) fn load_tick(&mut self) {
-        let now = self.now.steady;
+        let now = self.clock.steady_ms();
         let store_sync = &mut self.store_sync;
         if self.watch_cache.loaded || store_sync.loading || now < store_sync.next_load_at {
             return;
@@ -87,23 +89,18 @@
         store_sync.loading = true;
         store_sync.last_key = None;
         self.watch_cache.restart();
-        let path = format!("/kv?under={LEADERSHIP_PREFIX}&most={LEADERSHIP_PAGE}");
-        let call = HttpCall::get(path, STORE_TIMEOUT_MS);
-        self.call_store(PendingCall::LoadLeadership, call);
+        let call = HttpCall::get_page(LEADERSHIP_PREFIX, None, LEADERSHIP_PAGE, STORE_TIMEOUT_MS);
+        self.outbox.call_store(PendingCall::LoadLeadership, call);
     }
 
     fn load_duties(&mut self, from: Option<&str>) {
-        let from = from.map(|key| format!("&from={key}")).unwrap_or_default();
-        let path = format!("/kv?under={DUTIES_PREFIX}{from}&most={JOBS_PAGE}");
-        let call = HttpCall::get(path, STORE_TIMEOUT_MS);
-        self.call_store(PendingCall::LoadDuties, call);
+        let call = HttpCall::get_page(DUTIES_PREFIX, from, JOBS_PAGE, STORE_TIMEOUT_MS);
+        self.outbox.call_store(PendingCall::LoadDuties, call);
     }
 
     fn load_jobs(&mut self, from: Option<&str>) {
-        let from = from.map(|key| format!("&from={key}")).unwrap_or_default();
-        let path = format!("/kv?under={JOBS_PREFIX}{from}&most={JOBS_PAGE}");
-        let call = HttpCall::get(path, 2 * STORE_TIMEOUT_MS);
-        self.call_store(PendingCall::LoadJobs, call);
+        let call = HttpCall::get_page(JOBS_PREFIX, from, JOBS_PAGE, 2 * STORE_TIMEOUT_MS);
+        self.outbox.call_store(PendingCall::LoadJobs, call);
     }
 
     pub(super) fn on_leadership_page(&mut self, outcome: &Outcome) {
@@ -186,7 +183,7 @@
 
     fn retry_load(&mut self) {
         self.store_sync.loading = false;
-        self.store_sync.next_load_at = self.now.steady + PAGE_RETRY_MS;
+        self.store_sync.next_load_at = self.clock.steady_ms() + PAGE_RETRY_MS;
     }
 
     fn watch_path(&self, hold_ms: u64) -> String {
@@ -212,7 +209,7 @@
     }
 
     fn open_watch_if_due(&mut self) {
-        let now = self.now.steady;
+        let now = self.clock.steady_ms();
         // While reads for users follow one another, they tell all that a watch
         // would, and a second copy of it is read for nothing.
         let next_read_at = self.store_sync.next_read_at;
@@ -227,15 +224,15 @@
         self.store_sync.next_watch_at = now + self.read_interval_ms(WATCH_SHARE);
         let pending = PendingCall::Watch {
             from: self.watch_cache.revision,
-            asked: self.event_time(),
+            asked: self.clock.event_time(),
         };
         let path = self.watch_path(WATCH_HOLD_MS);
         let call = HttpCall::get(path, WATCH_HOLD_MS + STORE_TIMEOUT_MS);
-        self.call_store(pending, call);
+        self.outbox.call_store(pending, call);
     }
 
     fn read_changes_if_due(&mut self) {
-        let now = self.now.steady;
+        let now = self.clock.steady_ms();
         let store_sync = &self.store_sync;
         if store_sync.reading || now < store_sync.next_read_at || !self.has_waiting_readers() {
             return;
@@ -247,10 +244,10 @@
         self.store_sync.next_read_at = now + self.read_interval_ms(USER_READ_SHARE);
         let pending = PendingCall::ReadChanges {
             from: self.watch_cache.revision,
-            asked: self.event_time(),
+            asked: self.clock.event_time(),
         };
         let call = HttpCall::get(self.watch_path(0), READ_TIMEOUT_MS);
-        self.call_store(pending, call);
+        self.outbox.call_store(pending, call);
     }
 
     /// Whether somebody waits for a watch cache that is newer than the present one.
@@ -295,7 +292,7 @@
                 if read == ChangeRead::ForWaitingUsers {
                     self.forward_waiting_users();
                 }
-                let retry_at = self.now.steady + READ_RETRY_MS;
+                let retry_at = self.clock.steady_ms() + READ_RETRY_MS;
                 self.store_sync.next_watch_at = retry_at;
                 self.store_sync.next_read_at = retry_at;
             }
@@ -332,7 +329,7 @@
     }
 
     fn on_cache_event(&mut self, change: CacheEvent) {
-        let now = self.now.steady;
+        let now = self.clock.steady_ms();
         match change {
             CacheEvent::JobUpdated(id) => {
                 let Some(job) = self.watch_cache.jobs.get(&id) else {
--- a/src/controller/user_replies.rs
+++ b/src/controller/user_replies.rs
@@ -2,7 +2,8 @@
 
 use prost::Message;
 
-use super::user_types::{Caller, PendingRequest, TaskCounts};
+use super::http::HttpResponse;
+use super::user_types::{Caller, JobStatus, PendingRequest, RequestOrigin};
 use super::Controller;
 use crate::peer_protocol::ForwardedReply;
 use crate::wire;
@@ -11,82 +12,56 @@
     /// Removes a request that has its answer.
     pub(super) fn take_user(&mut self, user: u64) -> Option<PendingRequest> {
         let pending = self.users.remove(&user)?;
-        let now = self.now.steady;
+        let now = self.clock.steady_ms();
         let took_ms = now - pending.since;
         self.admission.record(took_ms, self.users.len() + 1, now);
         Some(pending)
     }
 
-    pub(super) fn finish_user(
-        &mut self,
-        user: u64,
-        status: u16,
-        retry_after: Option<u32>,
-        body: Vec<u8>,
-    ) {
+    pub(super) fn finish_user(&mut self, user: u64, response: HttpResponse) {
         if let Some(pending) = self.take_user(user) {
-            self.reply(pending.caller, status, retry_after, body);
+            self.respond_to_caller(pending.caller, response);
         }
     }
 
-    pub(super) fn finish_status(
-        &mut self,
-        user: u64,
-        status: u16,
-        job_status: &str,
-        counts: Option<TaskCounts>,
-    ) {
+    pub(super) fn finish_status(&mut self, user: u64, status: u16, job: JobStatus) {
         if let Some(pending) = self.take_user(user) {
-            self.reply_status(pending.caller, &pending.id, status, job_status, counts);
+            self.respond_with_status(pending.caller, &pending.id, status, job);
         }
     }
 
-    pub(super) fn reply_status(
+    pub(super) fn respond_with_status(
         &mut self,
         caller: Caller,
         id: &str,
         status: u16,
-        job_status: &str,
-        counts: Option<TaskCounts>,
+        job: JobStatus,
     ) {
-        if job_status == wire::WITHDRAWN {
+        if job.status == wire::WITHDRAWN {
             self.acknowledge_cancellation(id);
         }
         let body = wire::encode(&wire::JobStatusReply {
             id,
-            status: job_status,
-            done: counts.as_ref().map(|counts| counts.done),
-            running: counts.as_ref().map(|counts| counts.running),
+            status: job.status,
+            done: job.tasks.as_ref().map(|tasks| tasks.done),
+            running: job.tasks.as_ref().map(|tasks| tasks.running),
         });
-        self.reply(caller, status, None, body);
+        self.respond_to_caller(caller, HttpResponse::new(status, body));
     }
 
-    pub(super) fn reply_error(
-        &mut self,
-        caller: Caller,
-        status: u16,
-        retry_after: Option<u32>,
-        reason: &str,
-    ) {
-        let body = wire::encode(&wire::ErrorReply { error: reason });
-        self.reply(caller, status, retry_after, body);
-    }
-
-    pub(super) fn reply(
-        &mut self,
-        caller: Caller,
-        status: u16,
-        retry_after: Option<u32>,
-        body: Vec<u8>,
-    ) {
-        if !caller.forwarded {
-            return self.answer(caller.connection, status, retry_after, body);
-        }
-        let reply = ForwardedReply {
-            status: u32::from(status),
-            retry_after,
-            body,
+    /// Responds to a user, or to the controller that forwarded the user's request.
+    pub(super) fn respond_to_caller(&mut self, caller: Caller, response: HttpResponse) {
+        let response = match caller.origin {
+            RequestOrigin::User => response,
+            RequestOrigin::Peer => HttpResponse::ok(
+                ForwardedReply {
+                    status: u32::from(response.status),
+                    retry_after: response.retry_after_s,
+                    body: response.body,
+                }
+                .encode_to_vec(),
+            ),
         };
-        self.answer(caller.connection, 200, None, reply.encode_to_vec());
+        self.outbox.respond(caller.connection, response);
     }
 }
--- a/src/controller/user_requests.rs
+++ b/src/controller/user_requests.rs
@@ -3,11 +3,14 @@
 use prost::Message;
 use tracing::debug;
 
-use super::calls::{HttpCall, PendingCall};
+use super::calls::PendingCall;
+use super::http::{HttpCall, HttpResponse};
 use super::responses::{self, KeyRead};
-use super::user_types::{Caller, PendingRequest, RequestStage, TaskCounts, UserRequest};
+use super::user_types::{
+    Caller, JobStatus, PendingRequest, RequestOrigin, RequestStage, TaskCounts, UserRequest,
+};
 use super::{Controller, WriteOwner};
-use crate::net::Outcome;
+use crate::net::{status, Outcome};
 use crate::peer_protocol::{ForwardedRequest, FORWARD_PATH};
 use crate::watch_cache::{final_key, job_key};
 use crate::wire::{self, Condition, Write};
@@ -19,8 +22,6 @@
 const FORWARD_TIMEOUT_MS: u64 = 1600;
 /// Pause before a change is tried again.
 const RETRY_MS: u64 = 150;
-/// When users are to come back: the least that they wait anyway.
-const RETRY_AFTER_S: u32 = 1;
 
 impl Controller {
     /// Fails for a controller that the store refuses while another
@@ -45,14 +46,23 @@
     ) {
         let (id, request) = match parse_request(method, path, &body) {
             Ok(parsed) => parsed,
-            Err(error) => return self.reply_error(caller, error.status, None, &error.reason),
+            Err(error) => {
+                let response = HttpResponse::error(error.status, &error.reason);
+                return self.respond_to_caller(caller, response);
+            }
         };
         // An end is final: no need to read anything.
         if let Some(state) = self.watch_cache.final_state(&id) {
-            return self.reply_status(caller, &id, 200, state.status(), None);
+            return self.respond_with_status(
+                caller,
+                &id,
+                status::OK,
+                JobStatus::new(state.status()),
+            );
         }
         if !self.admission.admits(self.users.len()) {
-            return self.reply_error(caller, 429, Some(RETRY_AFTER_S), "too much at once");
+            let response = HttpResponse::error(status::TOO_MANY_REQUESTS, "too much at once");
+            return self.respond_to_caller(caller, response.with_retry_after());
         }
         let user = self.next_user;
         self.next_user += 1;
@@ -60,9 +70,9 @@
             caller,
             id,
             request,
-            since: self.now.steady,
+            since: self.clock.steady_ms(),
             stage: RequestStage::AwaitCache {
-                after: self.event_count,
+                after: self.clock.sequence(),
                 revision: 0,
             },
             body,
@@ -111,10 +121,11 @@
         });
         let address = served.map(|peer| peer.address);
         let caller = pending.caller;
-        let Some(address) = address.filter(|_| !caller.forwarded) else {
+        let Some(address) = address.filter(|_| caller.origin == RequestOrigin::User) else {
             self.users.remove(&user);
-            let why = "the state service does not answer";
-            return self.reply_error(caller, 503, Some(RETRY_AFTER_S), why);
+            let reason = "the state service does not answer";
+            let response = HttpResponse::error(status::UNAVAILABLE, reason);
+            return self.respond_to_caller(caller, response.with_retry_after());
         };
         let id = &pending.id;
         let (method, path) = match &pending.request {
@@ -130,7 +141,8 @@
         .encode_to_vec();
         self.set_stage(user, RequestStage::Forwarded);
         let call = HttpCall::post(FORWARD_PATH, body, FORWARD_TIMEOUT_MS);
-        self.call(PendingCall::Forward { user }, address, call);
+        self.outbox
+            .call(PendingCall::Forward { user }, address, call);
     }
 
     /// A read for users has failed: those who wait for it are forwarded.
@@ -174,21 +186,21 @@
         let id = pending.id.clone();
         let is_cancel = matches!(pending.request, UserRequest::Cancel);
         if let Some(state) = self.watch_cache.final_state(&id) {
-            return self.finish_status(user, 200, state.status(), None);
+            return self.finish_status(user, status::OK, JobStatus::new(state.status()));
         }
         let Some(live) = self.watch_cache.jobs.get(&id) else {
             // Neither alive nor known to be over: look.
             return self.read_final(user, &id);
         };
         if self.watch_cache.is_cancelled(&id) {
-            return self.finish_status(user, 200, wire::WITHDRAWN, None);
+            return self.finish_status(user, status::OK, JobStatus::new(wire::WITHDRAWN));
         }
         if is_cancel {
             return self.cancel_job(user, &id);
         }
         if self.watch_cache.dependencies.has_unresolved(&id) {
             // It may be cancelled by a job that is yet to be looked up.
-            let after = self.event_count + 1;
+            let after = self.clock.sequence() + 1;
             return self.set_stage(user, RequestStage::AwaitCache { after, revision: 0 });
         }
         let counts = TaskCounts {
@@ -200,13 +212,15 @@
         } else {
             wire::PENDING
         };
-        self.finish_status(user, 200, status, Some(counts));
+        let tasks = Some(counts);
+        self.finish_status(user, status::OK, JobStatus { status, tasks });
     }
 
     fn read_final(&mut self, user: u64, id: &str) {
         self.set_stage(user, RequestStage::Read);
         let call = HttpCall::get_key(&final_key(id));
-        self.call_store(PendingCall::ReadFinal { user }, call);
+        self.outbox
+            .call_store(PendingCall::ReadFinal { user }, call);
     }
 
     pub(super) fn on_final_read(&mut self, user: u64, outcome: &Outcome) {
@@ -217,8 +231,10 @@
             KeyRead::Found(body) => {
                 let id = pending.id.clone();
                 match self.record_final_reply(&id, body) {
-                    Some(state) => self.finish_status(user, 200, state.status(), None),
-                    None => self.finish_user(user, 503, Some(RETRY_AFTER_S), vec![]),
+                    Some(state) => {
+                        self.finish_status(user, status::OK, JobStatus::new(state.status()))
+                    }
+                    None => self.finish_user(user, HttpResponse::unavailable()),
                 }
             }
             KeyRead::NotFound => self.on_unknown_job(user),
@@ -227,14 +243,16 @@
     }
 
     pub(super) fn on_user_commit(&mut self, user: u64, result: &CommitResult) {
-        let (now, after) = (self.now.steady, self.event_count);
+        let (now, after) = (self.clock.steady_ms(), self.clock.sequence());
         let Some(pending) = self.users.get_mut(&user) else {
             return;
         };
         match result {
             CommitResult::Committed { .. } => match pending.request {
-                UserRequest::Cancel => self.finish_status(user, 200, wire::WITHDRAWN, None),
-                _ => self.finish_status(user, 201, wire::PENDING, None),
+                UserRequest::Cancel => {
+                    self.finish_status(user, status::OK, JobStatus::new(wire::WITHDRAWN))
+                }
+                _ => self.finish_status(user, status::CREATED, JobStatus::new(wire::PENDING)),
             },
             // Another change came first: see what stands now.
             CommitResult::Conflict { revision, .. } => {
@@ -250,7 +268,7 @@
 
     /// Ends requests that have taken too long, and goes on with those that paused.
     pub(super) fn users_tick(&mut self) {
-        let now = self.now.steady;
+        let now = self.clock.steady_ms();
         let is_late = |pending: &PendingRequest| {
             let max_ms = match pending.request {
                 UserRequest::Poll => POLL_MS,
@@ -267,7 +285,7 @@
             // Its change may still get through; the user asks again.
             self.writes
                 .remove_waiting(|owner| matches!(owner, WriteOwner::User(other) if *other == user));
-            self.finish_user(user, 503, Some(RETRY_AFTER_S), vec![]);
+            self.finish_user(user, HttpResponse::unavailable());
         }
         for user in paused {
             self.retry_user(user);
@@ -278,7 +296,7 @@
         if !self.is_store_reachable() {
             return self.forward_user(user);
         }
-        let after = self.event_count;
+        let after = self.clock.sequence();
         let Some(pending) = self.users.get_mut(&user) else {
             return;
         };
@@ -314,18 +332,21 @@
     path: &str,
     body: &[u8],
 ) -> Result<(String, UserRequest), RequestError> {
-    let no_such_path = || RequestError::new(404, "no such path");
-    let wrong_method = || RequestError::new(405, "not this method here");
+    let no_such_path = || RequestError::new(status::NOT_FOUND, "no such path");
+    let wrong_method = || RequestError::new(status::METHOD_NOT_ALLOWED, "not this method here");
     let rest = path
         .strip_prefix(wire::JOBS_PATH)
         .ok_or_else(no_such_path)?;
     if rest.is_empty() {
         if method != "POST" {
-            return Err(RequestError::new(405, "only POST here"));
+            return Err(RequestError::new(
+                status::METHOD_NOT_ALLOWED,
+                "only POST here",
+            ));
         }
         let (id, spec) = wire::parse_submission(body).map_err(|e| {
             debug!("{e}: {}", wire::readable(body));
-            RequestError::new(400, e.to_string())
+            RequestError::new(status::BAD_REQUEST, e.to_string())
         })?;
         return Ok((id, UserRequest::Submit(Box::new(spec))));
     }
@@ -337,7 +358,7 @@
         _ => return Err(wrong_method()),
     };
     if !wire::is_job_id(id) {
-        return Err(RequestError::new(404, "no such job"));
+        return Err(RequestError::new(status::NOT_FOUND, "no such job"));
     }
     Ok((id.to_string(), request))
 }
--- a/src/controller/user_submissions.rs
+++ b/src/controller/user_submissions.rs
@@ -2,12 +2,14 @@
 
 use tracing::debug;
 
+use super::http::HttpResponse;
 use super::user_types::{Refusal, RequestStage, UserRequest};
 use super::{Controller, WriteOwner};
 use crate::cloud;
 use crate::job::{json_length, JobRecord, JobSpec, Shape};
+use crate::net::status;
 use crate::watch_cache::{final_key, job_key};
-use crate::wire::{self, Condition, Write};
+use crate::wire::{Condition, Write};
 use crate::write_queue::{WriteClass, WriteRequest};
 
 /// Amounts that differ by less are the same.
@@ -64,7 +66,7 @@
     /// beside some places, and for a gang, whose tasks start together, all of its places.
     pub(super) fn check_fits_record(&self, spec: &JobSpec) -> Result<(), Refusal> {
         let value_bytes = self.settings.cluster.state.lowered().value_kb * 1024.0;
-        let record = JobRecord::new(spec.clone(), self.now.wall).to_value(0);
+        let record = JobRecord::new(spec.clone(), self.clock.wall_ms()).to_value(0);
         let record_bytes = json_length(&record) as f64;
         if record_bytes > value_bytes * SPEC_SHARE {
             return Err(Refusal::TooLongToKeep);
@@ -79,7 +81,7 @@
     /// Writes the record of a new job.
     pub(super) fn create_job(&mut self, user: u64) {
         let format = self.format();
-        let wall = self.now.wall;
+        let wall = self.clock.wall_ms();
         let Some(pending) = self.users.get_mut(&user) else {
             return;
         };
@@ -106,10 +108,8 @@
             return;
         };
         let UserRequest::Submit(spec) = &pending.request else {
-            let body = wire::encode(&wire::ErrorReply {
-                error: "no such job",
-            });
-            return self.finish_user(user, 404, None, body);
+            let response = HttpResponse::error(status::NOT_FOUND, "no such job");
+            return self.finish_user(user, response);
         };
         let decision = match self.check_runnable(spec) {
             Ok(()) if pending.names_unknown_job => Err(Refusal::NamesUnknownJob),
@@ -117,12 +117,7 @@
         };
         match decision {
             Ok(()) => self.resolve_dependencies(user),
-            Err(refusal) => {
-                let body = wire::encode(&wire::ErrorReply {
-                    error: &refusal.to_string(),
-                });
-                self.finish_user(user, refusal.status(), refusal.retry_after(), body);
-            }
+            Err(refusal) => self.finish_user(user, refusal.response()),
         }
     }
 }
--- a/src/controller/user_types.rs
+++ b/src/controller/user_types.rs
@@ -2,14 +2,24 @@
 
 use thiserror::Error;
 
+use super::http::HttpResponse;
 use crate::job::JobSpec;
+use crate::net::status;
 
-/// Who waits for an answer: a user's connection, or another controller's that
-/// forwarded a user's request.
+/// Where a user's request came from.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(super) enum RequestOrigin {
+    /// From the user.
+    User,
+    /// From another controller, which forwarded it. It is not forwarded again.
+    Peer,
+}
+
+/// The connection on which a response is awaited.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct Caller {
     pub connection: usize,
-    pub forwarded: bool,
+    pub origin: RequestOrigin,
 }
 
 /// What a user wants.
@@ -35,12 +45,30 @@
     Pause { until: u64 },
 }
 
-/// Tasks of a job, for display.
+/// How many tasks of a live job are done, and how many are running.
 pub(super) struct TaskCounts {
     pub done: u64,
     pub running: u64,
 }
 
+/// The state of a job as users see it.
+pub(super) struct JobStatus {
+    /// The word for it in the protocol.
+    pub status: &'static str,
+    /// Its tasks, if it is live.
+    pub tasks: Option<TaskCounts>,
+}
+
+impl JobStatus {
+    /// A state that says nothing of tasks.
+    pub fn new(status: &'static str) -> JobStatus {
+        JobStatus {
+            status,
+            tasks: None,
+        }
+    }
+}
+
 /// A request in progress.
 #[derive(Debug, Clone)]
 pub(super) struct PendingRequest {
@@ -79,17 +107,20 @@
 }
 
 impl Refusal {
-    /// The HTTP status.
-    pub fn status(self) -> u16 {
+    fn status(self) -> u16 {
         match self {
-            Refusal::MachineTypesUnknown => 503,
-            Refusal::TooLongToKeep => 400,
-            _ => 422,
+            Refusal::MachineTypesUnknown => status::UNAVAILABLE,
+            Refusal::TooLongToKeep => status::BAD_REQUEST,
+            _ => status::UNPROCESSABLE,
         }
     }
 
-    /// When the user is to come back, in seconds; `None` if it is of no use.
-    pub fn retry_after(self) -> Option<u32> {
-        (self.status() == 503).then_some(1)
+    /// The response to the user, who is asked to try again if that may help.
+    pub fn response(self) -> HttpResponse {
+        let response = HttpResponse::error(self.status(), &self.to_string());
+        match self {
+            Refusal::MachineTypesUnknown => response.with_retry_after(),
+            _ => response,
+        }
     }
 }
