--- a/src/controller/calls.rs
+++ b/src/controller/calls.rs
@@ -3,23 +3,19 @@
 use std::sync::Arc;
 
 use duty_lease::Duty;
-use tracing::warn;
 
 use super::clock::EventTime;
 use super::duties::SentOrder;
-use super::http::{HttpCall, HttpResponse};
-use super::responses::{self, AgentResponse, ProviderError};
+use super::http::HttpResponse;
+use super::responses::{self, AgentResponse};
 use super::store_sync::ChangeRead;
-use super::Controller;
+use super::{Controller, StepDownReason};
 use crate::leader_lease::LeaseRequest;
 use crate::net::Outcome;
 use crate::peer_protocol::{ForwardedReply, PeerStatus};
-use crate::scheduler::{DirectStart, ProvisioningOutcome, StatusOrigin};
+use crate::scheduler::{DirectStart, StatusOrigin};
 use crate::wire;
 
-/// Longest time for a call to the store that is not told otherwise.
-pub(super) const STORE_TIMEOUT_MS: u64 = 1500;
-
 /// What a call was for.
 #[derive(Debug)]
 pub(super) enum PendingCall {
@@ -97,23 +93,10 @@
 }
 
 impl Controller {
-    /// Sends the transactions that the rate limits allow.
-    pub(super) fn send_writes(&mut self) {
-        loop {
-            let now = self.clock.steady_ms();
-            let tag = self.outbox.next_tag();
-            let next = self.writes.next(now, tag, &mut self.store_requests);
-            let Some(transaction) = next else {
-                break;
-            };
-            let call = HttpCall::transaction(&transaction, STORE_TIMEOUT_MS);
-            self.outbox.call_store(PendingCall::Transaction, call);
-        }
-    }
-
     pub(super) fn on_reply(&mut self, tag: u64, call: PendingCall, outcome: Outcome) {
         if call.is_store_call() {
-            self.record_store_outcome(&outcome);
+            let now = self.clock.steady_ms();
+            self.store.record_outcome(&outcome, now);
         }
         match call {
             PendingCall::LoadLeadership => self.on_leadership_page(&outcome),
@@ -128,11 +111,11 @@
             }
             PendingCall::Transaction => {
                 self.on_store_refusal(&outcome);
-                for (owner, result) in self.writes.on_outcome(tag, &outcome) {
-                    self.on_commit(owner, result);
+                for (owner, result) in self.store.on_transaction_outcome(tag, &outcome) {
+                    self.on_commit(owner, &result);
                 }
             }
-            PendingCall::Lease(request) => self.on_lease_outcome(request, &outcome),
+            PendingCall::Lease(request) => self.on_lease_outcome(&request, &outcome),
             PendingCall::Revoke => {}
             PendingCall::LoadDuties => self.on_duties_page(&outcome),
             PendingCall::DutyLease { duty, id, request } => {
@@ -171,33 +154,6 @@
         }
     }
 
-    fn on_provisioning_outcome(&mut self, idempotency_key: &str, epoch: u64, outcome: &Outcome) {
-        let now = self.clock.steady_ms();
-        let Some(scheduler) = self.scheduler_of(epoch) else {
-            return;
-        };
-        let result = match responses::provisioned_machines(outcome) {
-            Ok(names) => ProvisioningOutcome::Provisioned(names),
-            Err(ProviderError::NoCapacity) => ProvisioningOutcome::Unavailable,
-            Err(ProviderError::Malformed) => {
-                warn!(idempotency_key, "malformed provisioning request");
-                ProvisioningOutcome::Unavailable
-            }
-            Err(ProviderError::Fenced | ProviderError::Throttled | ProviderError::Unknown) => {
-                ProvisioningOutcome::Failed
-            }
-        };
-        scheduler.on_provisioning_outcome(idempotency_key, result, now);
-    }
-
-    fn on_termination_outcome(&mut self, machines: &[String], epoch: u64, outcome: &Outcome) {
-        let now = self.clock.steady_ms();
-        let confirmed = responses::termination(outcome).is_ok();
-        if let Some(scheduler) = self.scheduler_of(epoch) {
-            scheduler.on_termination_outcome(machines, confirmed, now);
-        }
-    }
-
     fn on_agent_outcome(
         &mut self,
         machine: &str,
@@ -217,7 +173,7 @@
             return;
         };
         if agent_status.epoch > epoch {
-            return self.resign("an agent has seen a higher epoch", 0);
+            return self.resign(StepDownReason::HigherEpochSeen, 0);
         }
         scheduler.on_agent_status(&agent_status, StatusOrigin::DirectResponse, now);
     }
--- a/src/controller/clock.rs
+++ b/src/controller/clock.rs
@@ -49,6 +49,11 @@
         self.now = now;
     }
 
+    /// The moment of the event in progress.
+    pub fn timestamp(&self) -> Timestamp {
+        self.now
+    }
+
     /// The steady clock in milliseconds.
     pub fn steady_ms(&self) -> u64 {
         self.now.steady
--- a/src/controller/dependencies.rs
+++ b/src/controller/dependencies.rs
@@ -130,7 +130,7 @@
             .cloned()
             .collect();
         for dependency in due {
-            if !self.store_requests.try_take(now, 1.0, LOOKUP_RESERVE) {
+            if !self.store.try_request(now, LOOKUP_RESERVE) {
                 return;
             }
             self.lookups.in_flight.insert(dependency.clone());
--- a/src/controller/duties/leases.rs
+++ b/src/controller/duties/leases.rs
@@ -51,7 +51,7 @@
 
     fn send_duty_lease_request(&mut self, duty: Duty, id: u64, request: LeaseRequest) {
         let now = self.clock.steady_ms();
-        if !self.store_requests.try_take(now, 1.0, LEASE_RESERVE) {
+        if !self.store.try_request(now, LEASE_RESERVE) {
             if let Some(runtime) = self.duties.runtime(duty) {
                 runtime.lease.on_response(id, LeaseResponse::Refused, now);
             }
--- a/src/controller/duties/mod.rs
+++ b/src/controller/duties/mod.rs
@@ -8,6 +8,7 @@
 mod assignment;
 mod cleaning;
 mod leases;
+mod machine_orders;
 mod orders;
 mod request_review;
 mod scaling_requests;
@@ -17,7 +18,9 @@
 use duty_lease::{Duty, DutyLease, LeaseTiming, OrderBook, OrderId};
 use tracing::debug;
 
-use super::{Controller, WriteOwner};
+use super::commits::WriteOwner;
+use super::Controller;
+use crate::controller::provider_client::ProviderRole;
 use crate::duties::{holder_key, order_key, OrderKey, OrderRecord, DUTIES_FORMAT};
 use crate::job::PACKED_FORMAT;
 use crate::settings::{ClusterSettings, DutySettings};
@@ -29,14 +32,6 @@
 pub(super) use orders::SentOrder;
 use scaling_requests::LeaderRequests;
 
-/// Shares of the limit of calls to the cloud, once orders and the list are asked for by
-/// different controllers: the holder's of provisioning requests or returns, and the leader's. Their
-/// bursts rarely meet.
-const HOLDER_CLOUD_SHARE: f64 = 0.6;
-const LEADER_CLOUD_SHARE: f64 = 0.4;
-/// Calls a second that suffice for a call at a time, however low the limit is.
-const CLOUD_RATE_MIN: f64 = 1.5;
-
 /// A change of orders' records.
 #[derive(Debug, Clone)]
 pub(super) struct DutyWrite {
@@ -169,7 +164,7 @@
         self.warn_of_missing_holders();
         self.remove_processed_results();
         self.clean_records();
-        self.set_cloud_share();
+        self.set_provider_share();
     }
 
     /// Sends what has come due between ticks.
@@ -199,18 +194,15 @@
         runtime.is_some_and(|runtime| runtime.lease.order_token(now).is_some())
     }
 
-    fn set_cloud_share(&mut self) {
+    fn set_provider_share(&mut self) {
         let now = self.clock.steady_ms();
-        let orders = self.holds(Duty::Rent) || self.holds(Duty::Return);
-        let share = match (orders, self.scheduler.is_some()) {
-            (true, true) => super::CLOUD_SHARE,
-            (true, false) => HOLDER_CLOUD_SHARE,
-            _ => LEADER_CLOUD_SHARE,
+        let is_holder = self.holds(Duty::Rent) || self.holds(Duty::Return);
+        let role = match (is_holder, self.scheduler.is_some()) {
+            (true, true) => ProviderRole::LeaderAndHolder,
+            (true, false) => ProviderRole::Holder,
+            (false, _) => ProviderRole::Reader,
         };
-        let rps = self.settings.cluster.cloud.rps;
-        let rate = (rps * share).max(CLOUD_RATE_MIN);
-        let rate = rate.min(rps * super::CLOUD_SHARE);
-        self.cloud_requests.set_rate(now, rate);
+        self.provider.set_share(role, now);
     }
 
     /// Changes records on condition that the lease of a duty is ours, that each record has
@@ -235,7 +227,7 @@
                 None => Write::delete(name),
             });
         }
-        self.writes.push(WriteRequest {
+        self.store.push_write(WriteRequest {
             owner: WriteOwner::Duty(Box::new(write)),
             conditions,
             writes,
--- a/src/controller/duties/orders.rs
+++ b/src/controller/duties/orders.rs
@@ -7,17 +7,17 @@
 };
 use tracing::{error, info, warn};
 
+use super::machine_orders::MachineOrder;
 use super::{Controller, DutyWrite, WritePurpose};
 use crate::controller::calls::PendingCall;
-use crate::controller::effects::CLOUD_TIMEOUT_MS;
-use crate::controller::http::HttpCall;
+use crate::controller::commits::WriteOwner;
+use crate::controller::provider_client::ProviderClient;
 use crate::controller::responses::{self, ProviderError};
-use crate::controller::WriteOwner;
 use crate::duties::{refusal_key, OrderKey, OrderPhase, OrderRecord, RefusalRecord};
 use crate::net::Outcome;
 use crate::settings::DutyFence;
 use crate::termination_check::{TerminationCheck, TerminationVerdict};
-use crate::wire::{self, FencingToken, ProvisionRequest, TerminateRequest, Write};
+use crate::wire::{FencingToken, Write};
 use crate::write_queue::{CommitResult, WriteClass, WriteRequest};
 
 /// The name under which an order goes to the cloud. It never equals a leader's provisioning request,
@@ -26,13 +26,20 @@
     format!("{}.{}.{}", id.duty.name(), id.token, id.sequence)
 }
 
-/// An order that went to the cloud.
+/// What an order asks the cloud for.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+enum SentOrderKind {
+    Provisioning,
+    Termination,
+}
+
+/// An order that was sent to the cloud.
 #[derive(Debug, Clone, Copy)]
 pub(in crate::controller) struct SentOrder {
     id: OrderId,
     /// The sender's token.
     token: Token,
-    is_provisioning: bool,
+    kind: SentOrderKind,
 }
 
 impl Controller {
@@ -142,7 +149,7 @@
 
     fn send_order(&mut self, id: OrderId, order: &Order, token: Token) {
         let now = self.clock.steady_ms();
-        if !self.cloud_requests.try_take(now, 1.0, 0.0) {
+        if !self.provider.try_order(now) {
             return self.on_order_outcome(id, OrderOutcome::Unknown);
         }
         let fence = self.duties.control.as_ref().map(|c| c.settings.fence);
@@ -150,40 +157,21 @@
             duty: id.duty.name(),
             token,
         });
-        let call = match order {
-            Order::Rent {
-                machine_type,
-                zone,
-                spot,
-                count,
-            } => {
-                info!(order = %id, token, "renting {count} {machine_type} in {zone}, spot {spot}");
-                let body = wire::encode(&ProvisionRequest {
-                    booking: &idempotency_key(id),
-                    machine_type,
-                    zone,
-                    spot: *spot,
-                    count: u64::from(*count),
-                    fencing,
-                });
-                HttpCall::post(wire::PROVISION_PATH, body, CLOUD_TIMEOUT_MS)
+        let (kind, call) = match MachineOrder::from(order) {
+            MachineOrder::Provision(request) => {
+                info!(order = %id, token, ?request, "provisioning machines");
+                let key = idempotency_key(id);
+                let call = ProviderClient::provision_call(&key, &request, fencing);
+                (SentOrderKind::Provisioning, call)
             }
-            Order::Delete { machines, .. } => {
-                info!(order = %id, token, "returning {machines:?}");
-                let body = wire::encode(&TerminateRequest {
-                    names: machines,
-                    fencing,
-                });
-                HttpCall::post(wire::TERMINATE_PATH, body, CLOUD_TIMEOUT_MS)
+            MachineOrder::Terminate(machines) => {
+                info!(order = %id, token, ?machines, "terminating machines");
+                let call = ProviderClient::terminate_call(machines, fencing);
+                (SentOrderKind::Termination, call)
             }
         };
-        let is_provisioning = matches!(order, Order::Rent { .. });
-        let sent = SentOrder {
-            id,
-            token,
-            is_provisioning,
-        };
-        self.outbox.call_cloud(PendingCall::DutyOrder(sent), call);
+        let pending = PendingCall::DutyOrder(SentOrder { id, token, kind });
+        self.outbox.call_cloud(pending, call);
     }
 
     /// The cloud has answered an order, or there was no answer.
@@ -192,15 +180,14 @@
         sent: SentOrder,
         outcome: &Outcome,
     ) {
-        let SentOrder {
-            id,
-            is_provisioning,
-            ..
-        } = sent;
-        let result = if is_provisioning {
-            responses::provisioned_machines(outcome).map(OrderResult::Rented)
-        } else {
-            responses::termination(outcome).map(|()| OrderResult::Deleted)
+        let SentOrder { id, kind, .. } = sent;
+        let result = match kind {
+            SentOrderKind::Provisioning => {
+                responses::provisioned_machines(outcome).map(OrderResult::Rented)
+            }
+            SentOrderKind::Termination => {
+                responses::termination(outcome).map(|()| OrderResult::Deleted)
+            }
         };
         let order_outcome = match result {
             Ok(result) => OrderOutcome::Done(result),
@@ -214,7 +201,7 @@
                 OrderOutcome::Fenced
             }
             Err(ProviderError::Throttled) => {
-                self.cloud_requests.drain();
+                self.provider.on_throttled();
                 OrderOutcome::Unknown
             }
             Err(ProviderError::Unknown) => OrderOutcome::Unknown,
@@ -244,7 +231,7 @@
             order: id.to_string(),
             at_ms: self.clock.wall_ms(),
         };
-        self.writes.push(WriteRequest {
+        self.store.push_write(WriteRequest {
             owner: WriteOwner::Duty(Box::new(DutyWrite {
                 purpose: WritePurpose::Refusal,
                 changes: vec![],
--- a/src/controller/duties/scaling_requests.rs
+++ b/src/controller/duties/scaling_requests.rs
@@ -4,8 +4,9 @@
 
 use duty_lease::{Duty, Order, OrderResult};
 
+use super::machine_orders::MachineOrder;
 use super::{Controller, DutyWrite, WritePurpose};
-use crate::cloud::MachineKind;
+use crate::controller::provider_client::MachineRequest;
 use crate::duties::{OrderChange, OrderKey, OrderPhase, OrderRecord};
 use crate::machine::{TerminationClass, TerminationReason};
 use crate::scheduler::{ProvisioningOutcome, Scheduler};
@@ -63,20 +64,13 @@
     pub(in crate::controller) fn request_scale_out(
         &mut self,
         idempotency_key: String,
-        kind: &MachineKind,
-        count: u64,
+        request: &MachineRequest,
     ) {
         let key = OrderKey {
             duty: Duty::Rent,
             request: idempotency_key,
         };
-        let order = Order::Rent {
-            machine_type: kind.machine_type.clone(),
-            zone: kind.zone.clone(),
-            spot: kind.spot,
-            count: count as u32,
-        };
-        self.write_scaling_request(key, order);
+        self.write_scaling_request(key, request.into());
     }
 
     /// The leader wants machines returned, those that are not on record for it yet.
@@ -357,18 +351,7 @@
 
 /// An open provisioning request that this leader may not know, as another one needed it.
 fn adopt_provisioning(scheduler: &mut Scheduler, key: &OrderKey, record: &OrderRecord, now: u64) {
-    if let Order::Rent {
-        machine_type,
-        zone,
-        spot,
-        count,
-    } = &record.order
-    {
-        let kind = MachineKind {
-            machine_type: machine_type.clone(),
-            zone: zone.clone(),
-            spot: *spot,
-        };
-        scheduler.adopt_provisioning(&key.request, kind, u64::from(*count), now);
+    if let MachineOrder::Provision(request) = MachineOrder::from(&record.order) {
+        scheduler.adopt_provisioning(&key.request, request.kind, request.count, now);
     }
 }
--- a/src/controller/format_version.rs
+++ b/src/controller/format_version.rs
@@ -10,7 +10,9 @@
 
 use tracing::{debug, error, info};
 
-use super::{Controller, WriteOwner};
+use super::commits::WriteOwner;
+use super::store_client::StoreRole;
+use super::{Controller, StepDownReason};
 use crate::duties::DUTIES_FORMAT;
 use crate::job::PACKED_FORMAT;
 use crate::leadership_keys::FORMAT_KEY;
@@ -81,14 +83,18 @@
                 "the state service holds format {}, this version knows {LATEST_FORMAT}: it must be replaced",
                 self.watch_cache.format
             );
-            return self.resign("a later version has taken over", 0);
+            return self.resign(StepDownReason::Outdated, 0);
         }
         let format = self.format();
         let limits = self.store_limits();
         if let Some(scheduler) = &mut self.scheduler {
             scheduler.set_format(format, &limits);
         }
-        self.set_store_share(self.scheduler.is_some());
+        let role = match self.scheduler {
+            Some(_) => StoreRole::Leader,
+            None => StoreRole::Follower,
+        };
+        self.set_store_share(role);
     }
 
     /// Makes this version known, or raises the format.
@@ -118,7 +124,7 @@
             } else {
                 return;
             };
-        self.writes.push(WriteRequest {
+        self.store.push_write(WriteRequest {
             owner: WriteOwner::FormatVersion,
             conditions,
             writes: vec![Write::set(key, PACKED_FORMAT.into())],
@@ -140,16 +146,13 @@
         let pause_s = self.settings.cluster.workers.report_s * RETRY_INTERVALS;
         self.format_state.next_write_at = self.clock.steady_ms() + to_ms(pause_s);
         if !self.watch_cache.is_superseded() {
-            return self.resign(
-                "the next leader is elected out of reach of earlier versions",
-                0,
-            );
+            return self.resign(StepDownReason::FenceRaised, 0);
         }
         info!("format {DUTIES_FORMAT}: all controllers hold duties");
         let Some(scheduler) = &self.scheduler else {
             return;
         };
-        self.writes.push(WriteRequest {
+        self.store.push_write(WriteRequest {
             owner: WriteOwner::FormatVersion,
             conditions: vec![
                 scheduler.term_condition(),
--- a/src/controller/heartbeats.rs
+++ b/src/controller/heartbeats.rs
@@ -4,7 +4,7 @@
 
 use super::deferred_heartbeats::DeferredHeartbeat;
 use super::http::HttpResponse;
-use super::Controller;
+use super::{Controller, StepDownReason};
 use crate::net::status;
 use crate::scheduler::StatusOrigin;
 use crate::time_units::to_ms;
@@ -31,7 +31,7 @@
             return self.redirect(connection, report);
         };
         if report.epoch > scheduler.epoch() {
-            self.resign("an agent has seen a higher epoch", 0);
+            self.resign(StepDownReason::HigherEpochSeen, 0);
             return self.redirect(connection, report);
         }
         if !self.has_recent_cancellations() {
@@ -52,7 +52,7 @@
 
     fn accept_heartbeat(&mut self, connection: usize, report: AgentStatus) {
         let now = self.clock.steady_ms();
-        let certain = self.lease.is_certain(now);
+        let certain = self.leadership.is_certain(now);
         let Some(scheduler) = &mut self.scheduler else {
             return;
         };
--- a/src/controller/leadership.rs
+++ b/src/controller/leadership.rs
@@ -1,142 +1,161 @@
-//! Election and renewal of the leader lease, and what follows from their outcomes.
+//! This controller's part in the leader lease: requests for it, what their outcomes mean, and
+//! a term that was won and has not begun. Owns the lease and the random numbers for its
+//! pauses; what a change of leadership means for the other parts is in `terms`.
 
-use tracing::{info, warn};
+use rand::rngs::StdRng;
+use rand::{Rng, SeedableRng};
 
-use super::calls::PendingCall;
+use super::clock::Timestamp;
 use super::http::HttpCall;
 use super::responses::{self, CallError};
-use super::{Controller, WriteOwner};
-use crate::leader_lease::{Election, LeaseRequest, LeaseResponse};
+use crate::leader_lease::{Election, LeaderLease, LeaseRequest, LeaseResponse};
 use crate::leadership_keys::{Fence, LeaderKey, EPOCH_KEY, LEADER_KEY, LEASE_KEY};
 use crate::net::{status, Outcome};
-use crate::scheduler::{Scheduler, Term};
+use crate::scheduler::Term;
+use crate::watch_cache::WatchCache;
 use crate::wire::{self, Condition, Transaction, Write};
-use rand::Rng;
 
-/// The machine types are read again so soon after an election.
-const MACHINE_TYPES_AFTER_MS: u64 = 1000;
+/// The timeout of a request for the lease, as a part of its time to live.
+const TIMEOUT_PART: u64 = 3;
 
-impl Controller {
-    pub(super) fn lease_tick(&mut self) {
-        if self.is_outdated() {
-            return;
+/// An election that was won.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(super) struct WonElection {
+    pub epoch: u64,
+    /// The version of the leader key.
+    pub version: u64,
+    pub fence: Fence,
+}
+
+/// What the outcome of a request for the lease has changed.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(super) enum LeadershipChange {
+    Unchanged,
+    Won(WonElection),
+    /// The lease was lost.
+    Lost,
+}
+
+/// This controller's part in the leader lease.
+#[derive(Debug)]
+pub(super) struct Leadership {
+    member: String,
+    lease: LeaderLease,
+    /// An election was won, but the watch cache does not hold it yet.
+    pending_term: Option<Term>,
+    rng: StdRng,
+}
+
+impl Leadership {
+    /// A follower. `writes_max`: most changes of a transaction, now and under limits to come.
+    pub fn new(member: &str, ttl_ms: u64, writes_max: usize, seed: u64) -> Leadership {
+        Leadership {
+            member: member.to_string(),
+            lease: LeaderLease::new(member, ttl_ms, writes_max),
+            pending_term: None,
+            rng: StdRng::seed_from_u64(seed),
         }
+    }
+
+    /// Whether the lease is ours as far as is known.
+    pub fn has_lease(&self) -> bool {
+        self.lease.epoch().is_some()
+    }
+
+    /// Whether the lease is ours and can't have expired.
+    pub fn is_certain(&self, now: u64) -> bool {
+        self.lease.is_certain(now)
+    }
+
+    /// The next request for the lease, if it is time for one.
+    pub fn tick(&mut self, watch_cache: &WatchCache, now: u64) -> Option<LeaseRequest> {
         let jitter = self.rng.random::<f64>();
-        let request = self
-            .lease
-            .tick(self.clock.steady_ms(), &self.watch_cache, jitter);
-        if let Some(request) = request {
-            self.send_lease_request(request);
-        }
+        self.lease.tick(now, watch_cache, jitter)
     }
 
-    fn send_lease_request(&mut self, request: LeaseRequest) {
-        // It goes out in any case.
-        let _ = self
-            .store_requests
-            .try_take(self.clock.steady_ms(), 1.0, 0.0);
-        let timeout_ms = self.lease.ttl_ms / 3;
-        let call = match &request {
+    /// The call that a request for the lease becomes.
+    pub fn http_call(&self, request: &LeaseRequest) -> HttpCall {
+        let timeout_ms = self.lease.ttl_ms / TIMEOUT_PART;
+        match request {
             LeaseRequest::Grant => HttpCall::create_grant(self.lease.ttl_ms, timeout_ms),
             LeaseRequest::Renew(grant) => HttpCall::renew_grant(*grant, timeout_ms),
-            LeaseRequest::Revoke(grant) => {
-                let call = HttpCall::end_grant(*grant, timeout_ms);
-                return self.outbox.call_store(PendingCall::Revoke, call);
-            }
+            LeaseRequest::Revoke(grant) => HttpCall::end_grant(*grant, timeout_ms),
             LeaseRequest::Elect(election) => {
-                let transaction = election_transaction(election, &self.settings.member);
+                let transaction = election_transaction(election, &self.member);
                 HttpCall::transaction(&transaction, timeout_ms)
             }
-        };
-        self.outbox.call_store(PendingCall::Lease(request), call);
+        }
     }
 
-    pub(super) fn on_lease_outcome(&mut self, request: LeaseRequest, outcome: &Outcome) {
-        let now = self.clock.steady_ms();
-        let response = response_to(&request, outcome);
-        let changed = self.lease.on_response(now, response);
+    /// Processes the outcome of a request for the lease.
+    pub fn on_outcome(
+        &mut self,
+        request: &LeaseRequest,
+        outcome: &Outcome,
+        now: u64,
+    ) -> LeadershipChange {
+        let response = response_to(request, outcome);
+        if !self.lease.on_response(now, response) {
+            return LeadershipChange::Unchanged;
+        }
         match (request, response) {
-            (LeaseRequest::Elect(election), LeaseResponse::Elected { epoch, version })
-                if changed =>
-            {
-                self.on_elected(epoch, version, election.fence);
+            (LeaseRequest::Elect(election), LeaseResponse::Elected { epoch, version }) => {
+                LeadershipChange::Won(WonElection {
+                    epoch,
+                    version,
+                    fence: election.fence,
+                })
             }
-            _ if changed => self.step_down("the grant has run out"),
-            _ => {}
+            _ => LeadershipChange::Lost,
         }
-        self.lease_tick();
     }
 
-    fn on_elected(&mut self, epoch: u64, version: u64, fence: Fence) {
-        let member = self.settings.member.clone();
-        let key = LeaderKey {
-            member: member.clone(),
-            epoch,
-        };
-        self.watch_cache.apply_own_election(key, version, fence);
+    /// The keys of leadership have changed in the watch cache. Returns whether the lease was
+    /// lost by that.
+    pub fn on_keys_changed(&mut self, watch_cache: &WatchCache) -> bool {
+        self.lease.on_cache_event(watch_cache)
+    }
+
+    /// Prepares the term that a won election begins.
+    pub fn prepare_term(&mut self, election: WonElection, now: Timestamp) {
         self.pending_term = Some(Term {
-            member,
-            epoch,
-            key: fence.leader_key(),
-            key_version: version,
-            began_wall_ms: self.clock.wall_ms(),
+            member: self.member.clone(),
+            epoch: election.epoch,
+            key: election.fence.leader_key(),
+            key_version: election.version,
+            began_wall_ms: now.wall,
         });
-        self.begin_term();
     }
 
-    /// Begins a term once the watch cache holds its election. All changes of leaders before
-    /// it, its own earlier terms included, are older than that, and none can follow: a
-    /// watch cache from before it may lack places whose starts went out.
-    pub(super) fn begin_term(&mut self) {
-        let now = self.clock.steady_ms();
-        let revision = self.watch_cache.revision;
-        let Some(term) = self
-            .pending_term
+    /// Whether a term waits for the watch cache.
+    pub fn has_pending_term(&self) -> bool {
+        self.pending_term.is_some()
+    }
+
+    /// The term that may begin, as the watch cache holds all changes up to `revision`.
+    pub fn take_term(&mut self, revision: u64) -> Option<Term> {
+        self.pending_term
             .take_if(|term| term.key_version <= revision)
-        else {
-            return;
-        };
-        info!("leading with epoch {}", term.epoch);
-        self.scheduler = Some(Scheduler::new(
-            term,
-            &self.settings.cluster,
-            &self.operator,
-            self.machine_types.clone(),
-            &self.watch_cache,
-            now,
-        ));
-        self.on_format_changed();
-        self.apply_recorded_orders();
-        self.machine_list.restart(now);
-        self.plan_timer.in_progress = false;
-        let soon = now + MACHINE_TYPES_AFTER_MS;
-        self.next_machine_types_at = self.next_machine_types_at.min(soon);
-    }
-
-    pub(super) fn step_down(&mut self, why: &str) {
+    }
+
+    /// Drops a term that has not begun.
+    pub fn drop_pending_term(&mut self) {
         self.pending_term = None;
-        if self.scheduler.take().is_some() {
-            warn!("not leading any more: {why}");
-        }
-        self.writes.remove_waiting(|owner| match owner {
-            WriteOwner::Job { .. } => true,
-            WriteOwner::Duty(write) => write.is_of_leader(),
-            _ => false,
-        });
-        self.set_store_share(false);
-        self.plan_timer.in_progress = false;
     }
 
-    /// Gives leadership up, and does not stand for election for so long.
-    pub(super) fn resign(&mut self, why: &str, standby_ms: u64) {
-        if let Some(request) = self.lease.resign(self.clock.steady_ms(), standby_ms) {
-            self.send_lease_request(request);
-        }
-        self.step_down(why);
+    /// Gives up the lease, and does not campaign for `standby_ms`. Returns the request that
+    /// ends the grant, if the lease was ours.
+    pub fn resign(&mut self, standby_ms: u64, now: u64) -> Option<LeaseRequest> {
+        self.lease.resign(now, standby_ms)
+    }
+
+    /// Gives up a lease that is another's already: there is no grant to end.
+    pub fn abandon(&mut self, now: u64) {
+        let _ = self.lease.resign(now, 0);
     }
 }
 
-/// The transaction that takes the key and raises the epoch.
+/// The transaction that takes the leader key and raises the epoch.
 fn election_transaction(election: &Election, member: &str) -> Transaction {
     let key = LeaderKey {
         member: member.to_string(),
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -3,7 +3,7 @@
 
 mod calls;
 mod clock;
-mod cloud_inventory;
+mod commits;
 mod deferred_heartbeats;
 mod dependencies;
 mod duties;
@@ -16,106 +16,67 @@
 mod outbox;
 mod peers;
 mod planning;
+mod provider_client;
+mod provider_events;
 mod responses;
 mod stats;
+mod store_client;
 mod store_sync;
+mod terms;
 mod user_replies;
 mod user_requests;
 mod user_submissions;
 mod user_types;
 
 use std::collections::{BTreeMap, HashMap};
-use std::sync::Arc;
 
 use prost::Message;
-use rand::rngs::StdRng;
-use rand::SeedableRng;
 
 use crate::admission::AdmissionLimit;
-use crate::job::FinalState;
-use crate::leader_lease::{self, LeaderLease};
-use crate::leadership_keys::{LEADER_KEY, LEASE_KEY};
-use crate::net::{status, Action, Event, Listener, Outcome, Request};
+use crate::leader_lease::leader_lease_ttl_ms;
+use crate::net::{status, Action, Event, Listener, Request};
 use crate::peer_protocol::{ForwardedRequest, PeerStatus, FORWARD_PATH, STATUS_PATH};
-use crate::rate_limit::TokenBucket;
-use crate::scheduler::{Scheduler, Term};
-use crate::settings::{OperatorSettings, Settings, StoreLimits};
+use crate::scheduler::Scheduler;
+use crate::settings::{OperatorSettings, Settings};
 use crate::watch_cache::WatchCache;
-use crate::wire::{self, MachineType};
-use crate::write_queue::{CommitResult, WriteQueue};
+use crate::wire;
 
 pub use clock::Timestamp;
 
 use clock::EventClock;
 use deferred_heartbeats::DeferredHeartbeats;
 use dependencies::DependencyLookups;
-use duties::{DutyState, DutyWrite};
+use duties::DutyState;
 use format_version::FormatState;
 use http::HttpResponse;
-use machine_list_reader::MachineListReader;
+use leadership::Leadership;
 use outbox::Outbox;
 use peers::PeerView;
 use planning::PlanTimer;
+use provider_client::ProviderClient;
 use stats::{StatsTimer, TrafficStats};
+use store_client::{StoreClient, StoreRole};
 use store_sync::StoreSync;
+use terms::StepDownReason;
 use user_types::{Caller, PendingRequest, RequestOrigin};
 
-/// Whose change a commit was.
-#[derive(Debug, Clone)]
-enum WriteOwner {
-    /// A user's request, by its number.
-    User(u64),
-    /// That this controller runs this version, or that all do.
-    FormatVersion,
-    /// A duty's.
-    Duty(Box<DutyWrite>),
-    /// The scheduler's.
-    Job {
-        id: String,
-        change: u64,
-        final_state: Option<FinalState>,
-        epoch: u64,
-    },
-}
-
-/// Statuses from here on say that the server has failed.
-const SERVER_ERRORS: u16 = 500;
 /// How often timers are checked.
 const TICK_MS: u64 = 100;
 /// What an answer to a user may take before the limit on requests in progress falls.
 const USER_TARGET_MS: u64 = 500;
 /// Sockets for each user's request in progress.
 const SOCKETS_PER_USER: usize = 4;
-/// Share of the cloud's limit that is used, all calls counted.
-const CLOUD_SHARE: f64 = 0.875;
-
-/// Shares of the requests and changes that the store takes in a second: the
-/// leader's and each other controller's, whose bursts rarely meet. Of the requests, a
-/// follower takes a little less than an even share, and the leader, with a transaction for
-/// each group of records, what they leave.
-const FOLLOWER_REQUESTS: f64 = 0.7;
-const LEADER_WRITES: f64 = 0.75;
-const FOLLOWER_WRITES: f64 = 0.4;
-/// Each controller's share for records of duties, beside these: the other controllers'
-/// users rarely take all of theirs. A transaction of two changes fits in any case.
-const DUTY_WRITES: f64 = 0.08;
-const DUTY_WRITES_MIN: f64 = 2.0;
-
 /// One controller.
 pub struct Controller {
     settings: Settings,
     operator: OperatorSettings,
-    rng: StdRng,
     clock: EventClock,
     outbox: Outbox,
     /// The local watch cache of the store.
     pub watch_cache: WatchCache,
     store_sync: StoreSync,
-    store_requests: TokenBucket,
-    writes: WriteQueue<WriteOwner>,
-    lease: LeaderLease,
-    /// An election was won, but the watch cache does not hold it yet.
-    pending_term: Option<Term>,
+    store: StoreClient,
+    leadership: Leadership,
     /// The scheduling state, if this controller leads.
     pub scheduler: Option<Scheduler>,
     format_state: FormatState,
@@ -123,10 +84,7 @@
     lookups: DependencyLookups,
     /// Cancellations that users were told of here, and when.
     acknowledged_cancellations: BTreeMap<String, u64>,
-    machine_types: Arc<Vec<MachineType>>,
-    next_machine_types_at: u64,
-    cloud_requests: TokenBucket,
-    machine_list: MachineListReader,
+    provider: ProviderClient,
     users: BTreeMap<u64, PendingRequest>,
     next_user: u64,
     admission: AdmissionLimit,
@@ -149,34 +107,24 @@
     /// A controller that has just been started.
     pub fn new(settings: Settings, operator: OperatorSettings, seed: u64) -> Controller {
         let cluster = &settings.cluster;
-        let controllers = (settings.peers.len() + 1) as f64;
-        let ttl_ms = leader_lease::leader_lease_ttl_ms(cluster, &operator);
+        let ttl_ms = leader_lease_ttl_ms(cluster, &operator);
         let state = &cluster.state;
-        let follower_writes = state.write_rps * FOLLOWER_WRITES;
-        let follower_requests = state.rps / controllers * FOLLOWER_REQUESTS;
+        let writes_max = state.lowered().txn_ops;
         let user_sockets = cluster.limits.fd_limit / SOCKETS_PER_USER;
         let peers = settings.peers.iter();
-        let mut writes = WriteQueue::new(follower_writes, follower_writes, state.txn_ops);
-        writes.set_duty_rate(0, duty_write_rate(state));
         Controller {
-            rng: StdRng::seed_from_u64(seed),
             clock: EventClock::new(),
             outbox: Outbox::new(settings.endpoints.clone()),
             watch_cache: WatchCache::default(),
             store_sync: StoreSync::default(),
-            store_requests: TokenBucket::new(follower_requests),
-            writes,
-            lease: LeaderLease::new(&settings.member, ttl_ms, state.lowered().txn_ops),
-            pending_term: None,
+            store: StoreClient::new(state, settings.peers.len()),
+            leadership: Leadership::new(&settings.member, ttl_ms, writes_max, seed),
             scheduler: None,
             format_state: FormatState::default(),
             duties: DutyState::new(&settings.member, cluster, operator.duties.as_ref()),
             lookups: DependencyLookups::default(),
             acknowledged_cancellations: BTreeMap::new(),
-            machine_types: Arc::new(vec![]),
-            next_machine_types_at: 0,
-            cloud_requests: TokenBucket::new(cluster.cloud.rps * CLOUD_SHARE),
-            machine_list: MachineListReader::default(),
+            provider: ProviderClient::new(cluster),
             users: BTreeMap::new(),
             next_user: 1,
             admission: AdmissionLimit::new(USER_TARGET_MS, user_sockets),
@@ -212,21 +160,15 @@
         self.scheduler.as_mut().filter(|s| s.epoch() == epoch)
     }
 
-    /// Takes the leader's or a follower's share of the store.
-    fn set_store_share(&mut self, leads: bool) {
-        let now = self.clock.steady_ms();
+    /// Uses the leader's or a follower's share of the store's limits.
+    fn set_store_share(&mut self, role: StoreRole) {
         let limits = self.store_limits();
-        let others = self.settings.peers.len() as f64;
-        let follower_requests = limits.rps / (others + 1.0) * FOLLOWER_REQUESTS;
-        let (requests, writes) = if leads {
-            (limits.rps - others * follower_requests, LEADER_WRITES)
-        } else {
-            (follower_requests, FOLLOWER_WRITES)
-        };
-        self.store_requests.set_rate(now, requests);
-        self.writes.set_rate(now, limits.write_rps * writes);
-        self.writes.set_duty_rate(now, duty_write_rate(&limits));
-        self.writes.set_writes_max(limits.txn_ops);
+        self.store.set_share(role, &limits, self.clock.steady_ms());
+    }
+
+    /// Whether the store has answered lately.
+    fn is_store_reachable(&self) -> bool {
+        self.store.is_reachable(self.clock.steady_ms())
     }
 
     /// Handles an event.
@@ -286,7 +228,7 @@
         let redirected = self.redirected_elsewhere();
         let most_heard = redirected.peers_heard * 2 > self.peers.len();
         if let Some(scheduler) = &mut self.scheduler {
-            let spare_writes = self.writes.spare_writes(now);
+            let spare_writes = self.store.spare_writes(now);
             let agents = most_heard.then_some(redirected.agents);
             scheduler.set_redirected_elsewhere(agents);
             scheduler.tick(now, self.watch_cache.revision, spare_writes);
@@ -314,7 +256,7 @@
         }
         self.duties_flush();
         self.watch_tick();
-        self.send_writes();
+        self.store.send_writes(&mut self.outbox, now);
     }
 
     fn on_request(&mut self, connection: usize, listener: Listener, request: Request) {
@@ -385,61 +327,4 @@
             }
         }
     }
-
-    fn on_commit(&mut self, owner: WriteOwner, result: CommitResult) {
-        let now = self.clock.steady_ms();
-        match owner {
-            WriteOwner::User(user) => self.on_user_commit(user, &result),
-            WriteOwner::FormatVersion => {}
-            WriteOwner::Duty(write) => self.on_duty_commit(*write, &result),
-            WriteOwner::Job {
-                id,
-                change,
-                final_state,
-                epoch,
-            } => {
-                if let (CommitResult::Committed { .. }, Some(state)) = (&result, final_state) {
-                    self.watch_cache.record_final(&id, state);
-                    self.watch_cache.jobs.remove(&id);
-                    self.forward_dependency_events();
-                }
-                let Some(scheduler) = self.scheduler_of(epoch) else {
-                    return;
-                };
-                scheduler.on_commit(&id, change, final_state, &result, now);
-                self.step_down_if_deposed(&result);
-            }
-        }
-    }
-
-    /// A change of the leader's that failed on the leader key tells that another one leads.
-    fn step_down_if_deposed(&mut self, result: &CommitResult) {
-        let CommitResult::Conflict { failed, .. } = result else {
-            return;
-        };
-        let is_leader_key = |key: &String| key == LEADER_KEY || key == LEASE_KEY;
-        if failed.iter().any(is_leader_key) {
-            self.lease.resign(self.clock.steady_ms(), 0);
-            self.step_down("a change failed on the leader key");
-        }
-    }
-
-    /// Notes that the store has answered, or says that the limit is reached.
-    fn record_store_outcome(&mut self, outcome: &Outcome) {
-        match outcome {
-            Outcome::Answer {
-                status: status::TOO_MANY_REQUESTS,
-                ..
-            } => self.store_requests.drain(),
-            Outcome::Answer { status, .. } if *status < SERVER_ERRORS => {
-                self.store_sync.answered_at = Some(self.clock.steady_ms());
-            }
-            _ => {}
-        }
-    }
-}
-
-/// Changes of duties' records that a controller may make in a second.
-fn duty_write_rate(limits: &StoreLimits) -> f64 {
-    (limits.write_rps * DUTY_WRITES).max(DUTY_WRITES_MIN)
 }
--- a/src/controller/peers.rs
+++ b/src/controller/peers.rs
@@ -6,7 +6,7 @@
 
 use super::calls::PendingCall;
 use super::http::HttpCall;
-use super::Controller;
+use super::{Controller, StepDownReason};
 use crate::peer_protocol::{PeerStatus, STATUS_PATH};
 use crate::time_units::to_ms;
 
@@ -157,8 +157,7 @@
         if self.is_cut_off_from_agents() {
             let lease_s = self.settings.cluster.workers.lease_s;
             let standby_ms = to_ms(lease_s * STANDBY_LEASE_SHARE);
-            let why = "no worker gets through while others turn them away";
-            self.resign(why, standby_ms);
+            self.resign(StepDownReason::CutOffFromAgents, standby_ms);
         }
     }
 
--- a/src/controller/planning.rs
+++ b/src/controller/planning.rs
@@ -2,7 +2,6 @@
 
 use super::{Controller, Timestamp};
 use crate::plan::{Decision, Snapshot};
-use crate::write_queue::WriteClass;
 
 /// Least time between two plans, if nothing has changed, and if this controller is
 /// overloaded.
@@ -12,15 +11,19 @@
 /// Pause after a plan, as a multiple of the time that it took: planning takes a third of
 /// the process' time at most, as on a busy fleet something changes all the time.
 const PAUSE_FACTOR: u64 = 2;
-/// Share of a second's calls to the cloud that provisioning requests leave to others: the list and
-/// deletions need calls, too.
-const PROVISIONING_RESERVE: f64 = 0.25;
 
 /// When the next plan may begin, and whether one is in progress.
 #[derive(Debug, Default)]
 pub(super) struct PlanTimer {
     next_at: u64,
-    pub in_progress: bool,
+    in_progress: bool,
+}
+
+impl PlanTimer {
+    /// Another term has begun, or none: a plan in progress does not count any more.
+    pub fn reset(&mut self) {
+        self.in_progress = false;
+    }
 }
 
 impl Controller {
@@ -28,13 +31,13 @@
     pub fn take_due_snapshot(&mut self, now: Timestamp) -> Option<Snapshot> {
         self.clock.set(now);
         let next_at = self.plan_timer.next_at;
-        let certain = self.lease.is_certain(now.steady);
+        let certain = self.leadership.is_certain(now.steady);
         if self.plan_timer.in_progress || now.steady < next_at || !certain {
             return None;
         }
         // While records wait for the store, a further plan would only
         // add small ones: better a later one that places more at a time.
-        if self.writes.has_waiting(WriteClass::Leader) {
+        if self.store.has_waiting_leader_writes() {
             return None;
         }
         let scheduler = self.scheduler.as_mut()?;
@@ -66,8 +69,7 @@
         let calls = if self.are_duties_active() {
             self.scale_out_budget()
         } else {
-            self.cloud_requests
-                .available(now.steady, PROVISIONING_RESERVE)
+            self.provider.provisioning_budget(now.steady)
         };
         if let Some(scheduler) = self.scheduler_of(epoch) {
             scheduler.apply_decision(decision, calls, now.steady, now.wall);
--- /dev/null
+++ b/src/controller/provider_events.rs
@@ -0,0 +1,146 @@
+//! Between the scheduler and the cloud provider: machine types, the list of machines, and what
+//! a leader without duties' holders provisions and terminates itself.
+
+use tracing::{info, warn};
+
+use super::calls::PendingCall;
+use super::provider_client::{MachineRequest, ProviderClient};
+use super::responses::{self, ProviderError};
+use super::Controller;
+use crate::net::Outcome;
+use crate::scheduler::ProvisioningOutcome;
+
+impl Controller {
+    pub(super) fn machine_types_tick(&mut self) {
+        let now = self.clock.steady_ms();
+        self.provider
+            .read_machine_types_if_due(&mut self.outbox, now);
+    }
+
+    pub(super) fn on_machine_types(&mut self, outcome: &Outcome) {
+        let now = self.clock.steady_ms();
+        if !self.provider.on_machine_types(outcome, now) {
+            return;
+        }
+        if let Some(scheduler) = &mut self.scheduler {
+            scheduler.set_machine_types(self.provider.machine_types());
+        }
+    }
+
+    pub(super) fn machine_list_tick(&mut self) {
+        let now = self.clock.steady_ms();
+        if let Some(scheduler) = &self.scheduler {
+            let epoch = scheduler.epoch();
+            self.provider
+                .read_machine_list_if_due(&mut self.outbox, epoch, now);
+        }
+    }
+
+    pub(super) fn on_machine_list_page(&mut self, started_at: u64, epoch: u64, outcome: &Outcome) {
+        let now = self.clock.steady_ms();
+        if !self.provider.is_reading_list(started_at) {
+            return;
+        }
+        if self.scheduler_of(epoch).is_none() {
+            return self.provider.restart_machine_list(now);
+        }
+        let outbox = &mut self.outbox;
+        let machines = self
+            .provider
+            .on_machine_list_page(outbox, epoch, outcome, now);
+        if let (Some(machines), Some(scheduler)) = (machines, &mut self.scheduler) {
+            scheduler.on_machine_list(&machines, started_at, now);
+        }
+    }
+
+    /// Provisions machines, or asks the holder of that duty to do so.
+    pub(super) fn provision(&mut self, idempotency_key: String, request: &MachineRequest) {
+        if self.are_duties_active() {
+            return self.request_scale_out(idempotency_key, request);
+        }
+        if !self.may_order() {
+            let now = self.clock.steady_ms();
+            if let Some(scheduler) = &mut self.scheduler {
+                scheduler.on_provisioning_postponed(&idempotency_key, now);
+            }
+            return;
+        }
+        info!(
+            request = idempotency_key,
+            kind = ?request.kind,
+            count = request.count,
+            "provisioning machines"
+        );
+        let call = ProviderClient::provision_call(&idempotency_key, request, None);
+        let pending = PendingCall::Provision {
+            idempotency_key,
+            epoch: self.epoch(),
+        };
+        self.outbox.call_cloud(pending, call);
+    }
+
+    /// Terminates machines, or asks the holder of that duty to do so.
+    pub(super) fn terminate(&mut self, machines: Vec<String>) {
+        if self.are_duties_active() {
+            return self.request_scale_in(machines);
+        }
+        if !self.may_order() {
+            let now = self.clock.steady_ms();
+            if let Some(scheduler) = &mut self.scheduler {
+                scheduler.on_termination_postponed(&machines, now);
+            }
+            return;
+        }
+        let call = ProviderClient::terminate_call(&machines, None);
+        let pending = PendingCall::Terminate {
+            machines,
+            epoch: self.epoch(),
+        };
+        self.outbox.call_cloud(pending, call);
+    }
+
+    /// Whether machines may be provisioned or terminated now. Without certain leadership
+    /// they are not: a partition may hold the request back and deliver it to a successor's
+    /// machines.
+    fn may_order(&mut self) -> bool {
+        let now = self.clock.steady_ms();
+        self.leadership.is_certain(now) && self.provider.try_order(now)
+    }
+
+    pub(super) fn on_provisioning_outcome(
+        &mut self,
+        idempotency_key: &str,
+        epoch: u64,
+        outcome: &Outcome,
+    ) {
+        let now = self.clock.steady_ms();
+        let Some(scheduler) = self.scheduler_of(epoch) else {
+            return;
+        };
+        let result = match responses::provisioned_machines(outcome) {
+            Ok(names) => ProvisioningOutcome::Provisioned(names),
+            Err(ProviderError::NoCapacity) => ProvisioningOutcome::Unavailable,
+            Err(ProviderError::Malformed) => {
+                warn!(request = idempotency_key, "malformed provisioning request");
+                ProvisioningOutcome::Unavailable
+            }
+            Err(ProviderError::Fenced | ProviderError::Throttled | ProviderError::Unknown) => {
+                ProvisioningOutcome::Failed
+            }
+        };
+        scheduler.on_provisioning_outcome(idempotency_key, result, now);
+    }
+
+    pub(super) fn on_termination_outcome(
+        &mut self,
+        machines: &[String],
+        epoch: u64,
+        outcome: &Outcome,
+    ) {
+        let now = self.clock.steady_ms();
+        let confirmed = responses::termination(outcome).is_ok();
+        if let Some(scheduler) = self.scheduler_of(epoch) {
+            scheduler.on_termination_outcome(machines, confirmed, now);
+        }
+    }
+}
--- a/src/controller/stats.rs
+++ b/src/controller/stats.rs
@@ -52,13 +52,13 @@
                 self.admission.limit()
             );
         }
-        let writes = self.writes.take_stats();
+        let writes = self.store.take_write_stats();
         if writes.transactions > 0 {
             info!(
                 "{} changes in {} transactions, {} waiting; {} throttled, {} in conflict, {} without answer",
                 writes.changes,
                 writes.transactions,
-                self.writes.waiting_count(),
+                self.store.waiting_writes(),
                 writes.throttled,
                 writes.conflicts,
                 writes.unknown
--- a/src/controller/store_sync.rs
+++ b/src/controller/store_sync.rs
@@ -3,20 +3,19 @@
 
 use tracing::{debug, error, info, warn};
 
-use super::calls::{PendingCall, STORE_TIMEOUT_MS};
+use super::calls::PendingCall;
 use super::clock::EventTime;
 use super::http::{HttpCall, READ_TIMEOUT_MS};
 use super::responses::{self, CallError};
+use super::store_client::{REACHABLE_MS, STORE_TIMEOUT_MS, WATCH_HOLD_MS};
 use super::user_types::RequestStage;
-use super::Controller;
+use super::{Controller, StepDownReason};
 use crate::duties::DUTIES_PREFIX;
 use crate::leadership_keys::LEADERSHIP_PREFIX;
 use crate::net::{status, Outcome};
 use crate::watch_cache::{CacheEvent, JOBS_PREFIX, ROOT_PREFIX};
 use crate::wire;
 
-/// How long a watch waits for changes.
-pub(super) const WATCH_HOLD_MS: u64 = 1000;
 /// Between two reads of a sort on a whole core, at the least; on a part of one
 /// accordingly longer.
 const READ_CORE_MS: f64 = 6.0;
@@ -59,24 +58,15 @@
     next_read_at: u64,
     /// The watch cache is complete as of this moment.
     pub complete_as_of: Option<EventTime>,
-    /// The store last answered with something other than a refusal.
-    pub answered_at: Option<u64>,
 }
 
 impl Controller {
-    /// Whether the store has answered lately.
-    pub(super) fn is_store_reachable(&self) -> bool {
-        let now = self.clock.steady_ms();
-        let answered_at = self.store_sync.answered_at;
-        answered_at.is_some_and(|at| now < at + WATCH_HOLD_MS + STORE_TIMEOUT_MS)
-    }
-
     /// Leadership is certain and the watch cache recent enough to start tasks.
     pub(super) fn may_start(&self) -> bool {
         let now = self.clock.steady_ms();
         let complete = self.store_sync.complete_as_of;
-        let recent = complete.is_some_and(|c| now < c.at + WATCH_HOLD_MS + STORE_TIMEOUT_MS);
-        recent && self.lease.is_certain(now)
+        let recent = complete.is_some_and(|c| now < c.at + REACHABLE_MS);
+        recent && self.leadership.is_certain(now)
     }
 
     pub(super) fn load_tick(&mut self) {
@@ -216,7 +206,7 @@
         let reads_suffice = now < next_read_at + self.read_interval_ms(USER_READ_SHARE) / 2;
         let due =
             !self.store_sync.watching && !reads_suffice && now >= self.store_sync.next_watch_at;
-        if !due || !self.store_requests.try_take(now, 1.0, WATCH_RESERVE) {
+        if !due || !self.store.try_request(now, WATCH_RESERVE) {
             return;
         }
         self.store_sync.watching = true;
@@ -237,7 +227,7 @@
         if store_sync.reading || now < store_sync.next_read_at || !self.has_waiting_readers() {
             return;
         }
-        if !self.store_requests.try_take(now, 1.0, USER_READ_RESERVE) {
+        if !self.store.try_request(now, USER_READ_RESERVE) {
             return;
         }
         self.store_sync.reading = true;
@@ -260,7 +250,7 @@
             }
             _ => false,
         };
-        self.pending_term.is_some() || self.users.values().any(|user| waits(&user.stage))
+        self.leadership.has_pending_term() || self.users.values().any(|user| waits(&user.stage))
     }
 
     /// Applies the response to a watch, or to a read for somebody who waits.
@@ -302,8 +292,8 @@
     fn read_all_again(&mut self) {
         self.watch_cache.loaded = false;
         self.store_sync.next_load_at = 0;
-        if self.lease.epoch().is_some() {
-            self.resign("the replica has to be read again", 0);
+        if self.leadership.has_lease() {
+            self.resign(StepDownReason::CacheReadAgain, 0);
         }
     }
 
@@ -347,8 +337,8 @@
                 }
             }
             CacheEvent::LeaderChanged => {
-                if self.lease.on_cache_event(&self.watch_cache) {
-                    self.step_down("the leader key is not ours any more");
+                if self.leadership.on_keys_changed(&self.watch_cache) {
+                    self.step_down(StepDownReason::LeaderKeyLost);
                 }
                 self.lease_tick();
             }
--- /dev/null
+++ b/src/controller/terms.rs
@@ -0,0 +1,121 @@
+//! The leader's terms: how one begins and ends for all parts of the controller.
+
+use thiserror::Error;
+use tracing::{info, warn};
+
+use super::calls::PendingCall;
+use super::commits::WriteOwner;
+use super::leadership::{LeadershipChange, WonElection};
+use super::store_client::StoreRole;
+use super::Controller;
+use crate::leader_lease::LeaseRequest;
+use crate::leadership_keys::LeaderKey;
+use crate::net::Outcome;
+use crate::scheduler::Scheduler;
+
+/// Why a leader steps down.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
+pub(super) enum StepDownReason {
+    #[error("the grant has expired")]
+    GrantExpired,
+    #[error("the leader key is not ours any more")]
+    LeaderKeyLost,
+    #[error("a write failed on the leader key")]
+    WriteConflict,
+    #[error("an agent has seen a higher epoch")]
+    HigherEpochSeen,
+    #[error("no agent gets through while other controllers redirect them")]
+    CutOffFromAgents,
+    #[error("the watch cache has to be read again")]
+    CacheReadAgain,
+    #[error("a later version has taken over")]
+    Outdated,
+    #[error("the next leader is elected out of reach of earlier versions")]
+    FenceRaised,
+}
+
+impl Controller {
+    pub(super) fn lease_tick(&mut self) {
+        if self.is_outdated() {
+            return;
+        }
+        let now = self.clock.steady_ms();
+        if let Some(request) = self.leadership.tick(&self.watch_cache, now) {
+            self.send_lease_request(request);
+        }
+    }
+
+    fn send_lease_request(&mut self, request: LeaseRequest) {
+        self.store.count_request(self.clock.steady_ms());
+        let call = self.leadership.http_call(&request);
+        let pending = match request {
+            LeaseRequest::Revoke(_) => PendingCall::Revoke,
+            request => PendingCall::Lease(request),
+        };
+        self.outbox.call_store(pending, call);
+    }
+
+    pub(super) fn on_lease_outcome(&mut self, request: &LeaseRequest, outcome: &Outcome) {
+        let now = self.clock.steady_ms();
+        match self.leadership.on_outcome(request, outcome, now) {
+            LeadershipChange::Won(election) => self.on_elected(election),
+            LeadershipChange::Lost => self.step_down(StepDownReason::GrantExpired),
+            LeadershipChange::Unchanged => {}
+        }
+        self.lease_tick();
+    }
+
+    fn on_elected(&mut self, election: WonElection) {
+        let key = LeaderKey {
+            member: self.settings.member.clone(),
+            epoch: election.epoch,
+        };
+        self.watch_cache
+            .apply_own_election(key, election.version, election.fence);
+        self.leadership
+            .prepare_term(election, self.clock.timestamp());
+        self.begin_term();
+    }
+
+    /// Begins a term once the watch cache holds its election. All changes of leaders before
+    /// it, its own earlier terms included, are older than that, and none can follow: a
+    /// watch cache from before it may lack placements whose starts were sent.
+    pub(super) fn begin_term(&mut self) {
+        let now = self.clock.steady_ms();
+        let Some(term) = self.leadership.take_term(self.watch_cache.revision) else {
+            return;
+        };
+        info!(epoch = term.epoch, "leading");
+        self.scheduler = Some(Scheduler::new(
+            term,
+            &self.settings.cluster,
+            &self.operator,
+            self.provider.machine_types(),
+            &self.watch_cache,
+            now,
+        ));
+        self.on_format_changed();
+        self.apply_recorded_orders();
+        self.provider.on_term_begun(now);
+        self.plan_timer.reset();
+    }
+
+    pub(super) fn step_down(&mut self, reason: StepDownReason) {
+        self.leadership.drop_pending_term();
+        if let Some(scheduler) = self.scheduler.take() {
+            warn!(epoch = scheduler.epoch(), %reason, "not leading any more");
+        }
+        self.store.cancel_writes(WriteOwner::is_of_leader);
+        self.set_store_share(StoreRole::Follower);
+        self.plan_timer.reset();
+    }
+
+    /// Gives up leadership, and does not campaign for it for `standby_ms`.
+    pub(super) fn resign(&mut self, reason: StepDownReason, standby_ms: u64) {
+        let now = self.clock.steady_ms();
+        if let Some(request) = self.leadership.resign(standby_ms, now) {
+            self.send_lease_request(request);
+        }
+        self.step_down(reason);
+    }
+}
--- a/src/controller/user_requests.rs
+++ b/src/controller/user_requests.rs
@@ -4,12 +4,13 @@
 use tracing::debug;
 
 use super::calls::PendingCall;
+use super::commits::WriteOwner;
 use super::http::{HttpCall, HttpResponse};
 use super::responses::{self, KeyRead};
 use super::user_types::{
     Caller, JobStatus, PendingRequest, RequestOrigin, RequestStage, TaskCounts, UserRequest,
 };
-use super::{Controller, WriteOwner};
+use super::Controller;
 use crate::net::{status, Outcome};
 use crate::peer_protocol::{ForwardedRequest, FORWARD_PATH};
 use crate::watch_cache::{final_key, job_key};
@@ -101,7 +102,7 @@
             class: WriteClass::User,
         };
         self.set_stage(user, RequestStage::Commit);
-        self.writes.push(request);
+        self.store.push_write(request);
     }
 
     pub(super) fn set_stage(&mut self, user: u64, stage: RequestStage) {
@@ -283,8 +284,8 @@
         });
         for user in late {
             // Its change may still get through; the user asks again.
-            self.writes
-                .remove_waiting(|owner| matches!(owner, WriteOwner::User(other) if *other == user));
+            self.store
+                .cancel_writes(|owner| matches!(owner, WriteOwner::User(other) if *other == user));
             self.finish_user(user, HttpResponse::unavailable());
         }
         for user in paused {
--- a/src/controller/user_submissions.rs
+++ b/src/controller/user_submissions.rs
@@ -2,9 +2,10 @@
 
 use tracing::debug;
 
+use super::commits::WriteOwner;
 use super::http::HttpResponse;
 use super::user_types::{Refusal, RequestStage, UserRequest};
-use super::{Controller, WriteOwner};
+use super::Controller;
 use crate::cloud;
 use crate::job::{json_length, JobRecord, JobSpec, Shape};
 use crate::net::status;
@@ -53,10 +54,11 @@
         if beyond(team.cpus_max, spec.cpus) || beyond(team.gpus_max, spec.gpus) {
             return Err(Refusal::BeyondTeamLimit);
         }
-        if self.machine_types.is_empty() {
+        let machine_types = self.provider.machine_types();
+        if machine_types.is_empty() {
             return Err(Refusal::MachineTypesUnknown);
         }
-        if !cloud::can_run(spec, &self.machine_types) {
+        if !cloud::can_run(spec, &machine_types) {
             return Err(Refusal::FitsNoMachineType);
         }
         self.check_fits_record(spec)
@@ -91,7 +93,7 @@
         let record = JobRecord::new((**spec).clone(), wall);
         pending.stage = RequestStage::Commit;
         let id = &pending.id;
-        self.writes.push(WriteRequest {
+        self.store.push_write(WriteRequest {
             owner: WriteOwner::User(user),
             conditions: vec![
                 Condition::new(job_key(id), 0),
