--- a/src/controller/duties/assignment.rs
+++ b/src/controller/duties/assignment.rs
@@ -71,8 +71,9 @@
     /// outage it must not be given up.
     fn duty_candidates(&self) -> Vec<String> {
         let mut names = vec![self.settings.member.clone()];
-        for peer in &self.settings.peers {
-            let status = self.recent_status(&peer.member);
+        let now = self.clock.steady_ms();
+        for peer in self.peers.iter() {
+            let status = peer.recent_status(now);
             let can_hold =
                 status.is_some_and(|s| s.store_reachable && s.known_format >= DUTIES_FORMAT);
             if can_hold {
--- a/src/controller/format_version.rs
+++ b/src/controller/format_version.rs
@@ -166,8 +166,9 @@
     /// Whether each other controller has made itself known, and has just said that it knows
     /// a format. Its key alone may be older than a return to the version before.
     fn all_peers_know(&self, format: u64) -> bool {
-        self.settings.peers.iter().all(|peer| {
-            let status = self.recent_status(&peer.member);
+        let now = self.clock.steady_ms();
+        self.peers.iter().all(|peer| {
+            let status = peer.recent_status(now);
             let knows_it = status.is_some_and(|status| status.known_format >= format);
             knows_it && self.watch_cache.members.contains(&peer.member)
         })
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -1,6 +1,8 @@
 //! One controller: brings the modules together. Events and the time go in,
 //! actions come out; no sockets and no clocks here.
 
+mod acknowledged_cancellations;
+mod agent_gateway;
 mod calls;
 mod clock;
 mod commits;
@@ -14,6 +16,7 @@
 mod leadership;
 mod machine_list_reader;
 mod outbox;
+mod peer_table;
 mod peers;
 mod planning;
 mod provider_client;
@@ -28,7 +31,7 @@
 mod user_submissions;
 mod user_types;
 
-use std::collections::{BTreeMap, HashMap};
+use std::collections::BTreeMap;
 
 use prost::Message;
 
@@ -43,15 +46,16 @@
 
 pub use clock::Timestamp;
 
+use acknowledged_cancellations::AcknowledgedCancellations;
+use agent_gateway::AgentGateway;
 use clock::EventClock;
-use deferred_heartbeats::DeferredHeartbeats;
 use dependencies::DependencyLookups;
 use duties::DutyState;
 use format_version::FormatState;
 use http::HttpResponse;
 use leadership::Leadership;
 use outbox::Outbox;
-use peers::PeerView;
+use peer_table::PeerTable;
 use planning::PlanTimer;
 use provider_client::ProviderClient;
 use stats::{StatsTimer, TrafficStats};
@@ -82,19 +86,13 @@
     format_state: FormatState,
     duties: DutyState,
     lookups: DependencyLookups,
-    /// Cancellations that users were told of here, and when.
-    acknowledged_cancellations: BTreeMap<String, u64>,
+    acknowledged_cancellations: AcknowledgedCancellations,
     provider: ProviderClient,
     users: BTreeMap<u64, PendingRequest>,
     next_user: u64,
     admission: AdmissionLimit,
-    peers: HashMap<String, PeerView>,
-    next_status_at: u64,
-    /// Agents that were redirected, and when.
-    redirected_agents: BTreeMap<String, u64>,
-    /// When an agent's report was last answered.
-    agent_answered_at: Option<u64>,
-    deferred_heartbeats: DeferredHeartbeats,
+    peers: PeerTable,
+    agents: AgentGateway,
     plan_timer: PlanTimer,
     next_tick_at: u64,
     stats_timer: StatsTimer,
@@ -111,7 +109,6 @@
         let state = &cluster.state;
         let writes_max = state.lowered().txn_ops;
         let user_sockets = cluster.limits.fd_limit / SOCKETS_PER_USER;
-        let peers = settings.peers.iter();
         Controller {
             clock: EventClock::new(),
             outbox: Outbox::new(settings.endpoints.clone()),
@@ -123,18 +120,13 @@
             format_state: FormatState::default(),
             duties: DutyState::new(&settings.member, cluster, operator.duties.as_ref()),
             lookups: DependencyLookups::default(),
-            acknowledged_cancellations: BTreeMap::new(),
+            acknowledged_cancellations: AcknowledgedCancellations::default(),
             provider: ProviderClient::new(cluster),
             users: BTreeMap::new(),
             next_user: 1,
             admission: AdmissionLimit::new(USER_TARGET_MS, user_sockets),
-            peers: peers
-                .map(|peer| (peer.member.clone(), PeerView::default()))
-                .collect(),
-            next_status_at: 0,
-            redirected_agents: BTreeMap::new(),
-            agent_answered_at: None,
-            deferred_heartbeats: DeferredHeartbeats::default(),
+            peers: PeerTable::new(&settings.peers),
+            agents: AgentGateway::default(),
             plan_timer: PlanTimer::default(),
             next_tick_at: 0,
             stats_timer: StatsTimer::default(),
@@ -224,12 +216,10 @@
 
     fn scheduler_tick(&mut self) {
         let now = self.clock.steady_ms();
-        // Agents may have gone to the one that is not heard.
-        let redirected = self.redirected_elsewhere();
-        let most_heard = redirected.peers_heard * 2 > self.peers.len();
+        let redirected = self.peers.redirected_elsewhere(now);
         if let Some(scheduler) = &mut self.scheduler {
             let spare_writes = self.store.spare_writes(now);
-            let agents = most_heard.then_some(redirected.agents);
+            let agents = redirected.most_heard.then_some(redirected.agents);
             scheduler.set_redirected_elsewhere(agents);
             scheduler.tick(now, self.watch_cache.revision, spare_writes);
         }
--- a/src/controller/store_sync.rs
+++ b/src/controller/store_sync.rs
@@ -57,7 +57,14 @@
     pub reading: bool,
     next_read_at: u64,
     /// The watch cache is complete as of this moment.
-    pub complete_as_of: Option<EventTime>,
+    complete_as_of: Option<EventTime>,
+}
+
+impl StoreSync {
+    /// The watch cache is complete as of this moment.
+    pub fn complete_as_of(&self) -> Option<EventTime> {
+        self.complete_as_of
+    }
 }
 
 impl Controller {
--- a/src/controller/user_requests.rs
+++ b/src/controller/user_requests.rs
@@ -33,9 +33,9 @@
         if !self.watch_cache.loaded || self.is_outdated() {
             return false;
         }
-        let alone = !self.peers.is_empty() && self.live_peers().next().is_none();
-        let another_served = || self.live_peers().any(|peer| peer.status.store_reachable);
-        self.is_store_reachable() || !(alone || another_served())
+        let now = self.clock.steady_ms();
+        self.is_store_reachable()
+            || !(self.peers.are_all_silent(now) || self.peers.is_store_reachable_elsewhere(now))
     }
 
     pub(super) fn on_user_request(
@@ -116,11 +116,7 @@
         let Some(pending) = self.users.get(&user) else {
             return;
         };
-        let served = self.settings.peers.iter().find(|peer| {
-            let status = self.recent_status(&peer.member);
-            status.is_some_and(|status| status.store_reachable)
-        });
-        let address = served.map(|peer| peer.address);
+        let address = self.peers.served_peer(self.clock.steady_ms());
         let caller = pending.caller;
         let Some(address) = address.filter(|_| caller.origin == RequestOrigin::User) else {
             self.users.remove(&user);
@@ -165,7 +161,7 @@
             // It is being read anew, and lacks what is on later pages.
             return;
         }
-        let complete = self.store_sync.complete_as_of;
+        let complete = self.store_sync.complete_as_of();
         let sequence = complete.map_or(0, |complete| complete.sequence);
         let current = self.watch_cache.revision;
         let ready = self.users_where(|pending| match pending.stage {
