--- a/src/controller/calls.rs
+++ b/src/controller/calls.rs
@@ -5,16 +5,15 @@
 use duty_lease::Duty;
 
 use super::clock::EventTime;
+use super::dependencies::DependencyRecord;
 use super::duties::SentOrder;
-use super::http::HttpResponse;
 use super::responses::{self, AgentResponse};
 use super::store_sync::ChangeRead;
 use super::{Controller, StepDownReason};
 use crate::leader_lease::LeaseRequest;
 use crate::net::Outcome;
-use crate::peer_protocol::{ForwardedReply, PeerStatus};
+use crate::peer_protocol::PeerStatus;
 use crate::scheduler::{DirectStart, StatusOrigin};
-use crate::wire;
 
 /// What a call was for.
 #[derive(Debug)]
@@ -49,7 +48,7 @@
     ReadDependency {
         user: u64,
         dependency: String,
-        is_final: bool,
+        record: DependencyRecord,
     },
     /// How a job ended that a live one depends on.
     LookUpDependency { dependency: String },
@@ -126,8 +125,8 @@
             PendingCall::ReadDependency {
                 user,
                 dependency,
-                is_final,
-            } => self.on_dependency_read(user, dependency, is_final, &outcome),
+                record,
+            } => self.on_dependency_read(user, dependency, record, &outcome),
             PendingCall::LookUpDependency { dependency } => {
                 self.on_dependency_lookup(&dependency, &outcome);
             }
@@ -184,21 +183,4 @@
             self.on_peer_status(member, status);
         }
     }
-
-    fn on_forward_outcome(&mut self, user: u64, outcome: &Outcome) {
-        let Some(reply) = responses::decode_peer::<ForwardedReply>(outcome) else {
-            return self.finish_user(user, HttpResponse::unavailable());
-        };
-        if wire::is_cancelled_reply(&reply.body) {
-            if let Some(id) = self.users.get(&user).map(|p| p.id.clone()) {
-                self.acknowledge_cancellation(&id);
-            }
-        }
-        let response = HttpResponse {
-            status: reply.status as u16,
-            retry_after_s: reply.retry_after,
-            body: reply.body,
-        };
-        self.finish_user(user, response);
-    }
 }
--- a/src/controller/dependencies.rs
+++ b/src/controller/dependencies.rs
@@ -6,6 +6,7 @@
 use tracing::warn;
 
 use super::calls::PendingCall;
+use super::format_version::FormatProof;
 use super::http::HttpCall;
 use super::responses::{self, KeyRead};
 use super::user_types::{RequestStage, UserRequest};
@@ -16,9 +17,9 @@
 use crate::watch_cache::{final_key, job_key};
 use crate::wire;
 
-/// How many jobs are looked up at a time.
+/// Most jobs that are looked up at a time.
 const LOOKUPS_MAX: usize = 8;
-/// Pause after one that told nothing.
+/// Pause after one without result.
 const LOOKUP_RETRY_MS: u64 = 300;
 /// Share of the request limit that these reads leave to others.
 const LOOKUP_RESERVE: f64 = 0.1;
@@ -30,6 +31,50 @@
     next_at: u64,
 }
 
+impl DependencyLookups {
+    fn are_due(&self, now: u64) -> bool {
+        now >= self.next_at
+    }
+
+    /// Jobs to look up next, at most as many as may be in flight.
+    fn next_batch<'a>(&self, unresolved: impl Iterator<Item = &'a String>) -> Vec<String> {
+        let free = LOOKUPS_MAX.saturating_sub(self.in_flight.len());
+        let waiting = unresolved.filter(|id| !self.in_flight.contains(*id));
+        waiting.take(free).cloned().collect()
+    }
+
+    fn begin(&mut self, dependency: &str) {
+        self.in_flight.insert(dependency.to_string());
+    }
+
+    fn complete(&mut self, dependency: &str) {
+        self.in_flight.remove(dependency);
+    }
+
+    /// A look-up was without result.
+    fn pause(&mut self, now: u64) {
+        self.next_at = now + LOOKUP_RETRY_MS;
+    }
+}
+
+/// Which record of a job that a submission names is read.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(super) enum DependencyRecord {
+    /// That of a live job.
+    Live,
+    /// Its final state.
+    Final,
+}
+
+impl DependencyRecord {
+    fn key(self, id: &str) -> String {
+        match self {
+            DependencyRecord::Live => job_key(id),
+            DependencyRecord::Final => final_key(id),
+        }
+    }
+}
+
 impl Controller {
     /// Tells the scheduler what changes of the watch cache mean for jobs with dependencies.
     pub(super) fn forward_dependency_events(&mut self) {
@@ -45,11 +90,11 @@
         }
     }
 
-    /// Accepts a new job if all that it names is known to have been accepted; else looks
-    /// for the first of the others. Another controller may have accepted it a moment ago,
-    /// so its record is read, and then, if it is not alive, how it ended.
+    /// Accepts a new job if all jobs that it names are known to have been accepted; else looks
+    /// for the first of the others. Another controller may have accepted it a moment ago, so
+    /// its record is read, and then, if it is not live, its final state.
     pub(super) fn resolve_dependencies(&mut self, user: u64) {
-        let Some(pending) = self.users.get(&user) else {
+        let Some(pending) = self.users.get(user) else {
             return;
         };
         let UserRequest::Submit(spec) = &pending.request else {
@@ -62,78 +107,63 @@
         let has_dependencies = !spec.dependencies.is_empty();
         let unknown = spec.dependencies.iter().find(is_unknown).cloned();
         if let Some(dependency) = unknown {
-            self.set_stage(user, RequestStage::Read);
-            return self.read_dependency(user, dependency, false);
+            self.users.set_stage(user, RequestStage::Read);
+            return self.read_dependency(user, dependency, DependencyRecord::Live);
         }
         if has_dependencies {
-            self.confirm_packed_format("a submission names dependencies");
+            self.confirm_packed_format(FormatProof::Dependencies);
         }
         self.create_job(user);
     }
 
-    fn read_dependency(&mut self, user: u64, dependency: String, is_final: bool) {
-        let key = if is_final {
-            final_key(&dependency)
-        } else {
-            job_key(&dependency)
-        };
+    fn read_dependency(&mut self, user: u64, dependency: String, record: DependencyRecord) {
+        let call = HttpCall::get_key(&record.key(&dependency));
         let pending = PendingCall::ReadDependency {
             user,
             dependency,
-            is_final,
+            record,
         };
-        self.outbox.call_store(pending, HttpCall::get_key(&key));
+        self.outbox.call_store(pending, call);
     }
 
     pub(super) fn on_dependency_read(
         &mut self,
         user: u64,
         dependency: String,
-        is_final: bool,
+        record: DependencyRecord,
         outcome: &Outcome,
     ) {
-        match responses::key_read(outcome) {
-            KeyRead::Found(body) => {
-                if is_final {
+        match (responses::key_read(outcome), record) {
+            (KeyRead::Found(body), _) => {
+                if record == DependencyRecord::Final {
                     self.record_final_reply(&dependency, body);
                 }
-                if let Some(pending) = self.users.get_mut(&user) {
-                    pending.found_dependencies.push(dependency);
-                }
+                self.users.add_found_dependency(user, dependency);
                 self.resolve_dependencies(user);
             }
-            KeyRead::NotFound if !is_final => {
-                self.read_dependency(user, dependency, true);
+            (KeyRead::NotFound, DependencyRecord::Live) => {
+                self.read_dependency(user, dependency, DependencyRecord::Final);
             }
-            KeyRead::NotFound => {
+            (KeyRead::NotFound, DependencyRecord::Final) => {
                 let after = self.clock.sequence();
-                if let Some(pending) = self.users.get_mut(&user) {
-                    pending.names_unknown_job = true;
-                    pending.stage = RequestStage::AwaitCache { after, revision: 0 };
-                }
+                self.users.mark_unknown_dependency(user, after);
             }
-            KeyRead::Failed => self.forward_user(user),
+            (KeyRead::Failed, _) => self.forward_user(user),
         }
     }
 
-    /// Looks up how jobs ended that live ones depend on.
+    /// Looks up the final states of jobs that live ones depend on.
     pub(super) fn lookup_tick(&mut self) {
         let now = self.clock.steady_ms();
-        if !self.watch_cache.loaded || now < self.lookups.next_at {
+        if !self.watch_cache.loaded || !self.lookups.are_due(now) {
             return;
         }
-        let in_flight = &self.lookups.in_flight;
-        let unresolved = self.watch_cache.dependencies.unresolved().iter();
-        let due: Vec<String> = unresolved
-            .filter(|id| !in_flight.contains(*id))
-            .take(LOOKUPS_MAX.saturating_sub(in_flight.len()))
-            .cloned()
-            .collect();
-        for dependency in due {
+        let unresolved = self.watch_cache.dependencies.unresolved();
+        for dependency in self.lookups.next_batch(unresolved.iter()) {
             if !self.store.try_request(now, LOOKUP_RESERVE) {
                 return;
             }
-            self.lookups.in_flight.insert(dependency.clone());
+            self.lookups.begin(&dependency);
             let call = HttpCall::get_key(&final_key(&dependency));
             let pending = PendingCall::LookUpDependency { dependency };
             self.outbox.call_store(pending, call);
@@ -141,14 +171,14 @@
     }
 
     pub(super) fn on_dependency_lookup(&mut self, dependency: &str, outcome: &Outcome) {
-        self.lookups.in_flight.remove(dependency);
+        self.lookups.complete(dependency);
         match responses::key_read(outcome) {
             KeyRead::Found(body) => {
                 self.record_final_reply(dependency, body);
             }
-            // Alive, and not in the watch cache yet; or the service is in trouble.
+            // Live, and not in the watch cache yet; or the store is in trouble.
             KeyRead::NotFound | KeyRead::Failed => {
-                self.lookups.next_at = self.clock.steady_ms() + LOOKUP_RETRY_MS
+                self.lookups.pause(self.clock.steady_ms());
             }
         }
     }
--- a/src/controller/format_version.rs
+++ b/src/controller/format_version.rs
@@ -8,6 +8,7 @@
 //! to the version before. Before that, a submission that names dependencies or a refusal
 //! for a lower limit is proof as well: neither comes before all run this version.
 
+use thiserror::Error;
 use tracing::{debug, error, info};
 
 use super::commits::WriteOwner;
@@ -31,6 +32,15 @@
 /// nothing proves that the lower limit holds.
 const THROTTLED_INTERVALS: f64 = 4.0;
 
+/// What proves that no earlier version runs any more.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
+pub(super) enum FormatProof {
+    #[error("a submission names dependencies")]
+    Dependencies,
+    #[error("the store holds to its lower limits")]
+    LoweredLimits,
+}
+
 /// What is known of the format beyond the watch cache.
 #[derive(Debug, Default)]
 pub(super) struct FormatState {
@@ -68,9 +78,9 @@
     }
 
     /// No earlier version runs any more.
-    pub(super) fn confirm_packed_format(&mut self, why: &str) {
+    pub(super) fn confirm_packed_format(&mut self, proof: FormatProof) {
         if self.format() < PACKED_FORMAT {
-            info!("format {PACKED_FORMAT}: {why}");
+            info!(format = PACKED_FORMAT, reason = %proof, "no earlier version runs any more");
             self.format_state.is_confirmed = true;
             self.format_state.next_write_at = 0;
             self.on_format_changed();
@@ -187,7 +197,7 @@
             // formed: it is too large by now.
             status::BAD_REQUEST => {
                 debug!("refused: {}", wire::readable(body));
-                self.confirm_packed_format("the state service holds to its lower limits");
+                self.confirm_packed_format(FormatProof::LoweredLimits);
             }
             status::TOO_MANY_REQUESTS if self.format() < PACKED_FORMAT => {
                 let spell_s = self.settings.cluster.workers.report_s * THROTTLED_INTERVALS;
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -13,6 +13,7 @@
 mod format_version;
 mod heartbeats;
 mod http;
+mod job_validation;
 mod leadership;
 mod machine_list_reader;
 mod outbox;
@@ -27,15 +28,14 @@
 mod store_sync;
 mod terms;
 mod user_replies;
+mod user_request_parser;
+mod user_request_table;
 mod user_requests;
 mod user_submissions;
 mod user_types;
 
-use std::collections::BTreeMap;
-
 use prost::Message;
 
-use crate::admission::AdmissionLimit;
 use crate::leader_lease::leader_lease_ttl_ms;
 use crate::net::{status, Action, Event, Listener, Request};
 use crate::peer_protocol::{ForwardedRequest, PeerStatus, FORWARD_PATH, STATUS_PATH};
@@ -62,14 +62,12 @@
 use store_client::{StoreClient, StoreRole};
 use store_sync::StoreSync;
 use terms::StepDownReason;
-use user_types::{Caller, PendingRequest, RequestOrigin};
+use user_request_table::UserRequestTable;
+use user_types::{Caller, RequestOrigin};
 
 /// How often timers are checked.
 const TICK_MS: u64 = 100;
-/// What an answer to a user may take before the limit on requests in progress falls.
-const USER_TARGET_MS: u64 = 500;
-/// Sockets for each user's request in progress.
-const SOCKETS_PER_USER: usize = 4;
+
 /// One controller.
 pub struct Controller {
     settings: Settings,
@@ -88,9 +86,7 @@
     lookups: DependencyLookups,
     acknowledged_cancellations: AcknowledgedCancellations,
     provider: ProviderClient,
-    users: BTreeMap<u64, PendingRequest>,
-    next_user: u64,
-    admission: AdmissionLimit,
+    users: UserRequestTable,
     peers: PeerTable,
     agents: AgentGateway,
     plan_timer: PlanTimer,
@@ -108,7 +104,6 @@
         let ttl_ms = leader_lease_ttl_ms(cluster, &operator);
         let state = &cluster.state;
         let writes_max = state.lowered().txn_ops;
-        let user_sockets = cluster.limits.fd_limit / SOCKETS_PER_USER;
         Controller {
             clock: EventClock::new(),
             outbox: Outbox::new(settings.endpoints.clone()),
@@ -122,9 +117,7 @@
             lookups: DependencyLookups::default(),
             acknowledged_cancellations: AcknowledgedCancellations::default(),
             provider: ProviderClient::new(cluster),
-            users: BTreeMap::new(),
-            next_user: 1,
-            admission: AdmissionLimit::new(USER_TARGET_MS, user_sockets),
+            users: UserRequestTable::new(cluster.limits.fd_limit),
             peers: PeerTable::new(&settings.peers),
             agents: AgentGateway::default(),
             plan_timer: PlanTimer::default(),
--- a/src/controller/stats.rs
+++ b/src/controller/stats.rs
@@ -43,13 +43,13 @@
             return;
         }
         self.stats_timer.next_at = now + INTERVAL_MS;
-        if let Some(times) = self.admission.take_times() {
+        if let Some(times) = self.users.take_times() {
             info!(
                 "{} user requests, median {} ms, 99% {} ms, limit {}",
                 times.count,
                 times.median_ms,
                 times.p99_ms,
-                self.admission.limit()
+                self.users.limit()
             );
         }
         let writes = self.store.take_write_stats();
--- a/src/controller/store_sync.rs
+++ b/src/controller/store_sync.rs
@@ -8,7 +8,6 @@
 use super::http::{HttpCall, READ_TIMEOUT_MS};
 use super::responses::{self, CallError};
 use super::store_client::{REACHABLE_MS, STORE_TIMEOUT_MS, WATCH_HOLD_MS};
-use super::user_types::RequestStage;
 use super::{Controller, StepDownReason};
 use crate::duties::DUTIES_PREFIX;
 use crate::leadership_keys::LEADERSHIP_PREFIX;
@@ -249,15 +248,7 @@
 
     /// Whether somebody waits for a watch cache that is newer than the present one.
     fn has_waiting_readers(&self) -> bool {
-        let complete = self.store_sync.complete_as_of;
-        let waits = |stage: &RequestStage| match stage {
-            RequestStage::AwaitCache { after, revision } => {
-                let too_old = complete.is_none_or(|c| c.sequence < *after);
-                too_old || self.watch_cache.revision < *revision
-            }
-            _ => false,
-        };
-        self.leadership.has_pending_term() || self.users.values().any(|user| waits(&user.stage))
+        self.leadership.has_pending_term() || self.users.is_waiting_for_newer(self.cache_age())
     }
 
     /// Applies the response to a watch, or to a read for somebody who waits.
--- a/src/controller/user_replies.rs
+++ b/src/controller/user_replies.rs
@@ -1,32 +1,23 @@
-//! Answers to users, directly or through the controller that forwarded the request.
+//! Responses to users, directly or through the controller that forwarded the request.
 
 use prost::Message;
 
 use super::http::HttpResponse;
-use super::user_types::{Caller, JobStatus, PendingRequest, RequestOrigin};
+use super::user_types::{Caller, JobStatus, RequestOrigin};
 use super::Controller;
 use crate::peer_protocol::ForwardedReply;
 use crate::wire;
 
 impl Controller {
-    /// Removes a request that has its answer.
-    pub(super) fn take_user(&mut self, user: u64) -> Option<PendingRequest> {
-        let pending = self.users.remove(&user)?;
-        let now = self.clock.steady_ms();
-        let took_ms = now - pending.since;
-        self.admission.record(took_ms, self.users.len() + 1, now);
-        Some(pending)
-    }
-
     pub(super) fn finish_user(&mut self, user: u64, response: HttpResponse) {
-        if let Some(pending) = self.take_user(user) {
+        if let Some(pending) = self.users.finish(user, self.clock.steady_ms()) {
             self.respond_to_caller(pending.caller, response);
         }
     }
 
     pub(super) fn finish_status(&mut self, user: u64, status: u16, job: JobStatus) {
-        if let Some(pending) = self.take_user(user) {
-            self.respond_with_status(pending.caller, &pending.id, status, job);
+        if let Some(pending) = self.users.finish(user, self.clock.steady_ms()) {
+            self.respond_with_status(pending.caller, &pending.job, status, job);
         }
     }
 
--- a/src/controller/user_requests.rs
+++ b/src/controller/user_requests.rs
@@ -1,4 +1,4 @@
-//! Users' requests.
+//! Users' requests, from their arrival to the response.
 
 use prost::Message;
 use tracing::debug;
@@ -7,28 +7,27 @@
 use super::commits::WriteOwner;
 use super::http::{HttpCall, HttpResponse};
 use super::responses::{self, KeyRead};
+use super::user_request_parser::{parse_request, ParsedRequest};
+use super::user_request_table::CacheAge;
 use super::user_types::{
-    Caller, JobStatus, PendingRequest, RequestOrigin, RequestStage, TaskCounts, UserRequest,
+    Caller, JobStatus, PendingRequest, RequestOrigin, RequestStage, UserRequest,
 };
 use super::Controller;
 use crate::net::{status, Outcome};
-use crate::peer_protocol::{ForwardedRequest, FORWARD_PATH};
+use crate::peer_protocol::{ForwardedReply, ForwardedRequest, FORWARD_PATH};
 use crate::watch_cache::{final_key, job_key};
 use crate::wire::{self, Condition, Write};
 use crate::write_queue::{CommitResult, WriteClass, WriteRequest};
 
-/// A user gives up after 5 s, or 2 s for a poll.
-const SUBMIT_MS: u64 = 3500;
-const POLL_MS: u64 = 1700;
 const FORWARD_TIMEOUT_MS: u64 = 1600;
 /// Pause before a change is tried again.
 const RETRY_MS: u64 = 150;
 
 impl Controller {
-    /// Fails for a controller that the store refuses while another
-    /// one is served, or which hears none: users would keep to it and get no
-    /// answer for as long as it is cut off. An outage that all see takes nobody
-    /// out.
+    /// Whether users should be sent here. They should not if the store is reachable for
+    /// another controller and not for this one, or if this one hears no other: they would
+    /// stay with it and get no response while it is cut off. An outage that all controllers
+    /// see leaves them healthy.
     pub fn is_healthy(&self) -> bool {
         if !self.watch_cache.loaded || self.is_outdated() {
             return false;
@@ -45,42 +44,24 @@
         path: &str,
         body: Vec<u8>,
     ) {
-        let (id, request) = match parse_request(method, path, &body) {
+        let ParsedRequest { job, request } = match parse_request(method, path, &body) {
             Ok(parsed) => parsed,
             Err(error) => {
-                let response = HttpResponse::error(error.status, &error.reason);
-                return self.respond_to_caller(caller, response);
+                debug!(%error, body = wire::readable(&body), "request refused");
+                return self.respond_to_caller(caller, error.response());
             }
         };
-        // An end is final: no need to read anything.
-        if let Some(state) = self.watch_cache.final_state(&id) {
-            return self.respond_with_status(
-                caller,
-                &id,
-                status::OK,
-                JobStatus::new(state.status()),
-            );
+        // A final state never changes: no need to read anything.
+        if let Some(state) = self.watch_cache.final_state(&job) {
+            let job_status = JobStatus::new(state.status());
+            return self.respond_with_status(caller, &job, status::OK, job_status);
         }
-        if !self.admission.admits(self.users.len()) {
+        if !self.users.admits() {
             let response = HttpResponse::error(status::TOO_MANY_REQUESTS, "too much at once");
             return self.respond_to_caller(caller, response.with_retry_after());
         }
-        let user = self.next_user;
-        self.next_user += 1;
-        let pending = PendingRequest {
-            caller,
-            id,
-            request,
-            since: self.clock.steady_ms(),
-            stage: RequestStage::AwaitCache {
-                after: self.clock.sequence(),
-                revision: 0,
-            },
-            body,
-            found_dependencies: vec![],
-            names_unknown_job: false,
-        };
-        self.users.insert(user, pending);
+        let (after, now) = (self.clock.sequence(), self.clock.steady_ms());
+        let user = self.users.insert(caller, job, request, body, after, now);
         if !self.watch_cache.loaded || !self.is_store_reachable() || self.is_outdated() {
             return self.forward_user(user);
         }
@@ -89,7 +70,6 @@
 
     /// Writes a job's cancellation.
     fn cancel_job(&mut self, user: u64, id: &str) {
-        let format = self.format();
         let Some(live) = self.watch_cache.jobs.get(id) else {
             return;
         };
@@ -98,45 +78,29 @@
         let request = WriteRequest {
             owner: WriteOwner::User(user),
             conditions: vec![Condition::new(job_key(id), live.version)],
-            writes: vec![Write::set(job_key(id), record.to_value(format))],
+            writes: vec![Write::set(job_key(id), record.to_value(self.format()))],
             class: WriteClass::User,
         };
-        self.set_stage(user, RequestStage::Commit);
+        self.users.set_stage(user, RequestStage::Commit);
         self.store.push_write(request);
     }
 
-    pub(super) fn set_stage(&mut self, user: u64, stage: RequestStage) {
-        if let Some(pending) = self.users.get_mut(&user) {
-            pending.stage = stage;
-        }
-    }
-
-    /// Forwards a request to a controller that is served, or says when to come back.
+    /// Forwards a request to a controller for which the store is reachable, or asks the user
+    /// to try again.
     pub(super) fn forward_user(&mut self, user: u64) {
-        let Some(pending) = self.users.get(&user) else {
+        let Some(pending) = self.users.get(user) else {
             return;
         };
-        let address = self.peers.served_peer(self.clock.steady_ms());
         let caller = pending.caller;
+        let address = self.peers.served_peer(self.clock.steady_ms());
         let Some(address) = address.filter(|_| caller.origin == RequestOrigin::User) else {
-            self.users.remove(&user);
+            self.users.remove(user);
             let reason = "the state service does not answer";
             let response = HttpResponse::error(status::UNAVAILABLE, reason);
             return self.respond_to_caller(caller, response.with_retry_after());
         };
-        let id = &pending.id;
-        let (method, path) = match &pending.request {
-            UserRequest::Submit(_) => ("POST", wire::JOBS_PATH.to_string()),
-            UserRequest::Poll => ("GET", format!("{}/{id}", wire::JOBS_PATH)),
-            UserRequest::Cancel => ("POST", format!("{}/{id}/cancel", wire::JOBS_PATH)),
-        };
-        let body = ForwardedRequest {
-            method: method.into(),
-            path,
-            body: pending.body.clone(),
-        }
-        .encode_to_vec();
-        self.set_stage(user, RequestStage::Forwarded);
+        let body = forwarded_request(pending).encode_to_vec();
+        self.users.set_stage(user, RequestStage::Forwarded);
         let call = HttpCall::post(FORWARD_PATH, body, FORWARD_TIMEOUT_MS);
         self.outbox
             .call(PendingCall::Forward { user }, address, call);
@@ -144,89 +108,77 @@
 
     /// A read for users has failed: those who wait for it are forwarded.
     pub(super) fn forward_waiting_users(&mut self) {
-        let waits = |stage: RequestStage| matches!(stage, RequestStage::AwaitCache { .. });
-        for user in self.users_where(|pending| waits(pending.stage)) {
+        for user in self.users.waiting_for_cache() {
             self.forward_user(user);
         }
     }
 
-    fn users_where(&self, matches: impl Fn(&PendingRequest) -> bool) -> Vec<u64> {
-        let users = self.users.iter().filter(|(_, pending)| matches(pending));
-        users.map(|(user, _)| *user).collect()
+    /// How recent the watch cache is.
+    pub(super) fn cache_age(&self) -> CacheAge {
+        let complete = self.store_sync.complete_as_of();
+        CacheAge {
+            complete_as_of: complete.map_or(0, |complete| complete.sequence),
+            revision: self.watch_cache.revision,
+        }
     }
 
-    /// The watch cache was read anew: whoever waited for that goes on.
+    /// The watch cache was updated: requests that waited for that are decided.
     pub(super) fn resolve_waiting_users(&mut self) {
         if !self.watch_cache.loaded {
             // It is being read anew, and lacks what is on later pages.
             return;
         }
-        let complete = self.store_sync.complete_as_of();
-        let sequence = complete.map_or(0, |complete| complete.sequence);
-        let current = self.watch_cache.revision;
-        let ready = self.users_where(|pending| match pending.stage {
-            RequestStage::AwaitCache { after, revision } => {
-                after <= sequence && revision <= current
-            }
-            _ => false,
-        });
-        for user in ready {
+        for user in self.users.decidable(self.cache_age()) {
             self.resolve_user(user);
         }
     }
 
     /// Decides with a watch cache that is newer than the request.
     fn resolve_user(&mut self, user: u64) {
-        let Some(pending) = self.users.get(&user) else {
+        let Some(pending) = self.users.get(user) else {
             return;
         };
-        let id = pending.id.clone();
+        let job = pending.job.clone();
         let is_cancel = matches!(pending.request, UserRequest::Cancel);
-        if let Some(state) = self.watch_cache.final_state(&id) {
+        if let Some(state) = self.watch_cache.final_state(&job) {
             return self.finish_status(user, status::OK, JobStatus::new(state.status()));
         }
-        let Some(live) = self.watch_cache.jobs.get(&id) else {
-            // Neither alive nor known to be over: look.
-            return self.read_final(user, &id);
-        };
-        if self.watch_cache.is_cancelled(&id) {
+        if !self.watch_cache.jobs.contains_key(&job) {
+            // Neither live nor known to have ended: look.
+            return self.read_final(user, &job);
+        }
+        if self.watch_cache.is_cancelled(&job) {
             return self.finish_status(user, status::OK, JobStatus::new(wire::WITHDRAWN));
         }
         if is_cancel {
-            return self.cancel_job(user, &id);
+            return self.cancel_job(user, &job);
         }
-        if self.watch_cache.dependencies.has_unresolved(&id) {
+        if self.watch_cache.dependencies.has_unresolved(&job) {
             // It may be cancelled by a job that is yet to be looked up.
             let after = self.clock.sequence() + 1;
-            return self.set_stage(user, RequestStage::AwaitCache { after, revision: 0 });
+            let stage = RequestStage::AwaitCache { after, revision: 0 };
+            return self.users.set_stage(user, stage);
+        }
+        if let Some(live) = self.watch_cache.jobs.get(&job) {
+            let job_status = JobStatus::of_live(&live.record);
+            self.finish_status(user, status::OK, job_status);
         }
-        let counts = TaskCounts {
-            done: live.record.done.len(),
-            running: live.record.placed_tasks(),
-        };
-        let status = if counts.running > 0 {
-            wire::RUNNING
-        } else {
-            wire::PENDING
-        };
-        let tasks = Some(counts);
-        self.finish_status(user, status::OK, JobStatus { status, tasks });
     }
 
     fn read_final(&mut self, user: u64, id: &str) {
-        self.set_stage(user, RequestStage::Read);
+        self.users.set_stage(user, RequestStage::Read);
         let call = HttpCall::get_key(&final_key(id));
         self.outbox
             .call_store(PendingCall::ReadFinal { user }, call);
     }
 
     pub(super) fn on_final_read(&mut self, user: u64, outcome: &Outcome) {
-        let Some(pending) = self.users.get(&user) else {
+        let Some(pending) = self.users.get(user) else {
             return;
         };
         match responses::key_read(outcome) {
             KeyRead::Found(body) => {
-                let id = pending.id.clone();
+                let id = pending.job.clone();
                 match self.record_final_reply(&id, body) {
                     Some(state) => {
                         self.finish_status(user, status::OK, JobStatus::new(state.status()))
@@ -240,46 +192,37 @@
     }
 
     pub(super) fn on_user_commit(&mut self, user: u64, result: &CommitResult) {
-        let (now, after) = (self.clock.steady_ms(), self.clock.sequence());
-        let Some(pending) = self.users.get_mut(&user) else {
+        let Some(pending) = self.users.get(user) else {
             return;
         };
-        match result {
-            CommitResult::Committed { .. } => match pending.request {
-                UserRequest::Cancel => {
-                    self.finish_status(user, status::OK, JobStatus::new(wire::WITHDRAWN))
-                }
-                _ => self.finish_status(user, status::CREATED, JobStatus::new(wire::PENDING)),
-            },
-            // Another change came first: see what stands now.
-            CommitResult::Conflict { revision, .. } => {
-                let revision = *revision;
-                pending.stage = RequestStage::AwaitCache { after, revision };
-            }
-            CommitResult::Rejected | CommitResult::Unknown => {
-                let until = now + RETRY_MS;
-                pending.stage = RequestStage::Pause { until };
+        let stage = match result {
+            CommitResult::Committed { .. } => {
+                return match pending.request {
+                    UserRequest::Cancel => {
+                        self.finish_status(user, status::OK, JobStatus::new(wire::WITHDRAWN))
+                    }
+                    _ => self.finish_status(user, status::CREATED, JobStatus::new(wire::PENDING)),
+                };
             }
-        }
+            // Another change came first: see what the records are now.
+            CommitResult::Conflict { revision, .. } => RequestStage::AwaitCache {
+                after: self.clock.sequence(),
+                revision: *revision,
+            },
+            CommitResult::Rejected | CommitResult::Unknown => RequestStage::Pause {
+                until: self.clock.steady_ms() + RETRY_MS,
+            },
+        };
+        self.users.set_stage(user, stage);
     }
 
     /// Ends requests that have taken too long, and goes on with those that paused.
     pub(super) fn users_tick(&mut self) {
         let now = self.clock.steady_ms();
-        let is_late = |pending: &PendingRequest| {
-            let max_ms = match pending.request {
-                UserRequest::Poll => POLL_MS,
-                UserRequest::Submit(_) | UserRequest::Cancel => SUBMIT_MS,
-            };
-            now > pending.since + max_ms
-        };
-        let late = self.users_where(is_late);
-        let paused = self.users_where(|pending| {
-            let over = matches!(pending.stage, RequestStage::Pause { until } if now >= until);
-            over && !is_late(pending)
-        });
-        for user in late {
-            // Its change may still get through; the user asks again.
+        let overdue = self.users.overdue(now);
+        let paused = self.users.resumable(now);
+        for user in overdue {
+            // Its write may still get through; the user asks again.
             self.store
                 .cancel_writes(|owner| matches!(owner, WriteOwner::User(other) if *other == user));
             self.finish_user(user, HttpResponse::unavailable());
@@ -293,69 +236,51 @@
         if !self.is_store_reachable() {
             return self.forward_user(user);
         }
-        let after = self.clock.sequence();
-        let Some(pending) = self.users.get_mut(&user) else {
+        let Some(pending) = self.users.get(user) else {
             return;
         };
         match pending.request {
-            // The same create: if the first one got through, this one
-            // fails on its condition and the job is found.
+            // The same create: if the first one got through, this one fails on its condition
+            // and the job is found.
             UserRequest::Submit(_) => self.create_job(user),
             UserRequest::Poll | UserRequest::Cancel => {
-                pending.stage = RequestStage::AwaitCache { after, revision: 0 };
+                let after = self.clock.sequence();
+                let stage = RequestStage::AwaitCache { after, revision: 0 };
+                self.users.set_stage(user, stage);
             }
         }
     }
-}
 
-/// Why a request can't be read.
-struct RequestError {
-    status: u16,
-    reason: String,
-}
-
-impl RequestError {
-    fn new(status: u16, reason: impl Into<String>) -> RequestError {
-        RequestError {
-            status,
-            reason: reason.into(),
+    /// Another controller has decided on a request that was forwarded to it.
+    pub(super) fn on_forward_outcome(&mut self, user: u64, outcome: &Outcome) {
+        let Some(reply) = responses::decode_peer::<ForwardedReply>(outcome) else {
+            return self.finish_user(user, HttpResponse::unavailable());
+        };
+        if wire::is_cancelled_reply(&reply.body) {
+            if let Some(job) = self.users.get(user).map(|pending| pending.job.clone()) {
+                self.acknowledge_cancellation(&job);
+            }
         }
+        let response = HttpResponse {
+            status: reply.status as u16,
+            retry_after_s: reply.retry_after,
+            body: reply.body,
+        };
+        self.finish_user(user, response);
     }
 }
 
-/// The job and what the user wants of it.
-fn parse_request(
-    method: &str,
-    path: &str,
-    body: &[u8],
-) -> Result<(String, UserRequest), RequestError> {
-    let no_such_path = || RequestError::new(status::NOT_FOUND, "no such path");
-    let wrong_method = || RequestError::new(status::METHOD_NOT_ALLOWED, "not this method here");
-    let rest = path
-        .strip_prefix(wire::JOBS_PATH)
-        .ok_or_else(no_such_path)?;
-    if rest.is_empty() {
-        if method != "POST" {
-            return Err(RequestError::new(
-                status::METHOD_NOT_ALLOWED,
-                "only POST here",
-            ));
-        }
-        let (id, spec) = wire::parse_submission(body).map_err(|e| {
-            debug!("{e}: {}", wire::readable(body));
-            RequestError::new(status::BAD_REQUEST, e.to_string())
-        })?;
-        return Ok((id, UserRequest::Submit(Box::new(spec))));
-    }
-    let name = rest.strip_prefix('/').ok_or_else(no_such_path)?;
-    let (id, request) = match name.strip_suffix("/cancel") {
-        Some(id) if method == "POST" => (id, UserRequest::Cancel),
-        None if method == "GET" && !name.contains('/') => (name, UserRequest::Poll),
-        None if name.contains('/') => return Err(no_such_path()),
-        _ => return Err(wrong_method()),
+/// The message in which a request is forwarded.
+fn forwarded_request(pending: &PendingRequest) -> ForwardedRequest {
+    let job = &pending.job;
+    let (method, path) = match &pending.request {
+        UserRequest::Submit(_) => ("POST", wire::JOBS_PATH.to_string()),
+        UserRequest::Poll => ("GET", format!("{}/{job}", wire::JOBS_PATH)),
+        UserRequest::Cancel => ("POST", format!("{}/{job}/cancel", wire::JOBS_PATH)),
     };
-    if !wire::is_job_id(id) {
-        return Err(RequestError::new(status::NOT_FOUND, "no such job"));
+    ForwardedRequest {
+        method: method.into(),
+        path,
+        body: pending.body.clone(),
     }
-    Ok((id.to_string(), request))
 }
--- a/src/controller/user_types.rs
+++ b/src/controller/user_types.rs
@@ -3,8 +3,9 @@
 use thiserror::Error;
 
 use super::http::HttpResponse;
-use crate::job::JobSpec;
+use crate::job::{JobRecord, JobSpec};
 use crate::net::status;
+use crate::wire;
 
 /// Where a user's request came from.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -60,6 +61,23 @@
 }
 
 impl JobStatus {
+    /// The state of a live job that is not cancelled.
+    pub fn of_live(record: &JobRecord) -> JobStatus {
+        let tasks = TaskCounts {
+            done: record.done.len(),
+            running: record.placed_tasks(),
+        };
+        let status = if tasks.running > 0 {
+            wire::RUNNING
+        } else {
+            wire::PENDING
+        };
+        JobStatus {
+            status,
+            tasks: Some(tasks),
+        }
+    }
+
     /// A state that says nothing of tasks.
     pub fn new(status: &'static str) -> JobStatus {
         JobStatus {
@@ -74,16 +92,16 @@
 pub(super) struct PendingRequest {
     pub caller: Caller,
     /// The job's id.
-    pub id: String,
+    pub job: String,
     pub request: UserRequest,
     pub since: u64,
     pub stage: RequestStage,
-    /// As it came, to forward it.
+    /// As it was received, to forward it.
     pub body: Vec<u8>,
-    /// What a submission names: found on record, though not in the watch cache yet.
+    /// Jobs that a submission names, found on record though not in the watch cache yet.
     pub found_dependencies: Vec<String>,
-    /// It names a job that was never accepted. If it was accepted itself, it gets its
-    /// state all the same.
+    /// A submission names a job that was never accepted. If it was accepted itself, the
+    /// response has its state all the same.
     pub names_unknown_job: bool,
 }
 
