--- /dev/null
+++ b/src/controller/cache_updates.rs
@@ -0,0 +1,185 @@
+//! What is read of the store goes into the watch cache, and its changes from there to the
+//! other parts.
+
+use tracing::{debug, error, info, warn};
+
+use super::responses::{self, CallError};
+use super::store_sync::{ChangeRead, ChangesCall, KeyRange};
+use super::{Controller, StepDownReason};
+use crate::net::{status, Outcome};
+use crate::watch_cache::CacheEvent;
+use crate::wire;
+
+impl Controller {
+    /// Whether tasks may be started: leadership is certain and the watch cache recent.
+    pub(super) fn may_start(&self) -> bool {
+        let now = self.clock.steady_ms();
+        self.store_sync.is_recent(now) && self.leadership.is_certain(now)
+    }
+
+    pub(super) fn load_tick(&mut self) {
+        let now = self.clock.steady_ms();
+        if self.watch_cache.loaded || !self.store_sync.begin_load_if_due(now) {
+            return;
+        }
+        self.watch_cache.restart();
+        self.read_range(KeyRange::Leadership);
+    }
+
+    fn read_range(&mut self, range: KeyRange) {
+        self.store_sync.read_range(&mut self.outbox, range);
+    }
+
+    pub(super) fn on_page(&mut self, range: KeyRange, outcome: &Outcome) {
+        let page = match responses::decode_success::<wire::Page>(outcome) {
+            Ok(page) => page,
+            Err(error) => {
+                debug!(%error, "page of the store not read");
+                return self.store_sync.retry_load(self.clock.steady_ms());
+            }
+        };
+        self.watch_cache.apply_page(&page);
+        match range {
+            KeyRange::Leadership => self.on_leadership_loaded(page.revision),
+            _ if page.truncated => self.read_next_page(range, &page),
+            KeyRange::Duties => self.read_range(KeyRange::Jobs),
+            KeyRange::Jobs => self.on_loaded(),
+        }
+    }
+
+    fn on_leadership_loaded(&mut self, revision: u64) {
+        // Later changes are told by the watch, those in later pages a second time.
+        self.watch_cache.revision = revision;
+        // Before that format there are no records of duties.
+        if self.are_duties_active() {
+            self.read_range(KeyRange::Duties);
+        } else {
+            self.read_range(KeyRange::Jobs);
+        }
+    }
+
+    fn read_next_page(&mut self, range: KeyRange, page: &wire::Page) {
+        let outbox = &mut self.outbox;
+        if !self.store_sync.read_next_page(outbox, range, page) {
+            error!(?range, "pages of the store do not go on");
+            self.store_sync.retry_load(self.clock.steady_ms());
+        }
+    }
+
+    fn on_loaded(&mut self) {
+        self.store_sync.end_load();
+        self.watch_cache.loaded = true;
+        info!(
+            revision = self.watch_cache.revision,
+            jobs = self.watch_cache.jobs.len(),
+            "watch cache loaded"
+        );
+        if self.is_outdated() {
+            self.on_format_changed();
+        }
+        self.lease_tick();
+    }
+
+    pub(super) fn watch_tick(&mut self) {
+        if !self.watch_cache.loaded {
+            return;
+        }
+        let asked = self.clock.event_time();
+        let from = self.watch_cache.revision;
+        self.store_sync
+            .watch_if_due(&mut self.store, &mut self.outbox, from, asked);
+        if self.store_sync.is_user_read_due(asked.at) && self.has_waiting_readers() {
+            self.store_sync
+                .read_for_users(&mut self.store, &mut self.outbox, from, asked);
+        }
+    }
+
+    /// Whether a request, or a term that was won, waits for a watch cache that is newer than
+    /// the present one.
+    fn has_waiting_readers(&self) -> bool {
+        self.leadership.has_pending_term() || self.users.is_waiting_for_newer(self.cache_age())
+    }
+
+    /// Applies the response to a read of changes.
+    pub(super) fn on_changes(&mut self, call: ChangesCall, outcome: &Outcome) {
+        self.store_sync.complete_read(call.read);
+        match responses::decode_success::<wire::WatchReply>(outcome) {
+            Ok(reply) => self.apply_changes(&reply, call),
+            Err(CallError::Malformed(error)) => warn!(%error, "unreadable watch response"),
+            Err(CallError::Status(status::GONE)) => {
+                warn!("the watch fell too far behind: reading everything again");
+                self.read_all_again();
+            }
+            // The same request would get the same response again and again; pages are
+            // bounded.
+            Err(CallError::TooLarge) => {
+                error!(
+                    revision = self.watch_cache.revision,
+                    "too many changes in one watch response: reading everything again, by pages"
+                );
+                self.read_all_again();
+            }
+            Err(CallError::Status(_) | CallError::NoResponse | CallError::NotSent) => {
+                if call.read == ChangeRead::ForWaitingUsers {
+                    self.forward_waiting_users();
+                }
+                self.store_sync.pause_reads(self.clock.steady_ms());
+            }
+        }
+    }
+
+    fn read_all_again(&mut self) {
+        self.watch_cache.loaded = false;
+        self.store_sync.request_load();
+        if self.leadership.has_lease() {
+            self.resign(StepDownReason::CacheReadAgain, 0);
+        }
+    }
+
+    fn apply_changes(&mut self, reply: &wire::WatchReply, call: ChangesCall) {
+        let format = self.format();
+        let events = self
+            .watch_cache
+            .apply_changes(reply.revision, call.from, &reply.changes);
+        if self.watch_cache.revision >= reply.revision {
+            self.store_sync.record_complete(call.asked);
+        }
+        for event in events {
+            self.on_cache_event(event);
+        }
+        self.forward_dependency_events();
+        if self.watch_cache.format > format {
+            self.on_format_changed();
+        }
+        self.begin_term();
+        self.resolve_waiting_users();
+    }
+
+    fn on_cache_event(&mut self, event: CacheEvent) {
+        match event {
+            CacheEvent::JobUpdated(id) => self.on_job_updated(&id),
+            CacheEvent::JobRemoved(id) => {
+                if let Some(scheduler) = &mut self.scheduler {
+                    scheduler.remove_job(&id);
+                }
+            }
+            CacheEvent::LeaderChanged => {
+                if self.leadership.on_keys_changed(&self.watch_cache) {
+                    self.step_down(StepDownReason::LeaderKeyLost);
+                }
+                self.lease_tick();
+            }
+        }
+    }
+
+    fn on_job_updated(&mut self, id: &str) {
+        let Some(job) = self.watch_cache.jobs.get(id) else {
+            return;
+        };
+        if let Some(scheduler) = &mut self.scheduler {
+            let dependencies = &self.watch_cache.dependencies;
+            let ready_at = job.record.submitted_at;
+            scheduler.apply_job(id, job, dependencies, ready_at, self.clock.steady_ms());
+        }
+    }
+}
--- a/src/controller/commits.rs
+++ b/src/controller/commits.rs
@@ -4,6 +4,7 @@
 use super::{Controller, StepDownReason};
 use crate::job::FinalState;
 use crate::leadership_keys::{LEADER_KEY, LEASE_KEY};
+use crate::net::Outcome;
 use crate::write_queue::CommitResult;
 
 /// Whose change a write is.
@@ -43,7 +44,14 @@
 }
 
 impl Controller {
-    pub(super) fn on_commit(&mut self, owner: WriteOwner, result: &CommitResult) {
+    pub(super) fn on_transaction_outcome(&mut self, tag: u64, outcome: &Outcome) {
+        self.on_store_refusal(outcome);
+        for (owner, result) in self.store.on_transaction_outcome(tag, outcome) {
+            self.on_commit(owner, &result);
+        }
+    }
+
+    fn on_commit(&mut self, owner: WriteOwner, result: &CommitResult) {
         match owner {
             WriteOwner::User(user) => self.on_user_commit(user, result),
             WriteOwner::FormatVersion => {}
--- a/src/controller/effects.rs
+++ b/src/controller/effects.rs
@@ -1,16 +1,18 @@
-//! Carrying out what the scheduler wants done.
+//! Carrying out what the scheduler wants done, and what agents respond to it.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
 
 use tracing::trace;
 
-use super::calls::PendingCall;
+use super::calls::{AgentCall, PendingCall};
 use super::commits::{JobWrite, WriteOwner};
 use super::http::HttpCall;
 use super::provider_client::MachineRequest;
-use super::Controller;
-use crate::scheduler::{DirectStart, Effect};
+use super::responses::AgentResponse;
+use super::{Controller, StepDownReason};
+use crate::net::Outcome;
+use crate::scheduler::{DirectStart, Effect, StatusOrigin};
 use crate::wire;
 use crate::write_queue::{WriteClass, WriteRequest};
 
@@ -78,11 +80,29 @@
         starts: Vec<DirectStart>,
         call: HttpCall,
     ) {
-        let pending = PendingCall::Agent {
+        let pending = PendingCall::Agent(AgentCall {
             machine,
             epoch: self.epoch(),
             starts,
-        };
+        });
         self.outbox.call(pending, address, call);
     }
+
+    pub(super) fn on_agent_outcome(&mut self, call: &AgentCall, outcome: &Outcome) {
+        let now = self.clock.steady_ms();
+        let Some(scheduler) = self.scheduler_of(call.epoch) else {
+            return;
+        };
+        let response = AgentResponse::new(outcome, &call.machine);
+        if let Some(failure) = response.failure {
+            scheduler.on_start_failed(&call.machine, &call.starts, failure, now);
+        }
+        let Some(agent_status) = response.status else {
+            return;
+        };
+        if agent_status.epoch > call.epoch {
+            return self.resign(StepDownReason::HigherEpochSeen, 0);
+        }
+        scheduler.on_agent_status(&agent_status, StatusOrigin::DirectResponse, now);
+    }
 }
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -3,11 +3,13 @@
 
 mod acknowledged_cancellations;
 mod agent_gateway;
+mod cache_updates;
 mod calls;
 mod clock;
 mod commits;
 mod deferred_heartbeats;
 mod dependencies;
+mod dispatch;
 mod duties;
 mod effects;
 mod format_version;
@@ -34,15 +36,11 @@
 mod user_submissions;
 mod user_types;
 
-use prost::Message;
-
 use crate::leader_lease::leader_lease_ttl_ms;
-use crate::net::{status, Action, Event, Listener, Request};
-use crate::peer_protocol::{ForwardedRequest, PeerStatus, FORWARD_PATH, STATUS_PATH};
+use crate::net::{Action, Event};
 use crate::scheduler::Scheduler;
 use crate::settings::{OperatorSettings, Settings};
 use crate::watch_cache::WatchCache;
-use crate::wire;
 
 pub use clock::Timestamp;
 
@@ -52,18 +50,16 @@
 use dependencies::DependencyLookups;
 use duties::DutyState;
 use format_version::FormatState;
-use http::HttpResponse;
 use leadership::Leadership;
 use outbox::Outbox;
 use peer_table::PeerTable;
 use planning::PlanTimer;
 use provider_client::ProviderClient;
-use stats::{StatsTimer, TrafficStats};
+use stats::ControllerStats;
 use store_client::{StoreClient, StoreRole};
 use store_sync::StoreSync;
 use terms::StepDownReason;
 use user_request_table::UserRequestTable;
-use user_types::{Caller, RequestOrigin};
 
 /// How often timers are checked.
 const TICK_MS: u64 = 100;
@@ -91,10 +87,7 @@
     agents: AgentGateway,
     plan_timer: PlanTimer,
     next_tick_at: u64,
-    stats_timer: StatsTimer,
-    stats: TrafficStats,
-    /// Grants that were warned of.
-    warned_limits: usize,
+    stats: ControllerStats,
 }
 
 impl Controller {
@@ -108,7 +101,7 @@
             clock: EventClock::new(),
             outbox: Outbox::new(settings.endpoints.clone()),
             watch_cache: WatchCache::default(),
-            store_sync: StoreSync::default(),
+            store_sync: StoreSync::new(cluster, settings.peers.len() + 1),
             store: StoreClient::new(state, settings.peers.len()),
             leadership: Leadership::new(&settings.member, ttl_ms, writes_max, seed),
             scheduler: None,
@@ -122,15 +115,13 @@
             agents: AgentGateway::default(),
             plan_timer: PlanTimer::default(),
             next_tick_at: 0,
-            stats_timer: StatsTimer::default(),
-            stats: TrafficStats::default(),
-            warned_limits: 0,
+            stats: ControllerStats::new(),
             settings,
             operator,
         }
     }
 
-    /// What is to be done outside since the last call.
+    /// What is to be done since the last call.
     pub fn take_actions(&mut self) -> Vec<Action> {
         self.outbox.take_actions()
     }
@@ -174,9 +165,9 @@
         self.flush();
     }
 
-    /// What came in waited for so long before it was read.
+    /// Input waited for `delay_ms` before it was read.
     pub fn on_read_delay(&mut self, now: Timestamp, delay_ms: u64) {
-        self.stats.read_delay_ms = self.stats.read_delay_ms.max(delay_ms);
+        self.stats.record_read_delay(delay_ms);
         if let Some(scheduler) = &mut self.scheduler {
             scheduler.on_read_delay(delay_ms, now.steady);
         }
@@ -189,8 +180,7 @@
             return;
         }
         if self.next_tick_at > 0 {
-            let late_ms = now.steady - self.next_tick_at;
-            self.stats.tick_late_ms = self.stats.tick_late_ms.max(late_ms);
+            self.stats.record_late_tick(now.steady - self.next_tick_at);
         }
         self.next_tick_at = now.steady + TICK_MS;
         self.load_tick();
@@ -218,7 +208,7 @@
         }
     }
 
-    /// How long the event loop may wait.
+    /// How long the event loop may wait for events, in milliseconds.
     pub fn wait_ms(&self, now: u64) -> u64 {
         self.next_tick_at.saturating_sub(now).clamp(1, TICK_MS)
     }
@@ -241,73 +231,4 @@
         self.watch_tick();
         self.store.send_writes(&mut self.outbox, now);
     }
-
-    fn on_request(&mut self, connection: usize, listener: Listener, request: Request) {
-        *match (listener, request.path.as_str()) {
-            (Listener::Peers, _) => &mut self.stats.peers,
-            (_, wire::HEARTBEAT_PATH) => &mut self.stats.heartbeats,
-            _ => &mut self.stats.users,
-        } += 1;
-        match listener {
-            Listener::Peers => self.on_peer_request(connection, request),
-            Listener::Front => self.on_front_request(connection, request),
-        }
-    }
-
-    fn on_peer_request(&mut self, connection: usize, request: Request) {
-        match request.path.as_str() {
-            STATUS_PATH => match PeerStatus::decode(request.body.as_slice()) {
-                Ok(status) => {
-                    let body = self.status_for(&status).encode_to_vec();
-                    self.on_peer_status(&status.member.clone(), status);
-                    self.outbox.respond(connection, HttpResponse::ok(body));
-                }
-                Err(_) => self
-                    .outbox
-                    .respond(connection, HttpResponse::empty(status::BAD_REQUEST)),
-            },
-            FORWARD_PATH => match ForwardedRequest::decode(request.body.as_slice()) {
-                Ok(forwarded) => {
-                    let caller = Caller {
-                        connection,
-                        origin: RequestOrigin::Peer,
-                    };
-                    let ForwardedRequest { method, path, body } = forwarded;
-                    self.on_user_request(caller, &method, &path, body);
-                }
-                Err(_) => self
-                    .outbox
-                    .respond(connection, HttpResponse::empty(status::BAD_REQUEST)),
-            },
-            _ => self
-                .outbox
-                .respond(connection, HttpResponse::empty(status::NOT_FOUND)),
-        }
-    }
-
-    fn on_front_request(&mut self, connection: usize, request: Request) {
-        match (request.method.as_str(), request.path.as_str()) {
-            ("POST", wire::HEARTBEAT_PATH) => self.on_heartbeat(connection, &request.body),
-            ("GET", wire::HEALTH_PATH) => {
-                let status = if self.is_healthy() {
-                    status::OK
-                } else {
-                    status::UNAVAILABLE
-                };
-                self.outbox.respond(connection, HttpResponse::empty(status));
-            }
-            (_, wire::HEARTBEAT_PATH | wire::HEALTH_PATH) => {
-                self.outbox
-                    .respond(connection, HttpResponse::empty(status::METHOD_NOT_ALLOWED));
-            }
-            _ => {
-                let caller = Caller {
-                    connection,
-                    origin: RequestOrigin::User,
-                };
-                let Request { method, path, body } = request;
-                self.on_user_request(caller, &method, &path, body);
-            }
-        }
-    }
 }
--- a/src/controller/peers.rs
+++ b/src/controller/peers.rs
@@ -3,9 +3,10 @@
 use prost::Message;
 
 use super::calls::PendingCall;
-use super::http::HttpCall;
+use super::http::{HttpCall, HttpResponse};
 use super::peer_table::{CancellationSync, StatusReceivers};
-use super::{Controller, StepDownReason};
+use super::{responses, Controller, StepDownReason};
+use crate::net::Outcome;
 use crate::peer_protocol::{PeerStatus, STATUS_PATH};
 use crate::time_units::to_ms;
 
@@ -37,9 +38,22 @@
         }
     }
 
+    pub(super) fn on_status_request(&mut self, connection: usize, status: PeerStatus) {
+        let body = self.status_for(&status).encode_to_vec();
+        self.on_peer_status(&status.member.clone(), status);
+        self.outbox.respond(connection, HttpResponse::ok(body));
+    }
+
+    pub(super) fn on_status_outcome(&mut self, member: &str, sent_at: u64, outcome: &Outcome) {
+        if let Some(status) = responses::decode_peer::<PeerStatus>(outcome) {
+            self.sync_cancellations(member, &status, sent_at);
+            self.on_peer_status(member, status);
+        }
+    }
+
     /// The response to another controller's status. A leader that can't read the store is
     /// told which cancellations were acknowledged to users.
-    pub(super) fn status_for(&self, asker: &PeerStatus) -> PeerStatus {
+    fn status_for(&self, asker: &PeerStatus) -> PeerStatus {
         let mut status = self.status();
         if is_cut_off_leader(asker) {
             status.acknowledged_cancellations = self.acknowledged_cancellations.jobs();
@@ -60,7 +74,7 @@
 
     /// Processes the response to our status. A leader that can't read the store has asked for
     /// all cancellations that the other controller has acknowledged to users.
-    pub(super) fn sync_cancellations(&mut self, member: &str, status: &PeerStatus, sent_at: u64) {
+    fn sync_cancellations(&mut self, member: &str, status: &PeerStatus, sent_at: u64) {
         let now = self.clock.steady_ms();
         let Some(scheduler) = &mut self.scheduler else {
             return;
@@ -93,7 +107,7 @@
         Some(synced_at.unwrap_or(self.clock.steady_ms()).max(read_at))
     }
 
-    pub(super) fn on_peer_status(&mut self, member: &str, status: PeerStatus) {
+    fn on_peer_status(&mut self, member: &str, status: PeerStatus) {
         let now = self.clock.steady_ms();
         self.peers.record_status(member, status, now);
         if self.is_cut_off_from_agents() {
--- a/src/controller/planning.rs
+++ b/src/controller/planning.rs
@@ -62,8 +62,7 @@
     pub fn apply_plan(&mut self, now: Timestamp, epoch: u64, decision: Decision) {
         self.clock.set(now);
         let took_ms = now.steady.saturating_sub(self.plan_timer.next_at);
-        self.stats.plans += 1;
-        self.stats.plan_ms += took_ms;
+        self.stats.record_plan(took_ms);
         self.plan_timer.in_progress = false;
         self.plan_timer.next_at = now.steady + (PAUSE_FACTOR * took_ms).max(PLAN_INTERVAL_MS);
         let calls = if self.are_duties_active() {
--- a/src/controller/stats.rs
+++ b/src/controller/stats.rs
@@ -1,93 +1,147 @@
-//! What came in and went out, for the log.
+//! Statistics for the log: what came in and went out, how long it took, and limits that the
+//! fleet comes near.
 
 use tracing::{info, warn};
 
 use super::Controller;
 use crate::fleet_capacity::limit_capacities;
+use crate::net::Listener;
+use crate::wire;
 
-/// How often it is logged.
+/// How often they are logged.
 const INTERVAL_MS: u64 = 10_000;
 
-/// When it is logged next.
+/// What came in since it was last logged.
+#[derive(Debug, Default)]
+struct Traffic {
+    heartbeats: u64,
+    users: u64,
+    peers: u64,
+    plans: u64,
+    plan_ms: u64,
+    /// The longest that a tick was late.
+    tick_late_ms: u64,
+    /// The longest that anything waited to be read.
+    read_delay_ms: u64,
+}
+
+/// The controller's statistics.
 #[derive(Debug)]
-pub(super) struct StatsTimer {
+pub(super) struct ControllerStats {
     next_at: u64,
+    traffic: Traffic,
+    /// Limits that were warned of.
+    warned_limits: usize,
 }
 
-impl Default for StatsTimer {
-    fn default() -> StatsTimer {
-        StatsTimer {
+impl ControllerStats {
+    pub fn new() -> ControllerStats {
+        ControllerStats {
             next_at: INTERVAL_MS,
+            traffic: Traffic::default(),
+            warned_limits: 0,
         }
     }
-}
 
-/// What came in and went out since the last look.
-#[derive(Debug, Default)]
-pub(super) struct TrafficStats {
-    pub heartbeats: u64,
-    pub users: u64,
-    pub peers: u64,
-    pub plans: u64,
-    pub plan_ms: u64,
-    /// The longest that a tick was late.
-    pub tick_late_ms: u64,
-    /// The longest that anything waited to be read.
-    pub read_delay_ms: u64,
+    /// A request came.
+    pub fn count_request(&mut self, listener: Listener, path: &str) {
+        let count = match (listener, path) {
+            (Listener::Peers, _) => &mut self.traffic.peers,
+            (Listener::Front, wire::HEARTBEAT_PATH) => &mut self.traffic.heartbeats,
+            (Listener::Front, _) => &mut self.traffic.users,
+        };
+        *count += 1;
+    }
+
+    /// A plan was made.
+    pub fn record_plan(&mut self, took_ms: u64) {
+        self.traffic.plans += 1;
+        self.traffic.plan_ms += took_ms;
+    }
+
+    /// A tick was late.
+    pub fn record_late_tick(&mut self, late_ms: u64) {
+        self.traffic.tick_late_ms = self.traffic.tick_late_ms.max(late_ms);
+    }
+
+    /// Input waited before it was read.
+    pub fn record_read_delay(&mut self, delay_ms: u64) {
+        self.traffic.read_delay_ms = self.traffic.read_delay_ms.max(delay_ms);
+    }
+
+    fn begin_log_if_due(&mut self, now: u64) -> bool {
+        if now < self.next_at {
+            return false;
+        }
+        self.next_at = now + INTERVAL_MS;
+        true
+    }
 }
 
 impl Controller {
     pub(super) fn stats_tick(&mut self) {
-        let now = self.clock.steady_ms();
-        if now < self.stats_timer.next_at {
+        if !self.stats.begin_log_if_due(self.clock.steady_ms()) {
             return;
         }
-        self.stats_timer.next_at = now + INTERVAL_MS;
-        if let Some(times) = self.users.take_times() {
-            info!(
-                "{} user requests, median {} ms, 99% {} ms, limit {}",
-                times.count,
-                times.median_ms,
-                times.p99_ms,
-                self.users.limit()
-            );
+        self.log_users();
+        self.log_writes();
+        self.log_traffic();
+        if let Some(scheduler) = &self.scheduler {
+            info!("leading: {}", scheduler.summary());
         }
+        self.warn_of_near_limits();
+    }
+
+    fn log_users(&mut self) {
+        let Some(times) = self.users.take_times() else {
+            return;
+        };
+        info!(
+            count = times.count,
+            median_ms = times.median_ms,
+            p99_ms = times.p99_ms,
+            limit = self.users.limit(),
+            "user requests"
+        );
+    }
+
+    fn log_writes(&mut self) {
         let writes = self.store.take_write_stats();
-        if writes.transactions > 0 {
-            info!(
-                "{} changes in {} transactions, {} waiting; {} throttled, {} in conflict, {} without answer",
-                writes.changes,
-                writes.transactions,
-                self.store.waiting_writes(),
-                writes.throttled,
-                writes.conflicts,
-                writes.unknown
-            );
+        if writes.transactions == 0 {
+            return;
         }
-        let stats = std::mem::take(&mut self.stats);
+        info!(
+            changes = writes.changes,
+            transactions = writes.transactions,
+            waiting = self.store.waiting_writes(),
+            throttled = writes.throttled,
+            conflicts = writes.conflicts,
+            unknown = writes.unknown,
+            "writes"
+        );
+    }
+
+    fn log_traffic(&mut self) {
+        let traffic = std::mem::take(&mut self.stats.traffic);
         let calls = self.outbox.take_stats();
         info!(
-            "in: {} check-ins, {} users, {} peers, {} replies; calls: {} state, {} cloud, {} workers, {} mesh; {} plans in {} ms; late by {} ms, behind by {} ms",
-            stats.heartbeats,
-            stats.users,
-            stats.peers,
-            calls.replies,
-            calls.store_calls,
-            calls.cloud_calls,
-            calls.agent_calls,
-            calls.peer_calls,
-            stats.plans,
-            stats.plan_ms,
-            stats.tick_late_ms,
-            stats.read_delay_ms
+            heartbeats = traffic.heartbeats,
+            users = traffic.users,
+            peers = traffic.peers,
+            replies = calls.replies,
+            store_calls = calls.store_calls,
+            cloud_calls = calls.cloud_calls,
+            agent_calls = calls.agent_calls,
+            peer_calls = calls.peer_calls,
+            plans = traffic.plans,
+            plan_ms = traffic.plan_ms,
+            tick_late_ms = traffic.tick_late_ms,
+            read_delay_ms = traffic.read_delay_ms,
+            "traffic"
         );
-        if let Some(scheduler) = &self.scheduler {
-            info!("leading: {}", scheduler.summary());
-        }
-        self.warn_of_near_limits();
     }
 
-    /// Warns once of each grant that the fleet comes near the end of.
+    /// Warns once of each limit that the fleet comes near.
     fn warn_of_near_limits(&mut self) {
         let Some(scheduler) = &self.scheduler else {
             return;
@@ -95,9 +149,10 @@
         let machines = scheduler.machines.len();
         let capacities = limit_capacities(&self.settings.cluster);
         let near = capacities.iter().filter(|c| c.is_near(machines)).count();
-        for capacity in capacities.iter().take(near).skip(self.warned_limits) {
-            warn!("{machines} machines: {capacity}");
+        let warned = self.stats.warned_limits;
+        for capacity in capacities.iter().take(near).skip(warned) {
+            warn!(machines, limit = %capacity, "the fleet is near a limit");
         }
-        self.warned_limits = self.warned_limits.max(near);
+        self.stats.warned_limits = warned.max(near);
     }
 }
