--- a/src/controller/calls.rs
+++ b/src/controller/calls.rs
@@ -2,10 +2,8 @@
 
 use std::sync::Arc;
 
-use duty_lease::Duty;
-
 use super::dependencies::DependencyRecord;
-use super::duties::SentOrder;
+use super::duties::{DutyLeaseCall, SentOrder};
 use super::store_sync::{ChangesCall, KeyRange};
 use crate::leader_lease::LeaseRequest;
 use crate::scheduler::DirectStart;
@@ -23,12 +21,8 @@
     Lease(LeaseRequest),
     /// The end of a grant.
     Revoke,
-    /// A request for the lease of a duty, by its number.
-    DutyLease {
-        duty: Duty,
-        id: u64,
-        request: duty_lease::LeaseRequest,
-    },
+    /// A request for the lease of a duty.
+    DutyLease(DutyLeaseCall),
     /// An order of a duty's holder.
     DutyOrder(SentOrder),
     /// The final state of a job that a user asks about.
@@ -76,7 +70,7 @@
                 | PendingCall::Changes(_)
                 | PendingCall::Transaction
                 | PendingCall::Lease(_)
-                | PendingCall::DutyLease { .. }
+                | PendingCall::DutyLease(_)
                 | PendingCall::ReadFinal { .. }
                 | PendingCall::ReadDependency { .. }
                 | PendingCall::LookUpDependency { .. }
--- a/src/controller/dispatch.rs
+++ b/src/controller/dispatch.rs
@@ -73,9 +73,7 @@
             PendingCall::Transaction => self.on_transaction_outcome(tag, &outcome),
             PendingCall::Lease(request) => self.on_lease_outcome(&request, &outcome),
             PendingCall::Revoke => {}
-            PendingCall::DutyLease { duty, id, request } => {
-                self.on_duty_lease_outcome(duty, id, &request, &outcome);
-            }
+            PendingCall::DutyLease(call) => self.on_duty_lease_outcome(&call, &outcome),
             PendingCall::DutyOrder(sent) => self.on_duty_order_reply(sent, &outcome),
             PendingCall::ReadFinal { user } => self.on_final_read(user, &outcome),
             PendingCall::ReadDependency {
--- a/src/controller/duties/assignment.rs
+++ b/src/controller/duties/assignment.rs
@@ -1,22 +1,27 @@
-//! Where duties are: which of them this controller stands for.
+//! Which duties this controller is a candidate for.
 
 use std::collections::BTreeMap;
 
-use duty_lease::{assign, AssignmentRules, Duty, LiveMember};
+use duty_lease::{assign, AssignmentRules, Duty, LeaseTiming, LiveMember};
 use tracing::{debug, warn};
 
 use super::Controller;
 use crate::duties::DUTIES_FORMAT;
+use crate::settings::DutySettings;
 
-/// How often it is decided anew, as a share of a lease's life.
+/// How often it is decided anew, as a share of a lease's time to live.
 const INTERVAL_SHARE: f64 = 0.1;
-/// Lives for which a duty may be without a holder before any controller stands for it, and
-/// before the leader says so.
-const UNHELD_TTLS: u64 = 2;
+/// Times to live for which a duty may be without a holder before any controller is a candidate
+/// for it, and before the leader warns.
+pub(super) const UNHELD_TTLS: u64 = 2;
 
 /// What is known of the live controllers and of duties that nobody holds.
-#[derive(Debug, Default)]
+#[derive(Debug)]
 pub(super) struct DutyAssignment {
+    rules: AssignmentRules,
+    /// For how long a duty may be without a holder before any controller is a candidate.
+    unheld_bound_ms: u64,
+    interval_ms: u64,
     next_at: u64,
     /// Since when each live controller has been heard without a gap.
     live_since: BTreeMap<String, u64>,
@@ -24,48 +29,100 @@
     unheld_since: BTreeMap<Duty, u64>,
 }
 
+impl DutyAssignment {
+    pub fn new(settings: &DutySettings, timing: &LeaseTiming) -> DutyAssignment {
+        DutyAssignment {
+            rules: AssignmentRules {
+                settle_ms: timing.ttl_ms,
+                pinned: settings.holders.clone(),
+            },
+            unheld_bound_ms: UNHELD_TTLS * timing.ttl_ms,
+            interval_ms: (timing.ttl_ms as f64 * INTERVAL_SHARE) as u64,
+            next_at: 0,
+            live_since: BTreeMap::new(),
+            unheld_since: BTreeMap::new(),
+        }
+    }
+
+    fn is_due(&self, now: u64) -> bool {
+        now >= self.next_at
+    }
+
+    /// The controller that each duty is to be with.
+    fn assign(
+        &mut self,
+        live: Vec<String>,
+        holders: &BTreeMap<Duty, String>,
+        now: u64,
+    ) -> BTreeMap<Duty, String> {
+        self.next_at = now + self.interval_ms;
+        let live = self.update_live(live, now);
+        assign(&Duty::ALL, &live, holders, &self.rules)
+    }
+
+    fn update_live(&mut self, names: Vec<String>, now: u64) -> Vec<LiveMember> {
+        self.live_since.retain(|name, _| names.contains(name));
+        let members = names.into_iter().map(|name| {
+            let since = *self.live_since.entry(name.clone()).or_insert(now);
+            LiveMember {
+                name,
+                live_for_ms: now.saturating_sub(since),
+            }
+        });
+        members.collect()
+    }
+
+    /// Whether a duty has been without a holder for so long that every controller is a
+    /// candidate.
+    fn is_unclaimed(&mut self, duty: Duty, holder: Option<&String>, now: u64) -> bool {
+        if holder.is_some() {
+            self.unheld_since.remove(&duty);
+            return false;
+        }
+        let since = *self.unheld_since.entry(duty).or_insert(now);
+        now.saturating_sub(since) > self.unheld_bound_ms
+    }
+}
+
 impl Controller {
-    /// Decides which duties this controller stands for.
+    /// Decides which duties this controller is a candidate for.
     pub(super) fn assign_duties(&mut self) {
         let now = self.clock.steady_ms();
+        let control = self.duties.control.as_ref();
+        if !control.is_some_and(|control| control.assignment.is_due(now)) {
+            return;
+        }
         let live = self.duty_candidates();
-        let present: BTreeMap<Duty, String> = Duty::ALL
-            .into_iter()
-            .filter_map(|duty| Some((duty, self.watch_cache.duties.holder(duty)?.member.clone())))
-            .collect();
-        let member = self.settings.member.clone();
+        let holders = self.duty_holders();
+        let member = &self.settings.member;
         let Some(control) = &mut self.duties.control else {
             return;
         };
-        if now < control.assignment.next_at {
-            return;
-        }
-        let ttl_ms = control.timing.ttl_ms;
-        control.assignment.next_at = now + (ttl_ms as f64 * INTERVAL_SHARE) as u64;
-        let live = control.assignment.update_live(live, now);
-        let rules = AssignmentRules {
-            settle_ms: ttl_ms,
-            pinned: control.settings.holders.clone(),
-        };
-        let assigned = assign(&Duty::ALL, &live, &present, &rules);
+        let assigned = control.assignment.assign(live, &holders, now);
         for duty in Duty::ALL {
-            let assignment = &mut control.assignment;
-            let unheld_ms = assignment.unheld_for_ms(duty, present.contains_key(&duty), now);
-            let is_unclaimed = unheld_ms > UNHELD_TTLS * ttl_ms;
-            let is_assigned = assigned.get(&duty) == Some(&member);
+            let holder = holders.get(&duty);
+            let is_unclaimed = control.assignment.is_unclaimed(duty, holder, now);
+            let is_assigned = assigned.get(&duty) == Some(member);
             let Some(runtime) = control.runtimes.get_mut(&duty) else {
                 continue;
             };
-            runtime.lease.set_candidate(is_assigned || is_unclaimed);
-            if is_assigned && present.get(&duty).is_some_and(|name| *name != member) {
+            runtime.set_candidate(is_assigned || is_unclaimed);
+            if is_assigned && holder.is_some_and(|holder| holder != member) {
                 debug!(
                     duty = duty.name(),
-                    member, "waits for the duty to be handed over"
+                    member, "waiting for the duty's handover"
                 );
             }
         }
     }
 
+    /// The present holders of duties.
+    fn duty_holders(&self) -> BTreeMap<Duty, String> {
+        let records = &self.watch_cache.duties;
+        let holder = |duty| Some((duty, records.holder(duty)?.member.clone()));
+        Duty::ALL.into_iter().filter_map(holder).collect()
+    }
+
     /// Controllers that can hold duties as far as is known here. This one is always among
     /// them: if it can't reach the store, what it holds ends by itself, and in an
     /// outage it must not be given up.
@@ -83,52 +140,25 @@
         names
     }
 
-    /// The leader says so if what it needs is not done. It goes on with what is there and
-    /// never acts in the holder's stead.
+    /// The leader warns if its requests are not satisfied. It goes on with the machines that
+    /// there are and never acts in the holder's place.
     pub(super) fn warn_of_missing_holders(&mut self) {
         if self.scheduler.is_none() {
             return;
         }
         let now = self.clock.steady_ms();
-        let lease_s = self.settings.cluster.workers.lease_s;
-        let settings = self.operator.duties.clone().unwrap_or_default();
-        let bound_ms = UNHELD_TTLS * settings.timing(lease_s).ttl_ms;
         for duty in Duty::ALL {
-            let is_held = self.watch_cache.duties.holder(duty).is_some();
-            let waiting = self.watch_cache.duties.orders_of(duty).count();
-            if let Some(unheld_ms) = self
-                .duties
-                .requests
-                .newly_unheld_for(duty, is_held, bound_ms, now)
-            {
+            if self.watch_cache.duties.holder(duty).is_some() {
+                self.duties.unheld.on_held(duty);
+                continue;
+            }
+            if let Some(unheld_ms) = self.duties.unheld.on_unheld(duty, now) {
+                let orders = self.watch_cache.duties.orders_of(duty).count();
                 warn!(
                     duty = duty.name(),
-                    "no controller has held the duty for {unheld_ms} ms: {waiting} orders wait"
+                    unheld_ms, orders, "no controller holds the duty"
                 );
             }
         }
     }
 }
-
-impl DutyAssignment {
-    fn update_live(&mut self, names: Vec<String>, now: u64) -> Vec<LiveMember> {
-        self.live_since.retain(|name, _| names.contains(name));
-        let members = names.into_iter().map(|name| {
-            let since = *self.live_since.entry(name.clone()).or_insert(now);
-            LiveMember {
-                name,
-                live_for_ms: now.saturating_sub(since),
-            }
-        });
-        members.collect()
-    }
-
-    fn unheld_for_ms(&mut self, duty: Duty, is_held: bool, now: u64) -> u64 {
-        if is_held {
-            self.unheld_since.remove(&duty);
-            return 0;
-        }
-        let since = *self.unheld_since.entry(duty).or_insert(now);
-        now.saturating_sub(since)
-    }
-}
--- a/src/controller/duties/cleaning.rs
+++ b/src/controller/duties/cleaning.rs
@@ -1,5 +1,5 @@
-//! Removing records that nobody takes in, as the holder of cleaning: results whose leader
-//! has ended, and provisioning requests that were needed long ago. What may have been sent, what returns
+//! Removing records that no leader processes, as the holder of cleaning: results whose leader
+//! has ended, and provisioning requests from long ago. What may have been sent, what terminates
 //! a machine and what can't be read stays.
 
 use std::collections::BTreeMap;
@@ -7,57 +7,106 @@
 use duty_lease::{Duty, Order};
 use tracing::info;
 
-use super::{Controller, DutyWrite, WritePurpose};
+use super::writes::{DutyWrite, RecordChange, WritePurpose};
+use super::Controller;
 use crate::duties::{OrderKey, OrderPhase, OrderRecord};
+use crate::settings::DutySettings;
 use crate::time_units::to_ms;
 
 /// Agents' leases for which a record has to stay as it is before it is removed.
 const UNCHANGED_LEASES: f64 = 2.0;
 
+/// Whether records are removed.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+enum CleaningMode {
+    Remove,
+    /// What would be removed is only logged.
+    DryRun,
+}
+
+/// A record that may be removed one day.
+#[derive(Debug, Clone, PartialEq, Eq)]
+struct RemovableRecord {
+    key: OrderKey,
+    version: u64,
+}
+
+/// A version of a record, and since when it has been seen.
+#[derive(Debug, Clone, Copy)]
+struct SeenVersion {
+    version: u64,
+    since: u64,
+}
+
 /// Since when records have stayed as they are.
 #[derive(Debug)]
 pub(super) struct Cleaning {
+    mode: CleaningMode,
+    /// For how long a record has to stay as it is.
+    unchanged_ms: u64,
     next_at: u64,
     /// Between two removals.
     interval_ms: u64,
-    /// By the order: the version of its record, and since when it was seen.
-    seen: BTreeMap<OrderKey, (u64, u64)>,
-    /// Removals that are on their way, or that a dry run has logged.
+    seen: BTreeMap<OrderKey, SeenVersion>,
+    /// Versions whose removal is on its way, or that a dry run has logged.
     handled: BTreeMap<OrderKey, u64>,
 }
 
 impl Cleaning {
-    pub fn new(removals_per_s: f64) -> Cleaning {
+    /// `lease_s`: an agent's lease.
+    pub fn new(settings: &DutySettings, lease_s: f64) -> Cleaning {
+        let mode = if settings.cleaning_dry_run {
+            CleaningMode::DryRun
+        } else {
+            CleaningMode::Remove
+        };
         Cleaning {
+            mode,
+            unchanged_ms: to_ms(lease_s * UNCHANGED_LEASES),
             next_at: 0,
-            interval_ms: to_ms(1.0 / removals_per_s),
+            interval_ms: to_ms(1.0 / settings.cleaning_per_s),
             seen: BTreeMap::new(),
             handled: BTreeMap::new(),
         }
     }
 
-    /// Takes in the records that may be removed one day; returns one that may be now.
-    fn update(
-        &mut self,
-        records: &[(OrderKey, u64)],
-        unchanged_ms: u64,
-        now: u64,
-    ) -> Option<(OrderKey, u64)> {
-        let is_there = |key: &OrderKey| records.iter().any(|(other, _)| other == key);
+    fn is_due(&self, now: u64) -> bool {
+        now >= self.next_at
+    }
+
+    /// Updates the records that may be removed one day; returns one that may be now.
+    fn update(&mut self, records: &[RemovableRecord], now: u64) -> Option<RemovableRecord> {
+        let is_there = |key: &OrderKey| records.iter().any(|record| record.key == *key);
         self.seen.retain(|key, _| is_there(key));
         self.handled.retain(|key, _| is_there(key));
         let mut due = None;
-        for (key, version) in records {
-            let seen = self.seen.entry(key.clone()).or_insert((*version, now));
-            if seen.0 != *version {
-                *seen = (*version, now);
+        for record in records {
+            let version = record.version;
+            let first_seen = SeenVersion {
+                version,
+                since: now,
+            };
+            let seen = self.seen.entry(record.key.clone()).or_insert(first_seen);
+            if seen.version != version {
+                *seen = first_seen;
             }
-            let is_handled = self.handled.get(key) == Some(version);
-            if now >= seen.1 + unchanged_ms && !is_handled {
-                due = Some((key.clone(), *version));
+            let is_handled = self.handled.get(&record.key) == Some(&version);
+            if now >= seen.since + self.unchanged_ms && !is_handled {
+                due = Some(record);
             }
         }
-        due
+        due.cloned()
+    }
+
+    /// A record is being removed: the next one waits for an interval.
+    fn begin_removal(&mut self, record: &RemovableRecord, now: u64) {
+        self.next_at = now + self.interval_ms;
+        self.handled.insert(record.key.clone(), record.version);
+    }
+
+    /// A removal was carried out, or was not: then it comes due again.
+    fn end_removal(&mut self, key: &OrderKey) {
+        self.handled.remove(key);
     }
 }
 
@@ -68,47 +117,45 @@
         if !self.may_send_orders(Duty::CleanState) {
             return;
         }
-        let unchanged_s = self.settings.cluster.workers.lease_s * UNCHANGED_LEASES;
-        let orders = self.watch_cache.duties.orders();
-        let removable = orders.filter(|(_, record, _)| is_removable(record));
-        let removable: Vec<(OrderKey, u64)> = removable
-            .map(|(key, _, version)| (key.clone(), version))
-            .collect();
         let Some(control) = &mut self.duties.control else {
             return;
         };
-        if now < control.cleaning.next_at {
+        if !control.cleaning.is_due(now) {
             return;
         }
-        let dry_run = control.settings.cleaning_dry_run;
-        let due = control.cleaning.update(&removable, to_ms(unchanged_s), now);
-        let Some((key, version)) = due else { return };
-        control.cleaning.next_at = now + control.cleaning.interval_ms;
-        control.cleaning.handled.insert(key.clone(), version);
-        let (duty, request) = (key.duty.name(), key.request.as_str());
-        if dry_run {
-            return info!(duty, request, "would be removed: nobody takes it in");
-        }
-        info!(duty, request, "removed: nobody takes it in");
-        let write = DutyWrite {
-            purpose: WritePurpose::Clean,
-            changes: vec![(key, None)],
+        let orders = self.watch_cache.duties.orders();
+        let removable = orders.filter(|(_, record, _)| is_removable(record));
+        let removable: Vec<RemovableRecord> = removable
+            .map(|(key, _, version)| RemovableRecord {
+                key: key.clone(),
+                version,
+            })
+            .collect();
+        let Some(due) = control.cleaning.update(&removable, now) else {
+            return;
         };
+        control.cleaning.begin_removal(&due, now);
+        let (duty, request) = (due.key.duty.name(), due.key.request.as_str());
+        if control.cleaning.mode == CleaningMode::DryRun {
+            return info!(duty, request, "dry run: unprocessed record stays");
+        }
+        info!(duty, request, "removing unprocessed record");
+        let changes = vec![RecordChange::remove(due.key)];
+        let write = DutyWrite::new(WritePurpose::Clean, changes);
         self.write_as_holder(Duty::CleanState, write);
     }
 
-    /// A removal was carried out, or was not: then it comes due again.
-    pub(super) fn on_cleaned(&mut self, changes: &[(OrderKey, Option<OrderRecord>)]) {
+    pub(super) fn on_cleaned(&mut self, changes: &[RecordChange]) {
         if let Some(control) = &mut self.duties.control {
-            for (key, _) in changes {
-                control.cleaning.handled.remove(key);
+            for change in changes {
+                control.cleaning.end_removal(&change.key);
             }
         }
     }
 }
 
 /// Whether nobody can need a record any more once it has stayed as it is for long. A
-/// provisioning request that was only needed was never sent, and each leader plans anew.
+/// provisioning request without a recorded order was never sent, and each leader plans anew.
 fn is_removable(record: &OrderRecord) -> bool {
     match record.phase {
         OrderPhase::Completed(_) => true,
--- a/src/controller/duties/leases.rs
+++ b/src/controller/duties/leases.rs
@@ -1,11 +1,8 @@
-//! The leases of duties: requests to the store, and changes of hands.
+//! The leases of duties: requests for them to the store, and what the responses mean.
 
-use duty_lease::{
-    Duty, HolderKey, LeaseEvent, LeaseRequest, LeaseResponse, LeaseView, SuspensionReason,
-    WriteGuard,
-};
-use tracing::{debug, info, warn};
+use duty_lease::{Duty, HolderKey, LeaseRequest, LeaseResponse, LeaseView};
 
+use super::runtime::DutyLeaseCall;
 use super::Controller;
 use crate::controller::calls::PendingCall;
 use crate::controller::http::HttpCall;
@@ -16,147 +13,88 @@
 use crate::net::{status, Outcome};
 use crate::wire::{self, Condition, DecodeError, Transaction, Write};
 
-/// Keys of one lease.
+/// Most keys of one lease.
 const LEASE_KEYS: usize = 10;
 /// Share of the requests to the store that leases of duties leave to others.
 const LEASE_RESERVE: f64 = 0.1;
 
 impl Controller {
-    /// Takes the part of this controller in a duty's lease further.
+    /// Sends what is due for the lease of a duty, and applies what has happened to it.
     pub(super) fn run_lease(&mut self, duty: Duty) {
         let now = self.clock.steady_ms();
-        let generation = self.watch_cache.duties.generation();
         let Some(runtime) = self.duties.runtime(duty) else {
             return;
         };
-        if runtime.lease_generation != Some(generation) {
-            runtime.lease_generation = Some(generation);
-            runtime
-                .lease
-                .on_view(&self.watch_cache.duties.lease(duty), now);
-        }
-        if let Some((id, request)) = runtime.lease.tick(now) {
-            // Who only follows learns all from the watch.
-            if request == LeaseRequest::Read && runtime.lease.is_following() {
-                let view = self.watch_cache.duties.lease(duty);
-                runtime
-                    .lease
-                    .on_response(id, LeaseResponse::View(view), now);
-            } else {
-                self.send_duty_lease_request(duty, id, request);
-            }
+        if let Some(call) = runtime.next_lease_call(&self.watch_cache.duties, now) {
+            self.send_duty_lease_request(call);
         }
-        self.forward_lease_events(duty);
+        self.process_lease_events(duty);
     }
 
-    fn send_duty_lease_request(&mut self, duty: Duty, id: u64, request: LeaseRequest) {
+    fn send_duty_lease_request(&mut self, call: DutyLeaseCall) {
         let now = self.clock.steady_ms();
-        if !self.store.try_request(now, LEASE_RESERVE) {
-            if let Some(runtime) = self.duties.runtime(duty) {
-                runtime.lease.on_response(id, LeaseResponse::Refused, now);
-            }
-            return;
-        }
-        let Some(control) = &self.duties.control else {
+        let Some(runtime) = self.duties.runtime(call.duty) else {
             return;
         };
-        let timeout_ms = control.timing.answer_timeout_ms();
-        let call = match &request {
-            LeaseRequest::Read => {
-                let prefix = format!("{LEASES_PREFIX}{}/", duty.name());
-                HttpCall::get_page(&prefix, None, LEASE_KEYS, timeout_ms)
-            }
-            LeaseRequest::CreateGrant { ttl_ms } => HttpCall::create_grant(*ttl_ms, timeout_ms),
-            LeaseRequest::Acquire {
-                holder,
-                grant,
-                holder_version,
-                token_version,
-            } => {
-                let transaction = Transaction {
-                    conditions: vec![
-                        Condition::new(holder_key(duty), *holder_version),
-                        Condition::new(token_key(duty), *token_version),
-                    ],
-                    writes: acquisition_writes(duty, holder, *grant, self.clock.wall_ms()),
-                };
-                HttpCall::transaction(&transaction, timeout_ms)
-            }
-            LeaseRequest::Renew { grant } => HttpCall::renew_grant(*grant, timeout_ms),
-            LeaseRequest::Release { grant } => HttpCall::end_grant(*grant, timeout_ms),
-        };
-        let pending = PendingCall::DutyLease { duty, id, request };
-        self.outbox.call_store(pending, call);
+        if !self.store.try_request(now, LEASE_RESERVE) {
+            return runtime.on_lease_response(call.id, LeaseResponse::Refused, now);
+        }
+        let timeout_ms = runtime.answer_timeout_ms();
+        let http_call = http_call(&call, timeout_ms, self.clock.wall_ms());
+        self.outbox
+            .call_store(PendingCall::DutyLease(call), http_call);
     }
 
     pub(in crate::controller) fn on_duty_lease_outcome(
         &mut self,
-        duty: Duty,
-        id: u64,
-        request: &LeaseRequest,
+        call: &DutyLeaseCall,
         outcome: &Outcome,
     ) {
         let now = self.clock.steady_ms();
-        let response = response_to(duty, request, outcome);
+        let response = response_to(call.duty, &call.request, outcome);
         if let (LeaseRequest::Acquire { holder, .. }, LeaseResponse::Acquired { version }) =
-            (request, &response)
+            (&call.request, &response)
         {
             let duties = &mut self.watch_cache.duties;
-            duties.apply_own_acquisition(duty, holder.clone(), *version);
+            duties.apply_own_acquisition(call.duty, holder.clone(), *version);
+        }
+        if let Some(runtime) = self.duties.runtime(call.duty) {
+            runtime.on_lease_response(call.id, response, now);
         }
+        self.process_lease_events(call.duty);
+    }
+
+    pub(super) fn process_lease_events(&mut self, duty: Duty) {
         if let Some(runtime) = self.duties.runtime(duty) {
-            runtime.lease.on_response(id, response, now);
+            runtime.process_lease_events(&self.settings.member);
         }
-        self.forward_lease_events(duty);
     }
+}
 
-    /// Tells the order book and the log of changes of hands.
-    pub(super) fn forward_lease_events(&mut self, duty: Duty) {
-        let member = self.settings.member.clone();
-        let Some(runtime) = self.duties.runtime(duty) else {
-            return;
-        };
-        for event in runtime.lease.take_events() {
-            match event {
-                LeaseEvent::Gained(token) => {
-                    info!(duty = duty.name(), token, member, "the duty is held here");
-                    runtime.orders_generation = None;
-                    runtime.reviewed_at = None;
-                    runtime.decisions_in_flight.clear();
-                    if let Some(holder_version) = runtime.lease.holder_version() {
-                        runtime
-                            .orders
-                            .on_gained(token, WriteGuard { holder_version });
-                    }
-                }
-                LeaseEvent::Lost(token, reason) => {
-                    warn!(
-                        duty = duty.name(),
-                        token, member, "the duty is lost: {reason:?}"
-                    );
-                    runtime.orders.on_lost();
-                }
-                LeaseEvent::Released(token) => {
-                    info!(duty = duty.name(), token, member, "the duty is given up");
-                    runtime.orders.on_lost();
-                }
-                LeaseEvent::Suspended(token, SuspensionReason::NotRenewedYet) => {
-                    debug!(
-                        duty = duty.name(),
-                        token, member, "no orders before a renewal"
-                    );
-                }
-                LeaseEvent::Suspended(token, reason) => {
-                    warn!(
-                        duty = duty.name(),
-                        token, member, "no orders for now: {reason:?}"
-                    );
-                }
-                LeaseEvent::Resumed(token) => {
-                    debug!(duty = duty.name(), token, member, "the lease is confirmed");
-                }
-            }
+fn http_call(call: &DutyLeaseCall, timeout_ms: u64, wall_ms: u64) -> HttpCall {
+    match &call.request {
+        LeaseRequest::Read => {
+            let prefix = format!("{LEASES_PREFIX}{}/", call.duty.name());
+            HttpCall::get_page(&prefix, None, LEASE_KEYS, timeout_ms)
+        }
+        LeaseRequest::CreateGrant { ttl_ms } => HttpCall::create_grant(*ttl_ms, timeout_ms),
+        LeaseRequest::Acquire {
+            holder,
+            grant,
+            holder_version,
+            token_version,
+        } => {
+            let transaction = Transaction {
+                conditions: vec![
+                    Condition::new(holder_key(call.duty), *holder_version),
+                    Condition::new(token_key(call.duty), *token_version),
+                ],
+                writes: acquisition_writes(call.duty, holder, *grant, wall_ms),
+            };
+            HttpCall::transaction(&transaction, timeout_ms)
         }
+        LeaseRequest::Renew { grant } => HttpCall::renew_grant(*grant, timeout_ms),
+        LeaseRequest::Release { grant } => HttpCall::end_grant(*grant, timeout_ms),
     }
 }
 
--- a/src/controller/duties/mod.rs
+++ b/src/controller/duties/mod.rs
@@ -1,143 +1,98 @@
 //! Duties under fenced leases: which this controller holds, and the orders that it gives as
-//! their holder. The planning leader decides what is to be done (`requests`), the holder of a
-//! duty does it (`orders`, `reclaim`, `cleaning`).
+//! their holder. The planning leader decides what is to be done (`scaling_requests`), the
+//! holder of a duty does it (`request_review`, `orders`, `cleaning`), and the leader processes
+//! what came of it (`order_results`).
 //!
 //! Nothing of this happens before all controllers have said that they can do it, and the
 //! format says so ([`DUTIES_FORMAT`]).
 
 mod assignment;
 mod cleaning;
+mod leader_requests;
 mod leases;
 mod machine_orders;
+mod order_results;
 mod orders;
 mod request_review;
+mod runtime;
 mod scaling_requests;
+mod unheld_duties;
+mod writes;
 
 use std::collections::BTreeMap;
 
-use duty_lease::{Duty, DutyLease, LeaseTiming, OrderBook, OrderId};
-use tracing::debug;
+use duty_lease::Duty;
 
-use super::commits::WriteOwner;
+use super::provider_client::ProviderRole;
 use super::Controller;
-use crate::controller::provider_client::ProviderRole;
-use crate::duties::{holder_key, order_key, OrderKey, OrderRecord, DUTIES_FORMAT};
+use crate::duties::DUTIES_FORMAT;
 use crate::job::PACKED_FORMAT;
 use crate::settings::{ClusterSettings, DutySettings};
-use crate::wire::{Condition, Write};
-use crate::write_queue::{CommitResult, WriteClass, WriteRequest};
 
-use assignment::DutyAssignment;
+use assignment::{DutyAssignment, UNHELD_TTLS};
 use cleaning::Cleaning;
+use leader_requests::LeaderRequests;
 pub(super) use orders::SentOrder;
-use scaling_requests::LeaderRequests;
-
-/// A change of orders' records.
-#[derive(Debug, Clone)]
-pub(super) struct DutyWrite {
-    purpose: WritePurpose,
-    /// The records that it sets, or removes.
-    changes: Vec<(OrderKey, Option<OrderRecord>)>,
-}
-
-impl DutyWrite {
-    /// Whether it is a leader's, whose term it depends on.
-    pub fn is_of_leader(&self) -> bool {
-        let purpose = &self.purpose;
-        matches!(
-            purpose,
-            WritePurpose::ScalingRequest { .. } | WritePurpose::ResultProcessed
-        )
-    }
-}
-
-/// Who waits for a change of orders' records.
-#[derive(Debug, Clone)]
-enum WritePurpose {
-    /// The leader, which needs something.
-    ScalingRequest { epoch: u64 },
-    /// The leader, which has taken in a result.
-    ResultProcessed,
-    /// The order book: an order is recorded.
-    Record(OrderId),
-    /// The order book: an order is completed.
-    Complete(OrderId),
-    /// The holder, which found that a need can't be met, or passes it on.
-    RequestDecided,
-    /// The holder of cleaning.
-    Clean,
-    /// Nobody: a refused order was noted.
-    Refusal,
-}
-
-/// This controller's part in one duty.
-#[derive(Debug)]
-struct DutyRuntime {
-    lease: DutyLease,
-    orders: OrderBook,
-    /// The records that the lease and the order book were last shown.
-    lease_generation: Option<u64>,
-    orders_generation: Option<u64>,
-    /// As of when needs were last looked at: the records of duties, and the revision.
-    reviewed_at: Option<(u64, u64)>,
-    /// Records whose change is on its way.
-    decisions_in_flight: Vec<OrderKey>,
-}
+pub(super) use runtime::DutyLeaseCall;
+use runtime::DutyRuntime;
+use unheld_duties::UnheldDuties;
+pub(super) use writes::DutyWrite;
 
 /// This controller's part in all duties.
 #[derive(Debug)]
-pub(super) struct DutyControl {
-    settings: DutySettings,
-    timing: LeaseTiming,
+struct DutyControl {
     runtimes: BTreeMap<Duty, DutyRuntime>,
     assignment: DutyAssignment,
     cleaning: Cleaning,
 }
 
+impl DutyControl {
+    fn new(member: &str, lease_s: f64, settings: &DutySettings) -> DutyControl {
+        let timing = settings.timing(lease_s);
+        let runtime = |duty| (duty, DutyRuntime::new(duty, member, timing));
+        DutyControl {
+            runtimes: Duty::ALL.map(runtime).into(),
+            assignment: DutyAssignment::new(settings, &timing),
+            cleaning: Cleaning::new(settings, lease_s),
+        }
+    }
+}
+
 /// Duties as seen by one controller.
-#[derive(Debug, Default)]
+#[derive(Debug)]
 pub(super) struct DutyState {
     /// Its own part; `None` if operators have not switched it on.
     control: Option<DutyControl>,
     /// The leader's part.
     requests: LeaderRequests,
+    unheld: UnheldDuties,
 }
 
 impl DutyState {
+    /// `settings`: the operators', which this keeps no copy of.
     pub fn new(member: &str, cluster: &ClusterSettings, settings: Option<&DutySettings>) -> Self {
-        let control = settings.map(|settings| {
-            let timing = settings.timing(cluster.workers.lease_s);
-            let lease = || {
-                let mut lease = DutyLease::new(member, timing);
-                // Until it is known who else is there.
-                lease.set_candidate(false);
-                lease
-            };
-            let runtime = |duty| DutyRuntime {
-                lease: lease(),
-                orders: OrderBook::new(duty, timing),
-                lease_generation: None,
-                orders_generation: None,
-                reviewed_at: None,
-                decisions_in_flight: vec![],
-            };
-            DutyControl {
-                settings: settings.clone(),
-                timing,
-                runtimes: Duty::ALL.map(|duty| (duty, runtime(duty))).into(),
-                assignment: DutyAssignment::default(),
-                cleaning: Cleaning::new(settings.cleaning_per_s),
-            }
-        });
+        let lease_s = cluster.workers.lease_s;
+        let control = settings.map(|settings| DutyControl::new(member, lease_s, settings));
+        // A leader warns by the usual times if operators have not switched duties on for it.
+        let usual = DutySettings::default();
+        let timing = settings.unwrap_or(&usual).timing(lease_s);
         DutyState {
             control,
             requests: LeaderRequests::default(),
+            unheld: UnheldDuties::new(UNHELD_TTLS * timing.ttl_ms),
         }
     }
 
     fn runtime(&mut self, duty: Duty) -> Option<&mut DutyRuntime> {
         self.control.as_mut()?.runtimes.get_mut(&duty)
     }
+
+    /// Whether this controller holds a duty, whether it may send orders or not.
+    fn holds(&self, duty: Duty) -> bool {
+        let control = self.control.as_ref();
+        let runtime = control.and_then(|control| control.runtimes.get(&duty));
+        runtime.is_some_and(DutyRuntime::holds)
+    }
 }
 
 impl Controller {
@@ -180,23 +135,16 @@
         }
     }
 
-    /// Whether this controller holds a duty, orders or not.
-    fn holds(&self, duty: Duty) -> bool {
-        let control = self.duties.control.as_ref();
-        let runtime = control.and_then(|control| control.runtimes.get(&duty));
-        runtime.is_some_and(|runtime| runtime.lease.token().is_some())
-    }
-
-    /// Whether this controller may give orders of a duty at this very moment.
+    /// Whether this controller may send orders of a duty at this very moment.
     fn may_send_orders(&mut self, duty: Duty) -> bool {
         let now = self.clock.steady_ms();
         let runtime = self.duties.runtime(duty);
-        runtime.is_some_and(|runtime| runtime.lease.order_token(now).is_some())
+        runtime.is_some_and(|runtime| runtime.may_send_orders(now))
     }
 
     fn set_provider_share(&mut self) {
         let now = self.clock.steady_ms();
-        let is_holder = self.holds(Duty::Rent) || self.holds(Duty::Return);
+        let is_holder = self.duties.holds(Duty::Rent) || self.duties.holds(Duty::Return);
         let role = match (is_holder, self.scheduler.is_some()) {
             (true, true) => ProviderRole::LeaderAndHolder,
             (true, false) => ProviderRole::Holder,
@@ -204,58 +152,4 @@
         };
         self.provider.set_share(role, now);
     }
-
-    /// Changes records on condition that the lease of a duty is ours, that each record has
-    /// the version that is known of it, and that new ones do not exist.
-    fn write_as_holder(&mut self, duty: Duty, write: DutyWrite) {
-        let runtime = self.duties.runtime(duty);
-        let Some(version) = runtime.and_then(|runtime| runtime.lease.holder_version()) else {
-            return;
-        };
-        self.push_duty_write(Condition::new(holder_key(duty), version), write);
-    }
-
-    fn push_duty_write(&mut self, entitled: Condition, write: DutyWrite) {
-        let mut conditions = vec![entitled];
-        let mut writes = Vec::new();
-        for (key, record) in &write.changes {
-            let version = self.watch_cache.duties.order(key).map_or(0, |(_, v)| v);
-            let name = order_key(key);
-            conditions.push(Condition::new(name.clone(), version));
-            writes.push(match record {
-                Some(record) => Write::set(name, record.to_value()),
-                None => Write::delete(name),
-            });
-        }
-        self.store.push_write(WriteRequest {
-            owner: WriteOwner::Duty(Box::new(write)),
-            conditions,
-            writes,
-            class: WriteClass::Duty,
-        });
-    }
-
-    /// What became of a change of orders' records.
-    pub(super) fn on_duty_commit(&mut self, write: DutyWrite, result: &CommitResult) {
-        if let CommitResult::Committed { revision } = result {
-            for (key, record) in &write.changes {
-                let duties = &mut self.watch_cache.duties;
-                duties.apply_own_write(key, record.clone(), *revision);
-            }
-        }
-        if let CommitResult::Conflict { failed, .. } = result {
-            debug!("failed on {failed:?}: {write:?}");
-        }
-        match write.purpose {
-            WritePurpose::ScalingRequest { epoch } => {
-                self.on_request_written(epoch, &write.changes, result)
-            }
-            WritePurpose::Record(id) => self.on_order_recorded(id, result),
-            WritePurpose::Complete(id) => self.on_order_completed(id, result),
-            WritePurpose::RequestDecided => self.on_request_decided(&write.changes),
-            WritePurpose::Clean => self.on_cleaned(&write.changes),
-            WritePurpose::ResultProcessed => self.on_result_removed(&write.changes),
-            WritePurpose::Refusal => {}
-        }
-    }
 }
--- a/src/controller/duties/orders.rs
+++ b/src/controller/duties/orders.rs
@@ -3,25 +3,27 @@
 use std::collections::HashSet;
 
 use duty_lease::{
-    Duty, Order, OrderId, OrderOutcome, OrderRequest, OrderResult, RecordOutcome, Token,
+    Duty, Order, OrderId, OrderOutcome, OrderRequest, OrderResult, RecordOutcome, ScalingRequest,
+    Token,
 };
 use tracing::{error, info, warn};
 
 use super::machine_orders::MachineOrder;
-use super::{Controller, DutyWrite, WritePurpose};
+use super::writes::{DutyWrite, RecordChange, WritePurpose};
+use super::Controller;
 use crate::controller::calls::PendingCall;
 use crate::controller::commits::WriteOwner;
 use crate::controller::provider_client::ProviderClient;
 use crate::controller::responses::{self, ProviderError};
-use crate::duties::{refusal_key, OrderKey, OrderPhase, OrderRecord, RefusalRecord};
+use crate::duties::{refusal_key, OrderKey, OrderPhase, RefusalRecord};
 use crate::net::Outcome;
 use crate::settings::DutyFence;
 use crate::termination_check::{TerminationCheck, TerminationVerdict};
 use crate::wire::{FencingToken, Write};
 use crate::write_queue::{CommitResult, WriteClass, WriteRequest};
 
-/// The name under which an order goes to the cloud. It never equals a leader's provisioning request,
-/// which ends in a dash and a number.
+/// The name under which an order goes to the cloud. It never equals that of a leader's
+/// provisioning request, which ends in a dash and a number.
 fn idempotency_key(id: OrderId) -> String {
     format!("{}.{}.{}", id.duty.name(), id.token, id.sequence)
 }
@@ -43,9 +45,9 @@
 }
 
 impl Controller {
-    /// Takes a holder's orders further.
+    /// Does what is due for a holder's orders.
     pub(super) fn run_orders(&mut self, duty: Duty) {
-        if !matches!(duty, Duty::Rent | Duty::Return) || !self.holds(duty) {
+        if !matches!(duty, Duty::Rent | Duty::Return) || !self.duties.holds(duty) {
             return;
         }
         self.sync_order_book(duty);
@@ -53,8 +55,7 @@
         let Some(runtime) = self.duties.runtime(duty) else {
             return;
         };
-        let order_token = runtime.lease.order_token(now);
-        for request in runtime.orders.tick(order_token, now) {
+        for request in runtime.due_order_requests(now) {
             self.execute_order_request(duty, request);
         }
     }
@@ -62,16 +63,24 @@
     /// Shows the order book the records, if they have changed.
     fn sync_order_book(&mut self, duty: Duty) {
         let generation = self.watch_cache.duties.generation();
-        let Some(runtime) = self.duties.runtime(duty) else {
-            return;
-        };
-        if runtime.orders_generation == Some(generation) {
+        let runtime = self.duties.runtime(duty);
+        if !runtime.is_some_and(|runtime| runtime.begin_order_sync(generation)) {
             return;
         }
-        runtime.orders_generation = Some(generation);
         let intents = self.watch_cache.duties.intents(duty);
-        let mut requests = self.watch_cache.duties.requests(duty);
-        let all = requests.len();
+        let requests = self.watch_cache.duties.requests(duty);
+        let allowed = self.allowed_requests(&requests);
+        if let Some(runtime) = self.duties.runtime(duty) {
+            if allowed.len() < requests.len() {
+                // What was left out is examined again.
+                runtime.repeat_order_sync();
+            }
+            runtime.sync_orders(&intents, &allowed);
+        }
+    }
+
+    /// The requests that the records allow to be satisfied.
+    fn allowed_requests(&self, requests: &[ScalingRequest]) -> Vec<ScalingRequest> {
         let revision = self.watch_cache.revision;
         let depends_on_occupied =
             |request| TerminationCheck::new(request, revision).needs_occupied_machines();
@@ -80,17 +89,11 @@
         } else {
             HashSet::new()
         };
-        requests.retain(|request| {
+        let is_allowed = |request: &&ScalingRequest| {
             let verdict = TerminationCheck::new(request, revision).verdict(&occupied);
             verdict == TerminationVerdict::Allowed
-        });
-        if let Some(runtime) = self.duties.runtime(duty) {
-            if requests.len() < all {
-                // What was left out is looked at again, even if nothing else changes.
-                runtime.orders_generation = None;
-            }
-            runtime.orders.on_view(&intents, &requests);
-        }
+        };
+        requests.iter().filter(is_allowed).cloned().collect()
     }
 
     fn execute_order_request(&mut self, duty: Duty, request: OrderRequest) {
@@ -112,10 +115,10 @@
                     request: intent.request,
                 };
                 let purpose = WritePurpose::Complete(intent.id);
-                // Of these nothing but the end is to be told.
+                // These leave nothing for the leader to process but the end of the order.
                 if matches!(result, OrderResult::Deleted | OrderResult::NoCapacity) {
-                    let changes = vec![(key, None)];
-                    self.write_as_holder(duty, DutyWrite { purpose, changes });
+                    let changes = vec![RecordChange::remove(key)];
+                    self.write_as_holder(duty, DutyWrite::new(purpose, changes));
                 } else {
                     self.write_phase(purpose, key, OrderPhase::Completed(result));
                 }
@@ -123,36 +126,12 @@
         }
     }
 
-    /// Takes an order's record to its next phase.
-    pub(super) fn write_phase(&mut self, purpose: WritePurpose, key: OrderKey, phase: OrderPhase) {
-        let duty = key.duty;
-        let Some((record, _)) = self.watch_cache.duties.order(&key) else {
-            // It has gone since: the order book learns of it as of a change that failed.
-            return self.on_duty_commit(
-                DutyWrite {
-                    purpose,
-                    changes: vec![(key, None)],
-                },
-                &CommitResult::Conflict {
-                    failed: vec![],
-                    revision: self.watch_cache.revision,
-                },
-            );
-        };
-        let record = OrderRecord {
-            phase,
-            ..record.clone()
-        };
-        let changes = vec![(key, Some(record))];
-        self.write_as_holder(duty, DutyWrite { purpose, changes });
-    }
-
     fn send_order(&mut self, id: OrderId, order: &Order, token: Token) {
         let now = self.clock.steady_ms();
         if !self.provider.try_order(now) {
             return self.on_order_outcome(id, OrderOutcome::Unknown);
         }
-        let fence = self.duties.control.as_ref().map(|c| c.settings.fence);
+        let fence = self.operator.duties.as_ref().map(|duties| duties.fence);
         let fencing = (fence == Some(DutyFence::ProviderToken)).then_some(FencingToken {
             duty: id.duty.name(),
             token,
@@ -174,7 +153,7 @@
         self.outbox.call_cloud(pending, call);
     }
 
-    /// The cloud has answered an order, or there was no answer.
+    /// The cloud has responded to an order, or not.
     pub(in crate::controller) fn on_duty_order_reply(
         &mut self,
         sent: SentOrder,
@@ -214,9 +193,8 @@
         let Some(runtime) = self.duties.runtime(id.duty) else {
             return;
         };
-        if runtime.orders.on_sent(id, outcome, now) {
-            runtime.lease.on_fenced(now);
-            self.forward_lease_events(id.duty);
+        if runtime.on_order_outcome(id, outcome, now) {
+            self.process_lease_events(id.duty);
         }
     }
 
@@ -224,7 +202,7 @@
     fn record_refusal(&mut self, sent: SentOrder) {
         let SentOrder { id, token, .. } = sent;
         let member = self.settings.member.clone();
-        warn!(duty = id.duty.name(), token, member, order = %id, "refused: a higher token was seen");
+        warn!(duty = id.duty.name(), token, member, order = %id, "order refused: a higher token was seen");
         let refusal = RefusalRecord {
             member,
             token,
@@ -232,10 +210,7 @@
             at_ms: self.clock.wall_ms(),
         };
         self.store.push_write(WriteRequest {
-            owner: WriteOwner::Duty(Box::new(DutyWrite {
-                purpose: WritePurpose::Refusal,
-                changes: vec![],
-            })),
+            owner: WriteOwner::Duty(Box::new(DutyWrite::new(WritePurpose::Refusal, vec![]))),
             conditions: vec![],
             writes: vec![Write::serialized(refusal_key(id.duty), &refusal)],
             class: WriteClass::Duty,
@@ -245,14 +220,14 @@
     pub(super) fn on_order_recorded(&mut self, id: OrderId, result: &CommitResult) {
         let now = self.clock.steady_ms();
         if let Some(runtime) = self.duties.runtime(id.duty) {
-            runtime.orders.on_recorded(id, record_outcome(result), now);
+            runtime.on_order_recorded(id, record_outcome(result), now);
         }
     }
 
     pub(super) fn on_order_completed(&mut self, id: OrderId, result: &CommitResult) {
         let now = self.clock.steady_ms();
         if let Some(runtime) = self.duties.runtime(id.duty) {
-            runtime.orders.on_completed(id, record_outcome(result), now);
+            runtime.on_order_completed(id, record_outcome(result), now);
         }
     }
 }
--- a/src/controller/duties/request_review.rs
+++ b/src/controller/duties/request_review.rs
@@ -1,40 +1,41 @@
-//! Needs that are checked against the records before anything is ordered: machines that are
-//! to be returned only if they are empty.
+//! Scaling requests that are reviewed by the records before anything is ordered: machines that
+//! are to be terminated only if they are empty.
 
 use std::collections::HashSet;
 
 use duty_lease::{Duty, Order, OrderResult, ScalingRequest};
 use tracing::{error, info};
 
-use super::{Controller, DutyWrite, WritePurpose};
+use super::runtime::ReviewPoint;
+use super::writes::{DutyWrite, RecordChange, WritePurpose};
+use super::Controller;
 use crate::duties::{OrderKey, OrderPhase, OrderRecord};
 use crate::termination_check::{TerminationCheck, TerminationVerdict};
 
 impl Controller {
-    /// Looks at needs to return empty machines, as the holder of a duty. A machine that has
-    /// a task on record is not returned, whoever needed that. Idle machines that pass are
-    /// handed to the duty that returns machines.
+    /// Reviews requests to terminate empty machines, as the holder of a duty. A machine that
+    /// has a task on record is not terminated, whichever controller asked for that. Idle
+    /// machines that pass are handed over to the duty that terminates machines.
     pub(super) fn review_scaling_requests(&mut self, duty: Duty) {
-        if !matches!(duty, Duty::ReclaimIdle | Duty::Return) || !self.holds(duty) {
+        if !matches!(duty, Duty::ReclaimIdle | Duty::Return) {
             return;
         }
-        // With each event, but looked at again only if anything has changed.
+        // Called with each event, but a review only if anything has changed.
         let revision = self.watch_cache.revision;
-        let reviewed_at = (self.watch_cache.duties.generation(), revision);
+        let point = ReviewPoint {
+            generation: self.watch_cache.duties.generation(),
+            revision,
+        };
         let runtime = self.duties.runtime(duty);
-        if runtime.is_some_and(|runtime| runtime.reviewed_at == Some(reviewed_at)) {
+        if !runtime.is_some_and(|runtime| runtime.holds() && !runtime.is_reviewed(point)) {
             return;
         }
-        let mut requests = self.watch_cache.duties.requests(duty);
-        requests.retain(|request| {
-            TerminationCheck::new(request, revision).needs_occupied_machines()
-                && self.has_no_decision_in_flight(duty, request)
-        });
+        let requests = self.undecided_terminations(duty);
         if !requests.is_empty() && !self.may_send_orders(duty) {
             return;
         }
         if let Some(runtime) = self.duties.runtime(duty) {
-            runtime.reviewed_at = Some(reviewed_at);
+            runtime.mark_reviewed(point);
         }
         if requests.is_empty() {
             return;
@@ -46,15 +47,19 @@
         }
     }
 
-    fn has_no_decision_in_flight(&self, duty: Duty, request: &ScalingRequest) -> bool {
-        let control = self.duties.control.as_ref();
-        let runtime = control.and_then(|control| control.runtimes.get(&duty));
-        runtime.is_some_and(|runtime| {
-            !runtime
-                .decisions_in_flight
-                .iter()
-                .any(|key| key.request == request.id)
-        })
+    /// Requests that the records are recent enough to decide on, and for which no decision is
+    /// on its way.
+    fn undecided_terminations(&mut self, duty: Duty) -> Vec<ScalingRequest> {
+        let revision = self.watch_cache.revision;
+        let Some(runtime) = self.duties.runtime(duty) else {
+            return vec![];
+        };
+        let mut requests = self.watch_cache.duties.requests(duty);
+        requests.retain(|request| {
+            TerminationCheck::new(request, revision).needs_occupied_machines()
+                && !runtime.has_decision_in_flight(&request.id)
+        });
+        requests
     }
 
     /// Machines that have a task on record.
@@ -74,44 +79,47 @@
             duty,
             request: request.id,
         };
-        match verdict {
-            TerminationVerdict::Rejected { occupied } => {
+        let duty_name = duty.name();
+        match (verdict, request.order) {
+            (TerminationVerdict::Rejected { occupied }, _) => {
                 error!(
-                    duty = duty.name(),
+                    duty = duty_name,
                     request = key.request,
                     machines = ?occupied,
                     "scale-in rejected: machines have tasks on record"
                 );
-                self.decide(key, OrderPhase::Completed(OrderResult::Rejected));
+                self.reject_request(key);
             }
-            TerminationVerdict::Allowed if duty == Duty::ReclaimIdle => {
-                if let Order::Delete { machines, .. } = request.order {
-                    info!(
-                        duty = duty.name(),
-                        request = key.request,
-                        ?machines,
-                        "machines are idle"
-                    );
-                    self.forward_to_termination(key, machines);
-                }
+            (TerminationVerdict::Allowed, Order::Delete { machines, .. })
+                if duty == Duty::ReclaimIdle =>
+            {
+                info!(
+                    duty = duty_name,
+                    request = key.request,
+                    ?machines,
+                    "machines are idle"
+                );
+                self.forward_to_termination(key, machines);
             }
-            TerminationVerdict::Allowed | TerminationVerdict::Postponed => {}
+            (TerminationVerdict::Allowed | TerminationVerdict::Postponed, _) => {}
         }
     }
 
-    fn decide(&mut self, key: OrderKey, phase: OrderPhase) {
+    fn reject_request(&mut self, key: OrderKey) {
         if let Some(runtime) = self.duties.runtime(key.duty) {
-            runtime.decisions_in_flight.push(key.clone());
+            runtime.begin_decision(key.clone());
         }
+        let phase = OrderPhase::Completed(OrderResult::Rejected);
         self.write_phase(WritePurpose::RequestDecided, key, phase);
     }
 
-    /// Idle machines become a need of the duty that returns machines, in one transaction.
+    /// Idle machines become a request to the duty that terminates machines, in one
+    /// transaction.
     fn forward_to_termination(&mut self, key: OrderKey, machines: Vec<String>) {
         let Some((record, _)) = self.watch_cache.duties.order(&key) else {
             return;
         };
-        let returned = OrderRecord {
+        let forwarded = OrderRecord {
             order: Order::Delete {
                 machines,
                 if_empty: true,
@@ -119,27 +127,25 @@
             phase: OrderPhase::Needed,
             since_ms: record.since_ms,
         };
-        let return_key = OrderKey {
+        let forwarded_key = OrderKey {
             duty: Duty::Return,
             request: key.request.clone(),
         };
         if let Some(runtime) = self.duties.runtime(key.duty) {
-            runtime.decisions_in_flight.push(key.clone());
+            runtime.begin_decision(key.clone());
         }
-        let changes = vec![(return_key, Some(returned)), (key, None)];
-        let purpose = WritePurpose::RequestDecided;
-        self.write_as_holder(Duty::ReclaimIdle, DutyWrite { purpose, changes });
+        let changes = vec![
+            RecordChange::set(forwarded_key, forwarded),
+            RecordChange::remove(key),
+        ];
+        let write = DutyWrite::new(WritePurpose::RequestDecided, changes);
+        self.write_as_holder(Duty::ReclaimIdle, write);
     }
 
-    /// A decision was written, or was not: then it is taken again.
-    pub(super) fn on_request_decided(&mut self, changes: &[(OrderKey, Option<OrderRecord>)]) {
-        for (key, _) in changes {
+    pub(super) fn on_request_decided(&mut self, changes: &[RecordChange]) {
+        for RecordChange { key, .. } in changes {
             if let Some(runtime) = self.duties.runtime(key.duty) {
-                runtime
-                    .decisions_in_flight
-                    .retain(|decisions_in_flight| decisions_in_flight != key);
-                runtime.reviewed_at = None;
-                runtime.orders_generation = None;
+                runtime.end_decision(key);
             }
         }
     }
--- /dev/null
+++ b/src/controller/duties/writes.rs
@@ -0,0 +1,163 @@
+//! Changes of orders' records: who makes them, under which condition, and what follows from
+//! their outcome.
+
+use duty_lease::{Duty, OrderId};
+use tracing::debug;
+
+use super::Controller;
+use crate::controller::commits::WriteOwner;
+use crate::duties::{holder_key, order_key, OrderKey, OrderPhase, OrderRecord};
+use crate::wire::{Condition, Write};
+use crate::write_queue::{CommitResult, WriteClass, WriteRequest};
+
+/// A change of one order's record.
+#[derive(Debug, Clone)]
+pub(super) struct RecordChange {
+    pub key: OrderKey,
+    /// The new record; `None` removes it.
+    pub record: Option<OrderRecord>,
+}
+
+impl RecordChange {
+    pub fn set(key: OrderKey, record: OrderRecord) -> RecordChange {
+        let record = Some(record);
+        RecordChange { key, record }
+    }
+
+    pub fn remove(key: OrderKey) -> RecordChange {
+        RecordChange { key, record: None }
+    }
+}
+
+/// Changes of orders' records in one transaction.
+#[derive(Debug, Clone)]
+pub(in crate::controller) struct DutyWrite {
+    pub(super) purpose: WritePurpose,
+    pub(super) changes: Vec<RecordChange>,
+}
+
+/// What a change of orders' records is for.
+#[derive(Debug, Clone)]
+pub(super) enum WritePurpose {
+    /// The leader writes a scaling request.
+    ScalingRequest { epoch: u64 },
+    /// The leader removes a result that it has processed.
+    ResultProcessed,
+    /// The order book records an order.
+    Record(OrderId),
+    /// The order book completes an order.
+    Complete(OrderId),
+    /// A holder rejects a scaling request, or forwards it to another duty.
+    RequestDecided,
+    /// The holder of cleaning removes a record.
+    Clean,
+    /// A holder notes an order that was refused; the outcome does not matter.
+    Refusal,
+}
+
+impl DutyWrite {
+    pub(super) fn new(purpose: WritePurpose, changes: Vec<RecordChange>) -> DutyWrite {
+        DutyWrite { purpose, changes }
+    }
+
+    /// Whether it depends on the leader's term.
+    pub fn is_of_leader(&self) -> bool {
+        let purpose = &self.purpose;
+        matches!(
+            purpose,
+            WritePurpose::ScalingRequest { .. } | WritePurpose::ResultProcessed
+        )
+    }
+}
+
+impl Controller {
+    /// Changes records on condition that the lease of a duty is ours, that each record has
+    /// the version that is known of it, and that new ones do not exist.
+    pub(super) fn write_as_holder(&mut self, duty: Duty, write: DutyWrite) {
+        let runtime = self.duties.runtime(duty);
+        let Some(version) = runtime.and_then(|runtime| runtime.holder_version()) else {
+            return;
+        };
+        self.push_duty_write(Condition::new(holder_key(duty), version), write);
+    }
+
+    /// Changes records on condition that this controller leads, and of the records' versions.
+    pub(super) fn write_as_leader(&mut self, write: DutyWrite) {
+        if let Some(scheduler) = &self.scheduler {
+            let condition = scheduler.term_condition();
+            self.push_duty_write(condition, write);
+        }
+    }
+
+    fn push_duty_write(&mut self, entitled: Condition, write: DutyWrite) {
+        let mut conditions = vec![entitled];
+        let mut writes = Vec::new();
+        for RecordChange { key, record } in &write.changes {
+            let order = self.watch_cache.duties.order(key);
+            let version = order.map_or(0, |(_, version)| version);
+            let name = order_key(key);
+            conditions.push(Condition::new(name.clone(), version));
+            writes.push(match record {
+                Some(record) => Write::set(name, record.to_value()),
+                None => Write::delete(name),
+            });
+        }
+        self.store.push_write(WriteRequest {
+            owner: WriteOwner::Duty(Box::new(write)),
+            conditions,
+            writes,
+            class: WriteClass::Duty,
+        });
+    }
+
+    /// Takes an order's record to its next phase.
+    pub(super) fn write_phase(&mut self, purpose: WritePurpose, key: OrderKey, phase: OrderPhase) {
+        let duty = key.duty;
+        let Some((record, _)) = self.watch_cache.duties.order(&key) else {
+            // It has gone since: the order book learns of it as of a change that failed.
+            let write = DutyWrite::new(purpose, vec![RecordChange::remove(key)]);
+            let conflict = CommitResult::Conflict {
+                failed: vec![],
+                revision: self.watch_cache.revision,
+            };
+            return self.on_duty_commit(write, &conflict);
+        };
+        let record = OrderRecord {
+            phase,
+            ..record.clone()
+        };
+        let changes = vec![RecordChange::set(key, record)];
+        self.write_as_holder(duty, DutyWrite::new(purpose, changes));
+    }
+
+    /// What became of a change of orders' records.
+    pub(in crate::controller) fn on_duty_commit(
+        &mut self,
+        write: DutyWrite,
+        result: &CommitResult,
+    ) {
+        match result {
+            CommitResult::Committed { revision } => {
+                let duties = &mut self.watch_cache.duties;
+                for change in &write.changes {
+                    duties.apply_own_write(&change.key, change.record.clone(), *revision);
+                }
+            }
+            CommitResult::Conflict { failed, .. } => {
+                debug!(?failed, ?write, "change of records in conflict");
+            }
+            CommitResult::Rejected | CommitResult::Unknown => {}
+        }
+        match write.purpose {
+            WritePurpose::ScalingRequest { epoch } => {
+                self.on_request_written(epoch, &write.changes, result);
+            }
+            WritePurpose::Record(id) => self.on_order_recorded(id, result),
+            WritePurpose::Complete(id) => self.on_order_completed(id, result),
+            WritePurpose::RequestDecided => self.on_request_decided(&write.changes),
+            WritePurpose::Clean => self.on_cleaned(&write.changes),
+            WritePurpose::ResultProcessed => self.on_result_removed(&write.changes),
+            WritePurpose::Refusal => {}
+        }
+    }
+}
