--- a/src/controller/acknowledged_cancellations.rs
+++ b/src/controller/acknowledged_cancellations.rs
@@ -1,9 +1,9 @@
-//! Cancellations that users were told of by this controller, for a leader that can't read
+//! Cancellations that this controller has acknowledged to users, for a leader that can't read
 //! them from the store.
 
 use std::collections::BTreeMap;
 
-/// Jobs that users were told to be cancelled, and when they were first told.
+/// Jobs whose cancellation was acknowledged, and when it first was.
 #[derive(Debug, Default)]
 pub(super) struct AcknowledgedCancellations {
     acknowledged_at: BTreeMap<String, u64>,
--- a/src/controller/effects.rs
+++ b/src/controller/effects.rs
@@ -13,7 +13,7 @@
 use super::{Controller, StepDownReason};
 use crate::net::Outcome;
 use crate::scheduler::{DirectStart, Effect, StatusOrigin};
-use crate::wire;
+use crate::wire::{self, Command, Condition, Write};
 use crate::write_queue::{WriteClass, WriteRequest};
 
 /// Timeout of a call to an agent.
@@ -21,7 +21,6 @@
 
 impl Controller {
     pub(super) fn execute_effect(&mut self, effect: Effect) {
-        let epoch = self.epoch();
         match effect {
             Effect::Write {
                 job,
@@ -34,14 +33,9 @@
                     job,
                     change,
                     final_state,
-                    epoch,
+                    epoch: self.epoch(),
                 };
-                self.store.push_write(WriteRequest {
-                    owner: WriteOwner::Job(write),
-                    conditions,
-                    writes,
-                    class: WriteClass::Leader,
-                });
+                self.write_job(write, conditions, writes);
             }
             Effect::Commands {
                 machine,
@@ -50,14 +44,7 @@
                 commands,
                 starts,
             } => {
-                trace!(%machine, ?commands, "sending commands");
-                let batch = wire::CommandBatch {
-                    epoch,
-                    incarnation: Some(incarnation),
-                    commands,
-                };
-                let body = wire::encode(&batch);
-                let call = HttpCall::post(wire::COMMANDS_PATH, body, AGENT_TIMEOUT_MS);
+                let call = self.commands_call(&machine, incarnation, commands);
                 self.call_agent(machine, address, starts, call);
             }
             Effect::Inspect { machine, address } => {
@@ -73,6 +60,25 @@
         }
     }
 
+    fn write_job(&mut self, write: JobWrite, conditions: Vec<Condition>, writes: Vec<Write>) {
+        self.store.push_write(WriteRequest {
+            owner: WriteOwner::Job(write),
+            conditions,
+            writes,
+            class: WriteClass::Leader,
+        });
+    }
+
+    fn commands_call(&self, machine: &str, incarnation: u64, commands: Vec<Command>) -> HttpCall {
+        trace!(machine, ?commands, "sending commands");
+        let body = wire::encode(&wire::CommandBatch {
+            epoch: self.epoch(),
+            incarnation: Some(incarnation),
+            commands,
+        });
+        HttpCall::post(wire::COMMANDS_PATH, body, AGENT_TIMEOUT_MS)
+    }
+
     fn call_agent(
         &mut self,
         machine: Arc<str>,
--- a/src/controller/format_version.rs
+++ b/src/controller/format_version.rs
@@ -1,11 +1,11 @@
-//! Living beside the version in production, and under limits of the store that
-//! fall without notice.
+//! Compatibility with the version in production, and with limits of the store that fall
+//! without notice.
 //!
 //! What that version can't read is written only once it runs nowhere any more. Each
-//! controller makes itself known by a key; once all of the settings' are known there and
-//! each has just said that it runs this version, the leader raises the format, which never
-//! goes down. One that is down or cut off counts as old, and so does one that was put back
-//! to the version before. Before that, a submission that names dependencies or a refusal
+//! controller makes itself known by a key; once all controllers of the settings have, and each
+//! has just said that it runs this version, the leader raises the format, which never goes
+//! down. A controller that is down or cut off counts as old, and so does one that was rolled
+//! back to the version before. Before that, a submission that names dependencies or a refusal
 //! for a lower limit is proof as well: neither comes before all run this version.
 
 use thiserror::Error;
@@ -47,15 +47,45 @@
     /// There was proof that no earlier version runs any more.
     is_confirmed: bool,
     next_write_at: u64,
-    /// Refused for the number of changes: until then the lower limit may hold.
+    /// A transaction was refused for the number of changes: until then the lower limit may
+    /// hold. 0 if none was.
     throttled_until: u64,
 }
 
+impl FormatState {
+    /// The format that may be written, with what the store holds.
+    fn writable_format(&self, stored: u64) -> u64 {
+        let proven = u64::from(self.is_confirmed) * PACKED_FORMAT;
+        stored.max(proven)
+    }
+
+    fn confirm(&mut self) {
+        self.is_confirmed = true;
+        self.next_write_at = 0;
+    }
+
+    fn is_throttled(&self, now: u64) -> bool {
+        now < self.throttled_until
+    }
+
+    /// Ends the time in which the lower limit may hold. Returns whether it has just ended.
+    fn end_throttling_if_over(&mut self, now: u64) -> bool {
+        let is_over = self.throttled_until > 0 && now >= self.throttled_until;
+        if is_over {
+            self.throttled_until = 0;
+        }
+        is_over
+    }
+
+    fn is_write_due(&self, now: u64) -> bool {
+        now >= self.next_write_at
+    }
+}
+
 impl Controller {
     /// The format that may be written.
     pub(super) fn format(&self) -> u64 {
-        let proven = u64::from(self.format_state.is_confirmed) * PACKED_FORMAT;
-        self.watch_cache.format.max(proven)
+        self.format_state.writable_format(self.watch_cache.format)
     }
 
     /// The store holds what only a later version than this one can read: this one
@@ -71,7 +101,7 @@
             return state.lowered();
         }
         let mut limits = state.clone();
-        if self.clock.steady_ms() < self.format_state.throttled_until {
+        if self.format_state.is_throttled(self.clock.steady_ms()) {
             limits.write_rps = limits.lowered().write_rps;
         }
         limits
@@ -81,8 +111,7 @@
     pub(super) fn confirm_packed_format(&mut self, proof: FormatProof) {
         if self.format() < PACKED_FORMAT {
             info!(format = PACKED_FORMAT, reason = %proof, "no earlier version runs any more");
-            self.format_state.is_confirmed = true;
-            self.format_state.next_write_at = 0;
+            self.format_state.confirm();
             self.on_format_changed();
         }
     }
@@ -90,8 +119,9 @@
     pub(super) fn on_format_changed(&mut self) {
         if self.is_outdated() {
             error!(
-                "the state service holds format {}, this version knows {LATEST_FORMAT}: it must be replaced",
-                self.watch_cache.format
+                format = self.watch_cache.format,
+                latest = LATEST_FORMAT,
+                "the store holds a later format: this version must be replaced"
             );
             return self.resign(StepDownReason::Outdated, 0);
         }
@@ -110,34 +140,44 @@
     /// Makes this version known, or raises the format.
     pub(super) fn format_tick(&mut self) {
         let now = self.clock.steady_ms();
-        let state = &mut self.format_state;
-        if state.throttled_until > 0 && now >= state.throttled_until {
-            state.throttled_until = 0;
+        if self.format_state.end_throttling_if_over(now) {
             self.on_format_changed();
         }
-        if !self.watch_cache.loaded || now < self.format_state.next_write_at {
+        if !self.watch_cache.loaded || !self.format_state.is_write_due(now) {
             return;
         }
         if self.watch_cache.format >= PACKED_FORMAT {
-            return self.activate_duties();
+            self.activate_duties();
+        } else {
+            self.activate_packed_format();
         }
+    }
+
+    fn postpone_format_write(&mut self) {
         let pause_s = self.settings.cluster.workers.report_s * RETRY_INTERVALS;
-        self.format_state.next_write_at = now + to_ms(pause_s);
+        self.format_state.next_write_at = self.clock.steady_ms() + to_ms(pause_s);
+    }
+
+    /// Raises the first format if no earlier version runs any more; else makes this version
+    /// known.
+    fn activate_packed_format(&mut self) {
+        self.postpone_format_write();
         let is_known = self.watch_cache.members.contains(&self.settings.member);
         let all_known = is_known && self.all_peers_know(PACKED_FORMAT);
-        let (conditions, key) =
-            if self.format_state.is_confirmed || (all_known && self.scheduler.is_some()) {
-                let unchanged = Condition::new(FORMAT_KEY, self.watch_cache.format_version);
-                (vec![unchanged], FORMAT_KEY.to_string())
-            } else if !is_known {
-                (vec![], member_key(&self.settings.member))
-            } else {
-                return;
-            };
+        let is_proven = self.format_state.is_confirmed || (all_known && self.scheduler.is_some());
+        if is_proven {
+            let unchanged = Condition::new(FORMAT_KEY, self.watch_cache.format_version);
+            self.write_format(vec![unchanged], FORMAT_KEY.to_string(), PACKED_FORMAT);
+        } else if !is_known {
+            self.write_format(vec![], member_key(&self.settings.member), PACKED_FORMAT);
+        }
+    }
+
+    fn write_format(&mut self, conditions: Vec<Condition>, key: String, format: u64) {
         self.store.push_write(WriteRequest {
             owner: WriteOwner::FormatVersion,
             conditions,
-            writes: vec![Write::set(key, PACKED_FORMAT.into())],
+            writes: vec![Write::set(key, format.into())],
             class: WriteClass::User,
         });
     }
@@ -153,24 +193,19 @@
         if !is_ready {
             return;
         }
-        let pause_s = self.settings.cluster.workers.report_s * RETRY_INTERVALS;
-        self.format_state.next_write_at = self.clock.steady_ms() + to_ms(pause_s);
+        self.postpone_format_write();
         if !self.watch_cache.is_superseded() {
             return self.resign(StepDownReason::FenceRaised, 0);
         }
-        info!("format {DUTIES_FORMAT}: all controllers hold duties");
         let Some(scheduler) = &self.scheduler else {
             return;
         };
-        self.store.push_write(WriteRequest {
-            owner: WriteOwner::FormatVersion,
-            conditions: vec![
-                scheduler.term_condition(),
-                Condition::new(FORMAT_KEY, self.watch_cache.format_version),
-            ],
-            writes: vec![Write::set(FORMAT_KEY.into(), DUTIES_FORMAT.into())],
-            class: WriteClass::User,
-        });
+        info!(format = DUTIES_FORMAT, "all controllers can hold duties");
+        let conditions = vec![
+            scheduler.term_condition(),
+            Condition::new(FORMAT_KEY, self.watch_cache.format_version),
+        ];
+        self.write_format(conditions, FORMAT_KEY.to_string(), DUTIES_FORMAT);
     }
 
     /// Whether each other controller has made itself known, and has just said that it knows
@@ -196,13 +231,13 @@
             // No transaction with a grant goes through the queue, and ours are well
             // formed: it is too large by now.
             status::BAD_REQUEST => {
-                debug!("refused: {}", wire::readable(body));
+                debug!(body = wire::readable(body), "transaction refused");
                 self.confirm_packed_format(FormatProof::LoweredLimits);
             }
             status::TOO_MANY_REQUESTS if self.format() < PACKED_FORMAT => {
-                let spell_s = self.settings.cluster.workers.report_s * THROTTLED_INTERVALS;
-                let spell_ms = to_ms(spell_s);
-                self.format_state.throttled_until = self.clock.steady_ms() + spell_ms;
+                let throttled_s = self.settings.cluster.workers.report_s * THROTTLED_INTERVALS;
+                let until = self.clock.steady_ms() + to_ms(throttled_s);
+                self.format_state.throttled_until = until;
                 self.on_format_changed();
             }
             _ => {}
--- a/src/controller/machine_list_reader.rs
+++ b/src/controller/machine_list_reader.rs
@@ -10,10 +10,10 @@
 const PAGE_DOUBLINGS_MAX: u32 = 3;
 /// Failures of one page after which the whole list is begun anew.
 const PAGE_TRIES_MAX: u32 = 6;
-/// How often the pause between two reads is doubled after lists that can't be right.
+/// How often the pause between two reads is doubled after invalid lists.
 const INVALID_DOUBLINGS_MAX: u32 = 2;
 
-/// Why a list can't be right.
+/// Why a list is invalid.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub(super) enum ListError {
     /// A page holds what an earlier one has held.
@@ -34,10 +34,17 @@
     More,
     /// The list is complete.
     Complete(Vec<ListedMachine>),
-    /// The list can't be right: nothing of it counts.
+    /// The list is invalid: nothing of it counts.
     Invalid(ListError),
 }
 
+/// Whether a page is the last one.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+enum PageEnd {
+    More,
+    Last,
+}
+
 /// A read in progress.
 #[derive(Debug)]
 struct ListRead {
@@ -51,14 +58,14 @@
     failures: u32,
 }
 
-/// Reads the list again and again, as the limit of calls to the cloud allows.
+/// Reads the list repeatedly, as the limit of calls to the cloud allows.
 #[derive(Debug, Default)]
 pub(super) struct MachineListReader {
     next_at: u64,
     read: Option<ListRead>,
     /// Pages of the last complete list.
     pages: u64,
-    /// Lists in a row that could not be right.
+    /// Invalid lists in a row.
     invalid: u32,
 }
 
@@ -77,8 +84,8 @@
         }
     }
 
-    /// A page is being asked for. `interval_ms`: time between two reads, for each page of
-    /// the list: a long one costs calls and time, and tells little that reports don't.
+    /// A page is being read. `interval_ms`: time between two reads, for each page of
+    /// the list: a long one costs calls and time, and shows little that heartbeats don't.
     /// Returns the last name that is known already.
     pub fn begin_page(&mut self, now: u64, interval_ms: u64) -> Option<String> {
         if self.read.is_none() {
@@ -102,7 +109,7 @@
         self.read.as_ref().map(|read| read.started_at)
     }
 
-    /// No page came. It is asked for again, and after some failures the whole list.
+    /// A page was not read. It is read again, and after some failures the whole list.
     pub fn on_failure(&mut self, now: u64) {
         let Some(read) = &mut self.read else {
             return;
@@ -116,20 +123,20 @@
         }
     }
 
-    /// Takes in a page. `machines_max`: more can't be held.
+    /// Adds a page. `machines_max`: more can't be held in memory.
     pub fn on_page(&mut self, page: MachineList, machines_max: usize, now: u64) -> PageResult {
         let Some(mut read) = self.read.take() else {
             return PageResult::More;
         };
         read.pages += 1;
-        match take_page(&mut read, page, machines_max) {
-            Ok(true) => {
+        match add_page(&mut read, page, machines_max) {
+            Ok(PageEnd::More) => {
                 read.next_page_at = Some(now);
                 read.failures = 0;
                 self.read = Some(read);
                 PageResult::More
             }
-            Ok(false) => {
+            Ok(PageEnd::Last) => {
                 self.pages = read.pages;
                 self.invalid = 0;
                 PageResult::Complete(read.machines)
@@ -142,12 +149,12 @@
     }
 }
 
-/// Adds a page to what was read. Whether there are more.
-fn take_page(
+/// Adds a page to those that were read.
+fn add_page(
     read: &mut ListRead,
     page: MachineList,
     machines_max: usize,
-) -> Result<bool, ListError> {
+) -> Result<PageEnd, ListError> {
     if page.truncated && page.machines.is_empty() {
         return Err(ListError::Empty);
     }
@@ -160,5 +167,9 @@
     if read.machines.len() > machines_max {
         return Err(ListError::Endless(machines_max));
     }
-    Ok(page.truncated)
+    if page.truncated {
+        Ok(PageEnd::More)
+    } else {
+        Ok(PageEnd::Last)
+    }
 }
--- a/src/controller/peers.rs
+++ b/src/controller/peers.rs
@@ -96,14 +96,14 @@
         self.peers.record_cancellation_sync(member, sync);
     }
 
-    /// Until when all cancellations that users were told of are known here: from the last
+    /// Until when all cancellations that were acknowledged to users are known here: from the last
     /// read of the store, or in an outage that all see from every other controller, if none
-    /// of them has begun anew since that read. One that has may have told users what nobody
-    /// knows any more.
+    /// of them has restarted since that read. One that has may have acknowledged what no
+    /// controller knows any more.
     pub(super) fn cancellations_known_as_of(&self) -> Option<u64> {
         let read_at = self.store_sync.complete_as_of()?.at;
         let synced_at = self.peers.cancellations_synced_at(read_at);
-        // One that is alone has told them all itself.
+        // A single controller has acknowledged them all itself.
         Some(synced_at.unwrap_or(self.clock.steady_ms()).max(read_at))
     }
 
--- a/src/controller/planning.rs
+++ b/src/controller/planning.rs
@@ -24,19 +24,41 @@
     pub fn reset(&mut self) {
         self.in_progress = false;
     }
+
+    /// Whether a plan may begin at all.
+    fn is_due(&self, now: u64) -> bool {
+        !self.in_progress && now >= self.next_at
+    }
+
+    /// Whether a plan may begin although it was put off, by a reason that counts for
+    /// `interval_ms` at most.
+    fn has_waited(&self, interval_ms: u64, now: u64) -> bool {
+        now >= self.next_at + interval_ms
+    }
+
+    fn begin(&mut self, now: u64) {
+        self.in_progress = true;
+        self.next_at = now;
+    }
+
+    /// A plan was made. Returns how long it took.
+    fn complete(&mut self, now: u64) -> u64 {
+        let took_ms = now.saturating_sub(self.next_at);
+        self.in_progress = false;
+        self.next_at = now + (PAUSE_FACTOR * took_ms).max(PLAN_INTERVAL_MS);
+        took_ms
+    }
 }
 
 impl Controller {
     /// A snapshot to plan on, when it is time.
     pub fn take_due_snapshot(&mut self, now: Timestamp) -> Option<Snapshot> {
         self.clock.set(now);
-        let next_at = self.plan_timer.next_at;
-        let certain = self.leadership.is_certain(now.steady);
-        if self.plan_timer.in_progress || now.steady < next_at || !certain {
+        if !self.plan_timer.is_due(now.steady) || !self.leadership.is_certain(now.steady) {
             return None;
         }
-        // While records wait for the store, a further plan would only
-        // add small ones: better a later one that places more at a time.
+        // While records wait for the store, a further plan would only add small ones: better
+        // a later one that places more at a time.
         if self.store.has_waiting_leader_writes() {
             return None;
         }
@@ -45,26 +67,25 @@
             return None;
         }
         // Without changes a plan now and then, so that backoffs end without an event.
-        if !scheduler.needs_planning && now.steady < next_at + IDLE_PLAN_INTERVAL_MS {
+        let idle_ms = IDLE_PLAN_INTERVAL_MS;
+        if !scheduler.needs_planning && !self.plan_timer.has_waited(idle_ms, now.steady) {
             return None;
         }
-        // heartbeats that wait go first, but not for ever.
-        if scheduler.is_overloaded(now.steady) && now.steady < next_at + OVERLOADED_PLAN_INTERVAL_MS
-        {
+        // Heartbeats that wait go first, but not for ever.
+        let overloaded_ms = OVERLOADED_PLAN_INTERVAL_MS;
+        let is_overloaded = scheduler.is_overloaded(now.steady);
+        if is_overloaded && !self.plan_timer.has_waited(overloaded_ms, now.steady) {
             return None;
         }
-        self.plan_timer.in_progress = true;
-        self.plan_timer.next_at = now.steady;
+        self.plan_timer.begin(now.steady);
         Some(scheduler.snapshot(now.steady, now.wall))
     }
 
-    /// Takes in what was planned on the last snapshot, which was made under this epoch.
+    /// Applies what was planned on the last snapshot, which was taken under this epoch.
     pub fn apply_plan(&mut self, now: Timestamp, epoch: u64, decision: Decision) {
         self.clock.set(now);
-        let took_ms = now.steady.saturating_sub(self.plan_timer.next_at);
+        let took_ms = self.plan_timer.complete(now.steady);
         self.stats.record_plan(took_ms);
-        self.plan_timer.in_progress = false;
-        self.plan_timer.next_at = now.steady + (PAUSE_FACTOR * took_ms).max(PLAN_INTERVAL_MS);
         let calls = if self.are_duties_active() {
             self.scale_out_budget()
         } else {
--- a/src/controller/responses.rs
+++ b/src/controller/responses.rs
@@ -59,7 +59,7 @@
     Found(&'a [u8]),
     /// The key does not exist.
     NotFound,
-    /// Nothing is known.
+    /// The outcome is unknown.
     Failed,
 }
 
@@ -75,7 +75,7 @@
 /// Why the provider did not carry out a request, as far as is known.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum ProviderError {
-    /// None of this kind of machine is to be had.
+    /// There is no capacity for this kind of machine.
     NoCapacity,
     /// The request is malformed.
     Malformed,
@@ -83,7 +83,7 @@
     Fenced,
     /// Above the provider's rate limit.
     Throttled,
-    /// The provider is in trouble, or nothing is known.
+    /// The provider is in trouble, or the outcome is unknown.
     Unknown,
 }
 
--- a/src/serve.rs
+++ b/src/serve.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 use mio::Waker;
-use tracing::info;
+use tracing::{error, info};
 
 use crate::controller::{Controller, Timestamp};
 use crate::fleet_capacity::limit_capacities;
@@ -19,11 +19,11 @@
 /// The stack of the planning thread, which needs little.
 const PLANNER_STACK_BYTES: usize = 512 * 1024;
 
-/// The part of the memory that one answer to a call may take, which takes a few times its
-/// size when it is decoded, and what it may take in any
-/// case: a page of the store has up to 512 KiB.
-const REPLY_MEMORY_SHARE: f64 = 1.0 / 16.0;
-const REPLY_MIN: usize = 1024 * 1024;
+/// The part of the memory that one response to a call may take, which takes a few times its
+/// size when it is decoded.
+const RESPONSE_MEMORY_SHARE: f64 = 1.0 / 16.0;
+/// What a response may take in any case: a page of the store has up to 512 KiB.
+const RESPONSE_BYTES_MIN: usize = 1024 * 1024;
 
 struct Clock {
     started: Instant,
@@ -39,28 +39,32 @@
     }
 
     fn steady_ms(&self) -> u64 {
-        // From one on, so that 0 can stand for never.
+        // From one on: 0 means never.
         self.started.elapsed().as_millis() as u64 + 1
     }
 }
 
-/// Hands snapshots to the planning thread; a newer one takes the place of one that was not
-/// taken.
+/// A snapshot, and the epoch that it was taken under.
+struct PlanRequest {
+    epoch: u64,
+    snapshot: Snapshot,
+}
+
+/// Passes snapshots to the planning thread; a newer one replaces one that was not taken.
 #[derive(Default)]
 struct PlannerInbox {
-    /// A snapshot with the epoch that it was taken under.
-    snapshot: Mutex<Option<(u64, Snapshot)>>,
+    request: Mutex<Option<PlanRequest>>,
     arrived: Condvar,
 }
 
 impl PlannerInbox {
-    fn put(&self, epoch: u64, snapshot: Snapshot) {
-        *lock(&self.snapshot) = Some((epoch, snapshot));
+    fn put(&self, request: PlanRequest) {
+        *lock(&self.request) = Some(request);
         self.arrived.notify_one();
     }
 
-    fn take(&self) -> (u64, Snapshot) {
-        let mut slot = lock(&self.snapshot);
+    fn take(&self) -> PlanRequest {
+        let mut slot = lock(&self.request);
         loop {
             if let Some(taken) = slot.take() {
                 return taken;
@@ -74,7 +78,7 @@
 }
 
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
-    // Panics abort the process, so there is no poisoned state to fear.
+    // Panics abort the process, so no lock is ever poisoned.
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
@@ -85,10 +89,22 @@
     clock: Clock,
 }
 
-/// Runs until killed, or until the event loop fails.
+/// What a turn of the event loop leads to.
+struct Turn {
+    /// What is to be done.
+    actions: Vec<Action>,
+    /// How long to wait for events then, at the most.
+    wait_ms: u64,
+}
+
+/// Runs the controller until the process is killed.
+///
+/// # Errors
+///
+/// If a listener or a thread can't be set up, or the event loop fails.
 pub fn serve(settings: Settings, operator: OperatorSettings) -> io::Result<()> {
     if let Some(least) = limit_capacities(&settings.cluster).first() {
-        info!("{least}");
+        info!(limit = %least, "lowest limit on the number of machines");
     }
     let limits = connection_limits(&settings);
     let mut event_loop = EventLoop::new(settings.front, settings.mesh_addr, limits)?;
@@ -109,11 +125,11 @@
     loop {
         let events = event_loop.turn(Duration::from_millis(wait_ms))?;
         let read_delay_ms = event_loop.take_longest_wait_ms();
-        let actions;
-        (actions, wait_ms) = handle_events(&shared, events, read_delay_ms);
-        for action in actions {
+        let turn = handle_events(&shared, events, read_delay_ms);
+        for action in turn.actions {
             execute_action(&mut event_loop, action);
         }
+        wait_ms = turn.wait_ms;
     }
 }
 
@@ -126,27 +142,29 @@
         fd_limit: limits.fd_limit,
         vital,
         agent_idle: Duration::from_secs_f64(settings.cluster.workers.lease_s),
-        reply_max: limits.memory_part(REPLY_MEMORY_SHARE).max(REPLY_MIN),
+        reply_max: limits
+            .memory_part(RESPONSE_MEMORY_SHARE)
+            .max(RESPONSE_BYTES_MIN),
     }
 }
 
 /// The planning thread.
 fn plan_forever(shared: &Shared, waker: &Waker) {
     loop {
-        let (epoch, snapshot) = shared.inbox.take();
+        let PlanRequest { epoch, snapshot } = shared.inbox.take();
         let decision = plan::cycle(snapshot);
         lock(&shared.controller).apply_plan(shared.clock.now(), epoch, decision);
-        if let Err(e) = waker.wake() {
-            tracing::error!("the event loop can't be woken: {e}");
+        if let Err(error) = waker.wake() {
+            error!(%error, "event loop not woken");
         }
     }
 }
 
-/// Passes events on to the controller. Returns what is to be done, and how long to wait then.
-fn handle_events(shared: &Shared, events: Vec<Event>, read_delay_ms: u64) -> (Vec<Action>, u64) {
+/// Passes events on to the controller.
+fn handle_events(shared: &Shared, events: Vec<Event>, read_delay_ms: u64) -> Turn {
     let mut controller = lock(&shared.controller);
-    // The steady clock is read anew before every event; the time of day,
-    // which is but noted in records, once a turn.
+    // The steady clock is read before every event; the time of day, which is only written to
+    // records, once a turn.
     let mut now = shared.clock.now();
     for (index, event) in events.into_iter().enumerate() {
         if index > 0 {
@@ -158,9 +176,13 @@
     controller.tick(now);
     let snapshot = controller.take_due_snapshot(now);
     if let Some(snapshot) = snapshot {
-        shared.inbox.put(controller.epoch(), snapshot);
+        let epoch = controller.epoch();
+        shared.inbox.put(PlanRequest { epoch, snapshot });
+    }
+    Turn {
+        actions: controller.take_actions(),
+        wait_ms: controller.wait_ms(now.steady),
     }
-    (controller.take_actions(), controller.wait_ms(now.steady))
 }
 
 fn execute_action(event_loop: &mut EventLoop, action: Action) {
