--- a/src/controller/dependencies.rs
+++ b/src/controller/dependencies.rs
@@ -1,5 +1,5 @@
-//! Jobs with dependencies: which ones a submission may name, and how jobs ended that live
-//! ones depend on and nobody remembers.
+//! Jobs with dependencies: which ones a submission may name, and look-ups of the final states
+//! of jobs that live ones depend on and the watch cache does not hold.
 
 use std::collections::BTreeSet;
 
--- a/src/controller/format_version.rs
+++ b/src/controller/format_version.rs
@@ -77,6 +77,15 @@
         is_over
     }
 
+    /// A transaction was refused for the number of changes.
+    fn throttle(&mut self, until: u64) {
+        self.throttled_until = until;
+    }
+
+    fn postpone_write(&mut self, until: u64) {
+        self.next_write_at = until;
+    }
+
     fn is_write_due(&self, now: u64) -> bool {
         now >= self.next_write_at
     }
@@ -155,7 +164,8 @@
 
     fn postpone_format_write(&mut self) {
         let pause_s = self.settings.cluster.workers.report_s * RETRY_INTERVALS;
-        self.format_state.next_write_at = self.clock.steady_ms() + to_ms(pause_s);
+        let retry_at = self.clock.steady_ms() + to_ms(pause_s);
+        self.format_state.postpone_write(retry_at);
     }
 
     /// Raises the first format if no earlier version runs any more; else makes this version
@@ -237,7 +247,7 @@
             status::TOO_MANY_REQUESTS if self.format() < PACKED_FORMAT => {
                 let throttled_s = self.settings.cluster.workers.report_s * THROTTLED_INTERVALS;
                 let until = self.clock.steady_ms() + to_ms(throttled_s);
-                self.format_state.throttled_until = until;
+                self.format_state.throttle(until);
                 self.on_format_changed();
             }
             _ => {}
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -1,5 +1,23 @@
-//! One controller: brings the modules together. Events and the time go in,
-//! actions come out; no sockets and no clocks here.
+//! One controller: events and the time go in, actions come out. No sockets and no clocks here.
+//!
+//! [`Controller`] coordinates parts that each own their state, with private fields, in a file
+//! of their own:
+//!
+//! | part | owns |
+//! | --- | --- |
+//! | `clock` | the time of the event in progress |
+//! | `outbox` | calls in flight and the actions to be done |
+//! | `store_client`, `store_sync` | rate limits and writes; the reads for the watch cache |
+//! | `leadership` | the leader lease and a term that is about to begin |
+//! | `provider_client` | the provider's rate limit, machine types and list of machines |
+//! | `peer_table`, `acknowledged_cancellations` | what other controllers say and are told |
+//! | `agent_gateway` | redirected agents and deferred heartbeats |
+//! | `user_request_table` | users' requests in progress and the limit on them |
+//! | `format_version`, `planning`, `dependencies`, `stats` | their timers |
+//! | `duties` | leases and orders of duties |
+//!
+//! The other files are steps that span several parts, as methods of [`Controller`], which use
+//! the parts through their methods only. `dispatch` says which step an event leads to.
 
 mod acknowledged_cancellations;
 mod agent_gateway;
--- a/src/controller/user_types.rs
+++ b/src/controller/user_types.rs
@@ -1,4 +1,4 @@
-//! Users' requests in progress.
+//! The types of users' requests in progress.
 
 use thiserror::Error;
 
@@ -40,7 +40,7 @@
     Commit,
     /// The direct read of a key.
     Read,
-    /// Another controller's answer.
+    /// Another controller's response.
     Forwarded,
     /// A short pause before trying again.
     Pause { until: u64 },
@@ -105,7 +105,7 @@
     pub names_unknown_job: bool,
 }
 
-/// Why a job is not accepted.
+/// Why a job is not accepted. The texts go to users.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub(super) enum Refusal {
     #[error("unknown team")]
