--- a/src/controller/calls.rs
+++ b/src/controller/calls.rs
@@ -1,62 +1,39 @@
-//! Calls to others, and what their outcomes mean.
+//! What the calls to others are for, by which their outcomes are told apart.
 
-use std::net::SocketAddr;
 use std::sync::Arc;
 
-use duty_lease::Duty;
-use tracing::warn;
-
-use super::duties::SentOrder;
-use super::responses::{self, AgentResponse, ProviderError};
-use super::store_sync::ChangeRead;
-use super::{Controller, EventTime};
+use super::dependencies::DependencyRecord;
+use super::duties::{DutyLeaseCall, SentOrder};
+use super::store_sync::{ChangesCall, KeyRange};
 use crate::leader_lease::LeaseRequest;
-use crate::net::{status, Action, Outcome};
-use crate::peer_protocol::{ForwardedReply, PeerStatus};
-use crate::scheduler::{DirectStart, ProvisioningOutcome, StatusOrigin};
-use crate::wire;
-
-/// Longest time for a call to the store that is not told otherwise.
-pub(super) const STORE_TIMEOUT_MS: u64 = 1500;
-/// The same for a read of a single key.
-pub(super) const READ_TIMEOUT_MS: u64 = 1000;
+use crate::scheduler::DirectStart;
 
 /// What a call was for.
 #[derive(Debug)]
 pub(super) enum PendingCall {
-    /// The keys of leadership and versions.
-    LoadLeadership,
-    /// A page of job records.
-    LoadJobs,
-    /// Changes since a revision, as they come.
-    Watch { from: u64, asked: EventTime },
-    /// Changes since a revision, at once.
-    ReadChanges { from: u64, asked: EventTime },
+    /// A page of keys, when everything is read.
+    LoadPage(KeyRange),
+    /// Changes since a revision.
+    Changes(ChangesCall),
     /// A transaction of the write queue.
     Transaction,
     /// The election or renewal of the lease.
     Lease(LeaseRequest),
     /// The end of a grant.
     Revoke,
-    /// A page of the records of duties.
-    LoadDuties,
-    /// A request for the lease of a duty, by its number.
-    DutyLease {
-        duty: Duty,
-        id: u64,
-        request: duty_lease::LeaseRequest,
-    },
+    /// A request for the lease of a duty.
+    DutyLease(DutyLeaseCall),
     /// An order of a duty's holder.
     DutyOrder(SentOrder),
-    /// How a job ended that a user asks about.
+    /// The final state of a job that a user asks about.
     ReadFinal { user: u64 },
-    /// The record of a job that a submission names, or how it ended.
+    /// A record of a job that a submission names.
     ReadDependency {
         user: u64,
         dependency: String,
-        is_final: bool,
+        record: DependencyRecord,
     },
-    /// How a job ended that a live one depends on.
+    /// The final state of a job that a live one depends on.
     LookUpDependency { dependency: String },
     /// The cloud's machine types.
     MachineTypes,
@@ -64,259 +41,39 @@
     MachineList { started_at: u64, epoch: u64 },
     /// A provisioning request.
     Provision { idempotency_key: String, epoch: u64 },
-    /// A deletion.
+    /// A termination.
     Terminate { machines: Vec<String>, epoch: u64 },
-    /// Commands to an agent, or a question.
-    Agent {
-        machine: Arc<str>,
-        epoch: u64,
-        starts: Vec<DirectStart>,
-    },
+    /// Commands to an agent, or a request for its status.
+    Agent(AgentCall),
     /// Another controller's status.
     PeerStatus { member: String, sent_at: u64 },
     /// A user's request that another controller is to decide.
     Forward { user: u64 },
 }
 
-/// A request to be sent.
-pub(super) struct HttpCall {
-    pub method: &'static str,
-    pub path: String,
-    pub body: Vec<u8>,
-    pub timeout_ms: u64,
-}
-
-impl HttpCall {
-    pub fn get(path: impl Into<String>, timeout_ms: u64) -> HttpCall {
-        HttpCall {
-            method: "GET",
-            path: path.into(),
-            body: vec![],
-            timeout_ms,
-        }
-    }
-
-    /// A read of a single key of the store.
-    pub fn get_key(key: &str) -> HttpCall {
-        HttpCall::get(format!("/kv/{key}"), READ_TIMEOUT_MS)
-    }
-
-    /// Asks the store for a grant.
-    pub fn create_grant(ttl_ms: u64, timeout_ms: u64) -> HttpCall {
-        let body = wire::encode(&wire::GrantRequest { ttl_ms });
-        HttpCall::post("/grants", body, timeout_ms)
-    }
-
-    /// Renews a grant.
-    pub fn renew_grant(grant: u64, timeout_ms: u64) -> HttpCall {
-        HttpCall::post(format!("/grants/{grant}/renew"), vec![], timeout_ms)
-    }
-
-    /// Ends a grant.
-    pub fn end_grant(grant: u64, timeout_ms: u64) -> HttpCall {
-        HttpCall {
-            method: "DELETE",
-            path: format!("/grants/{grant}"),
-            body: vec![],
-            timeout_ms,
-        }
-    }
-
-    pub fn post(path: impl Into<String>, body: Vec<u8>, timeout_ms: u64) -> HttpCall {
-        HttpCall {
-            method: "POST",
-            path: path.into(),
-            body,
-            timeout_ms,
-        }
-    }
+/// A call to an agent.
+#[derive(Debug)]
+pub(super) struct AgentCall {
+    pub machine: Arc<str>,
+    /// The epoch of the leader that made it.
+    pub epoch: u64,
+    /// The starts among its commands.
+    pub starts: Vec<DirectStart>,
 }
 
 impl PendingCall {
-    fn is_store_call(&self) -> bool {
+    /// Whether the outcome shows if the store is reachable.
+    pub fn is_store_call(&self) -> bool {
         matches!(
             self,
-            PendingCall::LoadLeadership
-                | PendingCall::LoadJobs
-                | PendingCall::Watch { .. }
-                | PendingCall::ReadChanges { .. }
+            PendingCall::LoadPage(_)
+                | PendingCall::Changes(_)
                 | PendingCall::Transaction
                 | PendingCall::Lease(_)
-                | PendingCall::LoadDuties
-                | PendingCall::DutyLease { .. }
+                | PendingCall::DutyLease(_)
                 | PendingCall::ReadFinal { .. }
                 | PendingCall::ReadDependency { .. }
                 | PendingCall::LookUpDependency { .. }
         )
     }
 }
-
-impl Controller {
-    pub(super) fn call(&mut self, pending: PendingCall, address: SocketAddr, call: HttpCall) {
-        self.stats.count_call(&pending);
-        let tag = self.next_tag;
-        self.next_tag += 1;
-        self.calls.insert(tag, pending);
-        self.actions.push(Action::Call {
-            tag,
-            address,
-            method: call.method,
-            path: call.path,
-            body: call.body,
-            timeout_ms: call.timeout_ms,
-        });
-    }
-
-    pub(super) fn call_store(&mut self, pending: PendingCall, call: HttpCall) {
-        self.call(pending, self.settings.endpoints.state, call);
-    }
-
-    pub(super) fn call_cloud(&mut self, pending: PendingCall, call: HttpCall) {
-        self.call(pending, self.settings.endpoints.cloud, call);
-    }
-
-    /// Sends the transactions that the rate limits allow.
-    pub(super) fn send_writes(&mut self) {
-        loop {
-            let now = self.now.steady;
-            let tag = self.next_tag;
-            let next = self.writes.next(now, tag, &mut self.store_requests);
-            let Some(transaction) = next else {
-                break;
-            };
-            let body = wire::encode(&transaction);
-            let call = HttpCall::post("/txn", body, STORE_TIMEOUT_MS);
-            self.call_store(PendingCall::Transaction, call);
-        }
-    }
-
-    pub(super) fn on_reply(&mut self, tag: u64, call: PendingCall, outcome: Outcome) {
-        if call.is_store_call() {
-            self.record_store_outcome(&outcome);
-        }
-        match call {
-            PendingCall::LoadLeadership => self.on_leadership_page(&outcome),
-            PendingCall::LoadJobs => self.on_jobs_page(&outcome),
-            PendingCall::Watch { from, asked } => {
-                self.store_sync.watching = false;
-                self.on_changes(&outcome, from, asked, ChangeRead::Watch);
-            }
-            PendingCall::ReadChanges { from, asked } => {
-                self.store_sync.reading = false;
-                self.on_changes(&outcome, from, asked, ChangeRead::ForWaitingUsers);
-            }
-            PendingCall::Transaction => {
-                self.on_store_refusal(&outcome);
-                for (owner, result) in self.writes.on_outcome(tag, &outcome) {
-                    self.on_commit(owner, result);
-                }
-            }
-            PendingCall::Lease(request) => self.on_lease_outcome(request, &outcome),
-            PendingCall::Revoke => {}
-            PendingCall::LoadDuties => self.on_duties_page(&outcome),
-            PendingCall::DutyLease { duty, id, request } => {
-                self.on_duty_lease_outcome(duty, id, &request, &outcome);
-            }
-            PendingCall::DutyOrder(sent) => self.on_duty_order_reply(sent, &outcome),
-            PendingCall::ReadFinal { user } => self.on_final_read(user, &outcome),
-            PendingCall::ReadDependency {
-                user,
-                dependency,
-                is_final,
-            } => self.on_dependency_read(user, dependency, is_final, &outcome),
-            PendingCall::LookUpDependency { dependency } => {
-                self.on_dependency_lookup(&dependency, &outcome);
-            }
-            PendingCall::MachineTypes => self.on_machine_types(&outcome),
-            PendingCall::MachineList { started_at, epoch } => {
-                self.on_machine_list_page(started_at, epoch, &outcome);
-            }
-            PendingCall::Provision {
-                idempotency_key,
-                epoch,
-            } => self.on_provisioning_outcome(&idempotency_key, epoch, &outcome),
-            PendingCall::Terminate { machines, epoch } => {
-                self.on_termination_outcome(&machines, epoch, &outcome);
-            }
-            PendingCall::Agent {
-                machine,
-                epoch,
-                starts,
-            } => self.on_agent_outcome(&machine, epoch, &starts, &outcome),
-            PendingCall::PeerStatus { member, sent_at } => {
-                self.on_status_outcome(&member, sent_at, &outcome);
-            }
-            PendingCall::Forward { user } => self.on_forward_outcome(user, &outcome),
-        }
-    }
-
-    fn on_provisioning_outcome(&mut self, idempotency_key: &str, epoch: u64, outcome: &Outcome) {
-        let now = self.now.steady;
-        let Some(scheduler) = self.scheduler_of(epoch) else {
-            return;
-        };
-        let result = match responses::provisioned_machines(outcome) {
-            Ok(names) => ProvisioningOutcome::Provisioned(names),
-            Err(ProviderError::NoCapacity) => ProvisioningOutcome::Unavailable,
-            Err(ProviderError::Malformed) => {
-                warn!(idempotency_key, "malformed provisioning request");
-                ProvisioningOutcome::Unavailable
-            }
-            Err(ProviderError::Fenced | ProviderError::Throttled | ProviderError::Unknown) => {
-                ProvisioningOutcome::Failed
-            }
-        };
-        scheduler.on_provisioning_outcome(idempotency_key, result, now);
-    }
-
-    fn on_termination_outcome(&mut self, machines: &[String], epoch: u64, outcome: &Outcome) {
-        let now = self.now.steady;
-        let confirmed = responses::termination(outcome).is_ok();
-        if let Some(scheduler) = self.scheduler_of(epoch) {
-            scheduler.on_termination_outcome(machines, confirmed, now);
-        }
-    }
-
-    fn on_agent_outcome(
-        &mut self,
-        machine: &str,
-        epoch: u64,
-        starts: &[DirectStart],
-        outcome: &Outcome,
-    ) {
-        let now = self.now.steady;
-        let Some(scheduler) = self.scheduler_of(epoch) else {
-            return;
-        };
-        let response = AgentResponse::new(outcome, machine);
-        if let Some(failure) = response.failure {
-            scheduler.on_start_failed(machine, starts, failure, now);
-        }
-        let Some(agent_status) = response.status else {
-            return;
-        };
-        if agent_status.epoch > epoch {
-            return self.resign("an agent has seen a higher epoch", 0);
-        }
-        scheduler.on_agent_status(&agent_status, StatusOrigin::DirectResponse, now);
-    }
-
-    fn on_status_outcome(&mut self, member: &str, sent_at: u64, outcome: &Outcome) {
-        if let Some(status) = responses::decode_peer::<PeerStatus>(outcome) {
-            self.sync_cancellations(member, &status, sent_at);
-            self.on_peer_status(member, status);
-        }
-    }
-
-    fn on_forward_outcome(&mut self, user: u64, outcome: &Outcome) {
-        let Some(reply) = responses::decode_peer::<ForwardedReply>(outcome) else {
-            return self.finish_user(user, status::UNAVAILABLE, Some(1), vec![]);
-        };
-        if wire::is_cancelled_reply(&reply.body) {
-            if let Some(id) = self.users.get(&user).map(|p| p.id.clone()) {
-                self.acknowledge_cancellation(&id);
-            }
-        }
-        self.finish_user(user, reply.status as u16, reply.retry_after, reply.body);
-    }
-}
--- a/src/controller/duties/orders.rs
+++ b/src/controller/duties/orders.rs
@@ -3,50 +3,59 @@
 use std::collections::HashSet;
 
 use duty_lease::{
-    Duty, Order, OrderId, OrderOutcome, OrderRequest, OrderResult, RecordOutcome, Token,
+    Duty, Order, OrderId, OrderOutcome, OrderRequest, OrderResult, RecordOutcome, ScalingRequest,
+    Token,
 };
 use tracing::{error, info, warn};
 
-use super::request_review::is_conditional;
-use super::{Controller, DutyWrite, WritePurpose};
-use crate::controller::calls::{HttpCall, PendingCall};
-use crate::controller::effects::CLOUD_TIMEOUT_MS;
+use super::machine_orders::MachineOrder;
+use super::writes::{DutyWrite, RecordChange, WritePurpose};
+use super::Controller;
+use crate::controller::calls::PendingCall;
+use crate::controller::commits::WriteOwner;
+use crate::controller::provider_client::ProviderClient;
 use crate::controller::responses::{self, ProviderError};
-use crate::controller::WriteOwner;
-use crate::duties::{refusal_key, OrderKey, OrderPhase, OrderRecord, RefusalRecord};
+use crate::duties::{refusal_key, OrderKey, OrderPhase, RefusalRecord};
 use crate::net::Outcome;
 use crate::settings::DutyFence;
-use crate::wire::{self, FencingToken, ProvisionRequest, TerminateRequest, Write};
+use crate::termination_check::{TerminationCheck, TerminationVerdict};
+use crate::wire::{FencingToken, Write};
 use crate::write_queue::{CommitResult, WriteClass, WriteRequest};
 
-/// The name under which an order goes to the cloud. It never equals a leader's provisioning request,
-/// which ends in a dash and a number.
+/// The name under which an order goes to the cloud. It never equals that of a leader's
+/// provisioning request, which ends in a dash and a number.
 fn idempotency_key(id: OrderId) -> String {
     format!("{}.{}.{}", id.duty.name(), id.token, id.sequence)
 }
 
-/// An order that went to the cloud.
+/// What an order asks the cloud for.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+enum SentOrderKind {
+    Provisioning,
+    Termination,
+}
+
+/// An order that was sent to the cloud.
 #[derive(Debug, Clone, Copy)]
 pub(in crate::controller) struct SentOrder {
     id: OrderId,
     /// The sender's token.
     token: Token,
-    is_provisioning: bool,
+    kind: SentOrderKind,
 }
 
 impl Controller {
-    /// Takes a holder's orders further.
+    /// Does what is due for a holder's orders.
     pub(super) fn run_orders(&mut self, duty: Duty) {
-        if !matches!(duty, Duty::Rent | Duty::Return) || !self.holds(duty) {
+        if !matches!(duty, Duty::Rent | Duty::Return) || !self.duties.holds(duty) {
             return;
         }
         self.sync_order_book(duty);
-        let now = self.now.steady;
+        let now = self.clock.steady_ms();
         let Some(runtime) = self.duties.runtime(duty) else {
             return;
         };
-        let order_token = runtime.lease.order_token(now);
-        for request in runtime.orders.tick(order_token, now) {
+        for request in runtime.due_order_requests(now) {
             self.execute_order_request(duty, request);
         }
     }
@@ -54,32 +63,37 @@
     /// Shows the order book the records, if they have changed.
     fn sync_order_book(&mut self, duty: Duty) {
         let generation = self.watch_cache.duties.generation();
-        let Some(runtime) = self.duties.runtime(duty) else {
-            return;
-        };
-        if runtime.orders_generation == Some(generation) {
+        let runtime = self.duties.runtime(duty);
+        if !runtime.is_some_and(|runtime| runtime.begin_order_sync(generation)) {
             return;
         }
-        runtime.orders_generation = Some(generation);
         let intents = self.watch_cache.duties.intents(duty);
-        let mut requests = self.watch_cache.duties.requests(duty);
-        let all = requests.len();
-        let occupied = if requests
-            .iter()
-            .any(|request| is_conditional(&request.order))
-        {
+        let requests = self.watch_cache.duties.requests(duty);
+        let allowed = self.allowed_requests(&requests);
+        if let Some(runtime) = self.duties.runtime(duty) {
+            if allowed.len() < requests.len() {
+                // What was left out is examined again.
+                runtime.repeat_order_sync();
+            }
+            runtime.sync_orders(&intents, &allowed);
+        }
+    }
+
+    /// The requests that the records allow to be satisfied.
+    fn allowed_requests(&self, requests: &[ScalingRequest]) -> Vec<ScalingRequest> {
+        let revision = self.watch_cache.revision;
+        let depends_on_occupied =
+            |request| TerminationCheck::new(request, revision).needs_occupied_machines();
+        let occupied = if requests.iter().any(depends_on_occupied) {
             self.occupied_machines()
         } else {
             HashSet::new()
         };
-        requests.retain(|request| self.may_satisfy(request, &occupied));
-        if let Some(runtime) = self.duties.runtime(duty) {
-            if requests.len() < all {
-                // What was left out is looked at again, even if nothing else changes.
-                runtime.orders_generation = None;
-            }
-            runtime.orders.on_view(&intents, &requests);
-        }
+        let is_allowed = |request: &&ScalingRequest| {
+            let verdict = TerminationCheck::new(request, revision).verdict(&occupied);
+            verdict == TerminationVerdict::Allowed
+        };
+        requests.iter().filter(is_allowed).cloned().collect()
     }
 
     fn execute_order_request(&mut self, duty: Duty, request: OrderRequest) {
@@ -101,10 +115,10 @@
                     request: intent.request,
                 };
                 let purpose = WritePurpose::Complete(intent.id);
-                // Of these nothing but the end is to be told.
+                // These leave nothing for the leader to process but the end of the order.
                 if matches!(result, OrderResult::Deleted | OrderResult::NoCapacity) {
-                    let changes = vec![(key, None)];
-                    self.write_as_holder(duty, DutyWrite { purpose, changes });
+                    let changes = vec![RecordChange::remove(key)];
+                    self.write_as_holder(duty, DutyWrite::new(purpose, changes));
                 } else {
                     self.write_phase(purpose, key, OrderPhase::Completed(result));
                 }
@@ -112,91 +126,47 @@
         }
     }
 
-    /// Takes an order's record to its next phase.
-    pub(super) fn write_phase(&mut self, purpose: WritePurpose, key: OrderKey, phase: OrderPhase) {
-        let duty = key.duty;
-        let Some((record, _)) = self.watch_cache.duties.order(&key) else {
-            // It has gone since: the order book learns of it as of a change that failed.
-            return self.on_duty_commit(
-                DutyWrite {
-                    purpose,
-                    changes: vec![(key, None)],
-                },
-                &CommitResult::Conflict {
-                    failed: vec![],
-                    revision: self.watch_cache.revision,
-                },
-            );
-        };
-        let record = OrderRecord {
-            phase,
-            ..record.clone()
-        };
-        let changes = vec![(key, Some(record))];
-        self.write_as_holder(duty, DutyWrite { purpose, changes });
-    }
-
     fn send_order(&mut self, id: OrderId, order: &Order, token: Token) {
-        let now = self.now.steady;
-        if !self.cloud_requests.try_take(now, 1.0, 0.0) {
+        let now = self.clock.steady_ms();
+        if !self.provider.try_order(now) {
             return self.on_order_outcome(id, OrderOutcome::Unknown);
         }
-        let fence = self.duties.control.as_ref().map(|c| c.settings.fence);
+        let fence = self.operator.duties.as_ref().map(|duties| duties.fence);
         let fencing = (fence == Some(DutyFence::ProviderToken)).then_some(FencingToken {
             duty: id.duty.name(),
             token,
         });
-        let call = match order {
-            Order::Rent {
-                machine_type,
-                zone,
-                spot,
-                count,
-            } => {
-                info!(order = %id, token, "renting {count} {machine_type} in {zone}, spot {spot}");
-                let body = wire::encode(&ProvisionRequest {
-                    booking: &idempotency_key(id),
-                    machine_type,
-                    zone,
-                    spot: *spot,
-                    count: u64::from(*count),
-                    fencing,
-                });
-                HttpCall::post(wire::PROVISION_PATH, body, CLOUD_TIMEOUT_MS)
+        let (kind, call) = match MachineOrder::from(order) {
+            MachineOrder::Provision(request) => {
+                info!(order = %id, token, ?request, "provisioning machines");
+                let key = idempotency_key(id);
+                let call = ProviderClient::provision_call(&key, &request, fencing);
+                (SentOrderKind::Provisioning, call)
             }
-            Order::Delete { machines, .. } => {
-                info!(order = %id, token, "returning {machines:?}");
-                let body = wire::encode(&TerminateRequest {
-                    names: machines,
-                    fencing,
-                });
-                HttpCall::post(wire::TERMINATE_PATH, body, CLOUD_TIMEOUT_MS)
+            MachineOrder::Terminate(machines) => {
+                info!(order = %id, token, ?machines, "terminating machines");
+                let call = ProviderClient::terminate_call(machines, fencing);
+                (SentOrderKind::Termination, call)
             }
         };
-        let is_provisioning = matches!(order, Order::Rent { .. });
-        let sent = SentOrder {
-            id,
-            token,
-            is_provisioning,
-        };
-        self.call_cloud(PendingCall::DutyOrder(sent), call);
+        let pending = PendingCall::DutyOrder(SentOrder { id, token, kind });
+        self.outbox.call_cloud(pending, call);
     }
 
-    /// The cloud has answered an order, or there was no answer.
+    /// The cloud has responded to an order, or not.
     pub(in crate::controller) fn on_duty_order_reply(
         &mut self,
         sent: SentOrder,
         outcome: &Outcome,
     ) {
-        let SentOrder {
-            id,
-            is_provisioning,
-            ..
-        } = sent;
-        let result = if is_provisioning {
-            responses::provisioned_machines(outcome).map(OrderResult::Rented)
-        } else {
-            responses::termination(outcome).map(|()| OrderResult::Deleted)
+        let SentOrder { id, kind, .. } = sent;
+        let result = match kind {
+            SentOrderKind::Provisioning => {
+                responses::provisioned_machines(outcome).map(OrderResult::Rented)
+            }
+            SentOrderKind::Termination => {
+                responses::termination(outcome).map(|()| OrderResult::Deleted)
+            }
         };
         let order_outcome = match result {
             Ok(result) => OrderOutcome::Done(result),
@@ -210,7 +180,7 @@
                 OrderOutcome::Fenced
             }
             Err(ProviderError::Throttled) => {
-                self.cloud_requests.drain();
+                self.provider.on_throttled();
                 OrderOutcome::Unknown
             }
             Err(ProviderError::Unknown) => OrderOutcome::Unknown,
@@ -219,13 +189,12 @@
     }
 
     fn on_order_outcome(&mut self, id: OrderId, outcome: OrderOutcome) {
-        let now = self.now.steady;
+        let now = self.clock.steady_ms();
         let Some(runtime) = self.duties.runtime(id.duty) else {
             return;
         };
-        if runtime.orders.on_sent(id, outcome, now) {
-            runtime.lease.on_fenced(now);
-            self.forward_lease_events(id.duty);
+        if runtime.on_order_outcome(id, outcome, now) {
+            self.process_lease_events(id.duty);
         }
     }
 
@@ -233,18 +202,15 @@
     fn record_refusal(&mut self, sent: SentOrder) {
         let SentOrder { id, token, .. } = sent;
         let member = self.settings.member.clone();
-        warn!(duty = id.duty.name(), token, member, order = %id, "refused: a higher token was seen");
+        warn!(duty = id.duty.name(), token, member, order = %id, "order refused: a higher token was seen");
         let refusal = RefusalRecord {
             member,
             token,
             order: id.to_string(),
-            at_ms: self.now.wall,
+            at_ms: self.clock.wall_ms(),
         };
-        self.writes.push(WriteRequest {
-            owner: WriteOwner::Duty(Box::new(DutyWrite {
-                purpose: WritePurpose::Refusal,
-                changes: vec![],
-            })),
+        self.store.push_write(WriteRequest {
+            owner: WriteOwner::Duty(Box::new(DutyWrite::new(WritePurpose::Refusal, vec![]))),
             conditions: vec![],
             writes: vec![Write::serialized(refusal_key(id.duty), &refusal)],
             class: WriteClass::Duty,
@@ -252,16 +218,16 @@
     }
 
     pub(super) fn on_order_recorded(&mut self, id: OrderId, result: &CommitResult) {
-        let now = self.now.steady;
+        let now = self.clock.steady_ms();
         if let Some(runtime) = self.duties.runtime(id.duty) {
-            runtime.orders.on_recorded(id, record_outcome(result), now);
+            runtime.on_order_recorded(id, record_outcome(result), now);
         }
     }
 
     pub(super) fn on_order_completed(&mut self, id: OrderId, result: &CommitResult) {
-        let now = self.now.steady;
+        let now = self.clock.steady_ms();
         if let Some(runtime) = self.duties.runtime(id.duty) {
-            runtime.orders.on_completed(id, record_outcome(result), now);
+            runtime.on_order_completed(id, record_outcome(result), now);
         }
     }
 }
--- a/src/controller/duties/request_review.rs
+++ b/src/controller/duties/request_review.rs
@@ -1,61 +1,65 @@
-//! Needs that are checked against the records before anything is ordered: machines that are
-//! to be returned only if they are empty.
+//! Scaling requests that are reviewed by the records before anything is ordered: machines that
+//! are to be terminated only if they are empty.
 
 use std::collections::HashSet;
 
 use duty_lease::{Duty, Order, OrderResult, ScalingRequest};
 use tracing::{error, info};
 
-use super::{Controller, DutyWrite, WritePurpose};
+use super::runtime::ReviewPoint;
+use super::writes::{DutyWrite, RecordChange, WritePurpose};
+use super::Controller;
 use crate::duties::{OrderKey, OrderPhase, OrderRecord};
+use crate::termination_check::{TerminationCheck, TerminationVerdict};
 
 impl Controller {
-    /// Looks at needs to return empty machines, as the holder of a duty. A machine that has
-    /// a task on record is not returned, whoever needed that. Idle machines that pass are
-    /// handed to the duty that returns machines.
+    /// Reviews requests to terminate empty machines, as the holder of a duty. A machine that
+    /// has a task on record is not terminated, whichever controller asked for that. Idle
+    /// machines that pass are handed over to the duty that terminates machines.
     pub(super) fn review_scaling_requests(&mut self, duty: Duty) {
-        if !matches!(duty, Duty::ReclaimIdle | Duty::Return) || !self.holds(duty) {
+        if !matches!(duty, Duty::ReclaimIdle | Duty::Return) {
             return;
         }
-        // With each event, but looked at again only if anything has changed.
+        // Called with each event, but a review only if anything has changed.
         let revision = self.watch_cache.revision;
-        let reviewed_at = (self.watch_cache.duties.generation(), revision);
+        let point = ReviewPoint {
+            generation: self.watch_cache.duties.generation(),
+            revision,
+        };
         let runtime = self.duties.runtime(duty);
-        if runtime.is_some_and(|runtime| runtime.reviewed_at == Some(reviewed_at)) {
+        if !runtime.is_some_and(|runtime| runtime.holds() && !runtime.is_reviewed(point)) {
             return;
         }
-        // Only what the records are as recent as: own changes may be ahead of them.
-        let mut requests = self.watch_cache.duties.requests(duty);
-        requests.retain(|request| {
-            let is_on_record = request.version <= revision;
-            is_conditional(&request.order)
-                && is_on_record
-                && self.has_no_decision_in_flight(duty, request)
-        });
+        let requests = self.undecided_terminations(duty);
         if !requests.is_empty() && !self.may_send_orders(duty) {
             return;
         }
         if let Some(runtime) = self.duties.runtime(duty) {
-            runtime.reviewed_at = Some(reviewed_at);
+            runtime.mark_reviewed(point);
         }
         if requests.is_empty() {
             return;
         }
         let occupied = self.occupied_machines();
         for request in requests {
-            self.review_scaling_request(duty, &request, &occupied);
+            let verdict = TerminationCheck::new(&request, revision).verdict(&occupied);
+            self.execute_verdict(duty, request, verdict);
         }
     }
 
-    fn has_no_decision_in_flight(&self, duty: Duty, request: &ScalingRequest) -> bool {
-        let control = self.duties.control.as_ref();
-        let runtime = control.and_then(|control| control.runtimes.get(&duty));
-        runtime.is_some_and(|runtime| {
-            !runtime
-                .decisions_in_flight
-                .iter()
-                .any(|key| key.request == request.id)
-        })
+    /// Requests that the records are recent enough to decide on, and for which no decision is
+    /// on its way.
+    fn undecided_terminations(&mut self, duty: Duty) -> Vec<ScalingRequest> {
+        let revision = self.watch_cache.revision;
+        let Some(runtime) = self.duties.runtime(duty) else {
+            return vec![];
+        };
+        let mut requests = self.watch_cache.duties.requests(duty);
+        requests.retain(|request| {
+            TerminationCheck::new(request, revision).needs_occupied_machines()
+                && !runtime.has_decision_in_flight(&request.id)
+        });
+        requests
     }
 
     /// Machines that have a task on record.
@@ -65,68 +69,57 @@
         runs.map(|run| run.machine.to_string()).collect()
     }
 
-    /// Whether a need may be met: the records that it was checked against hold all that was
-    /// placed before it was written, and none of them is in its way.
-    pub(super) fn may_satisfy(&self, request: &ScalingRequest, occupied: &HashSet<String>) -> bool {
-        let Order::Delete { machines, .. } = &request.order else {
-            return true;
-        };
-        let is_empty = || !machines.iter().any(|machine| occupied.contains(machine));
-        !is_conditional(&request.order)
-            || (request.version <= self.watch_cache.revision && is_empty())
-    }
-
-    fn review_scaling_request(
+    fn execute_verdict(
         &mut self,
         duty: Duty,
-        request: &ScalingRequest,
-        occupied: &HashSet<String>,
+        request: ScalingRequest,
+        verdict: TerminationVerdict,
     ) {
-        let Order::Delete {
-            machines,
-            if_empty: true,
-        } = &request.order
-        else {
-            return;
-        };
         let key = OrderKey {
             duty,
-            request: request.id.clone(),
+            request: request.id,
         };
-        let is_occupied = |machine: &String| occupied.contains(machine);
-        let (busy, empty): (Vec<String>, Vec<String>) =
-            machines.iter().cloned().partition(is_occupied);
-        if !busy.is_empty() {
-            error!(
-                duty = duty.name(),
-                request = request.id,
-                "{busy:?} are not returned: they have tasks on record"
-            );
-            return self.decide(key, OrderPhase::Completed(OrderResult::Rejected));
-        }
-        if duty == Duty::ReclaimIdle {
-            info!(
-                duty = duty.name(),
-                request = request.id,
-                "{empty:?} are idle"
-            );
-            self.forward_to_termination(key, empty);
+        let duty_name = duty.name();
+        match (verdict, request.order) {
+            (TerminationVerdict::Rejected { occupied }, _) => {
+                error!(
+                    duty = duty_name,
+                    request = key.request,
+                    machines = ?occupied,
+                    "scale-in rejected: machines have tasks on record"
+                );
+                self.reject_request(key);
+            }
+            (TerminationVerdict::Allowed, Order::Delete { machines, .. })
+                if duty == Duty::ReclaimIdle =>
+            {
+                info!(
+                    duty = duty_name,
+                    request = key.request,
+                    ?machines,
+                    "machines are idle"
+                );
+                self.forward_to_termination(key, machines);
+            }
+            (TerminationVerdict::Allowed | TerminationVerdict::Postponed, _) => {}
         }
     }
 
-    fn decide(&mut self, key: OrderKey, phase: OrderPhase) {
+    fn reject_request(&mut self, key: OrderKey) {
         if let Some(runtime) = self.duties.runtime(key.duty) {
-            runtime.decisions_in_flight.push(key.clone());
+            runtime.begin_decision(key.clone());
         }
+        let phase = OrderPhase::Completed(OrderResult::Rejected);
         self.write_phase(WritePurpose::RequestDecided, key, phase);
     }
 
-    /// Idle machines become a need of the duty that returns machines, in one transaction.
+    /// Idle machines become a request to the duty that terminates machines, in one
+    /// transaction.
     fn forward_to_termination(&mut self, key: OrderKey, machines: Vec<String>) {
         let Some((record, _)) = self.watch_cache.duties.order(&key) else {
             return;
         };
-        let returned = OrderRecord {
+        let forwarded = OrderRecord {
             order: Order::Delete {
                 machines,
                 if_empty: true,
@@ -134,33 +127,26 @@
             phase: OrderPhase::Needed,
             since_ms: record.since_ms,
         };
-        let return_key = OrderKey {
+        let forwarded_key = OrderKey {
             duty: Duty::Return,
             request: key.request.clone(),
         };
         if let Some(runtime) = self.duties.runtime(key.duty) {
-            runtime.decisions_in_flight.push(key.clone());
+            runtime.begin_decision(key.clone());
         }
-        let changes = vec![(return_key, Some(returned)), (key, None)];
-        let purpose = WritePurpose::RequestDecided;
-        self.write_as_holder(Duty::ReclaimIdle, DutyWrite { purpose, changes });
+        let changes = vec![
+            RecordChange::set(forwarded_key, forwarded),
+            RecordChange::remove(key),
+        ];
+        let write = DutyWrite::new(WritePurpose::RequestDecided, changes);
+        self.write_as_holder(Duty::ReclaimIdle, write);
     }
 
-    /// A decision was written, or was not: then it is taken again.
-    pub(super) fn on_request_decided(&mut self, changes: &[(OrderKey, Option<OrderRecord>)]) {
-        for (key, _) in changes {
+    pub(super) fn on_request_decided(&mut self, changes: &[RecordChange]) {
+        for RecordChange { key, .. } in changes {
             if let Some(runtime) = self.duties.runtime(key.duty) {
-                runtime
-                    .decisions_in_flight
-                    .retain(|decisions_in_flight| decisions_in_flight != key);
-                runtime.reviewed_at = None;
-                runtime.orders_generation = None;
+                runtime.end_decision(key);
             }
         }
     }
 }
-
-/// Whether an order may be given only if the machines are empty.
-pub(super) fn is_conditional(order: &Order) -> bool {
-    matches!(order, Order::Delete { if_empty: true, .. })
-}
--- a/src/controller/user_types.rs
+++ b/src/controller/user_types.rs
@@ -1,15 +1,26 @@
-//! Users' requests in progress.
+//! The types of users' requests in progress.
 
 use thiserror::Error;
 
-use crate::job::JobSpec;
+use super::http::HttpResponse;
+use crate::job::{JobRecord, JobSpec};
+use crate::net::status;
+use crate::wire;
 
-/// Who waits for an answer: a user's connection, or another controller's that
-/// forwarded a user's request.
+/// Where a user's request came from.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(super) enum RequestOrigin {
+    /// From the user.
+    User,
+    /// From another controller, which forwarded it. It is not forwarded again.
+    Peer,
+}
+
+/// The connection on which a response is awaited.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct Caller {
     pub connection: usize,
-    pub forwarded: bool,
+    pub origin: RequestOrigin,
 }
 
 /// What a user wants.
@@ -29,37 +40,72 @@
     Commit,
     /// The direct read of a key.
     Read,
-    /// Another controller's answer.
+    /// Another controller's response.
     Forwarded,
     /// A short pause before trying again.
     Pause { until: u64 },
 }
 
-/// Tasks of a job, for display.
+/// How many tasks of a live job are done, and how many are running.
 pub(super) struct TaskCounts {
     pub done: u64,
     pub running: u64,
 }
 
+/// The state of a job as users see it.
+pub(super) struct JobStatus {
+    /// The word for it in the protocol.
+    pub status: &'static str,
+    /// Its tasks, if it is live.
+    pub tasks: Option<TaskCounts>,
+}
+
+impl JobStatus {
+    /// The state of a live job that is not cancelled.
+    pub fn of_live(record: &JobRecord) -> JobStatus {
+        let tasks = TaskCounts {
+            done: record.done.len(),
+            running: record.placed_tasks(),
+        };
+        let status = if tasks.running > 0 {
+            wire::RUNNING
+        } else {
+            wire::PENDING
+        };
+        JobStatus {
+            status,
+            tasks: Some(tasks),
+        }
+    }
+
+    /// A state that says nothing of tasks.
+    pub fn new(status: &'static str) -> JobStatus {
+        JobStatus {
+            status,
+            tasks: None,
+        }
+    }
+}
+
 /// A request in progress.
 #[derive(Debug, Clone)]
 pub(super) struct PendingRequest {
     pub caller: Caller,
     /// The job's id.
-    pub id: String,
+    pub job: String,
     pub request: UserRequest,
     pub since: u64,
     pub stage: RequestStage,
-    /// As it came, to forward it.
+    /// As it was received, to forward it.
     pub body: Vec<u8>,
-    /// What a submission names: found on record, though not in the watch cache yet.
+    /// Jobs that a submission names, found on record though not in the watch cache yet.
     pub found_dependencies: Vec<String>,
-    /// It names a job that was never accepted. If it was accepted itself, it gets its
-    /// state all the same.
+    /// A submission names a job that was never accepted. If it was accepted itself, the
+    /// response has its state all the same.
     pub names_unknown_job: bool,
 }
 
-/// Why a job is not accepted.
+/// Why a job is not accepted. The texts go to users.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub(super) enum Refusal {
     #[error("unknown team")]
@@ -79,17 +125,20 @@
 }
 
 impl Refusal {
-    /// The HTTP status.
-    pub fn status(self) -> u16 {
+    fn status(self) -> u16 {
         match self {
-            Refusal::MachineTypesUnknown => 503,
-            Refusal::TooLongToKeep => 400,
-            _ => 422,
+            Refusal::MachineTypesUnknown => status::UNAVAILABLE,
+            Refusal::TooLongToKeep => status::BAD_REQUEST,
+            _ => status::UNPROCESSABLE,
         }
     }
 
-    /// When the user is to come back, in seconds; `None` if it is of no use.
-    pub fn retry_after(self) -> Option<u32> {
-        (self.status() == 503).then_some(1)
+    /// The response to the user, who is asked to try again if that may help.
+    pub fn response(self) -> HttpResponse {
+        let response = HttpResponse::error(self.status(), &self.to_string());
+        match self {
+            Refusal::MachineTypesUnknown => response.with_retry_after(),
+            _ => response,
+        }
     }
 }
