--- a/src/controller/http.rs
+++ b/src/controller/http.rs
@@ -41,7 +41,7 @@
 
     /// Reads a single key of the store.
     pub fn get_key(key: &str) -> HttpCall {
-        HttpCall::get(format!("/kv/{key}"), READ_TIMEOUT_MS)
+        HttpCall::get(wire::key_path(key), READ_TIMEOUT_MS)
     }
 
     /// Reads a page of the keys of the store under a prefix, behind the key `from`.
@@ -51,32 +51,34 @@
         keys_max: usize,
         timeout_ms: u64,
     ) -> HttpCall {
-        let from = from.map(|key| format!("&from={key}")).unwrap_or_default();
-        let path = format!("/kv?under={prefix}{from}&most={keys_max}");
-        HttpCall::get(path, timeout_ms)
+        HttpCall::get(wire::keys_path(prefix, from, keys_max), timeout_ms)
     }
 
     /// Sends a transaction to the store.
     pub fn transaction(transaction: &wire::Transaction, timeout_ms: u64) -> HttpCall {
-        HttpCall::post("/txn", wire::encode(transaction), timeout_ms)
+        HttpCall::post(
+            wire::transaction_path(),
+            wire::encode(transaction),
+            timeout_ms,
+        )
     }
 
     /// Asks the store for a grant.
     pub fn create_grant(ttl_ms: u64, timeout_ms: u64) -> HttpCall {
         let body = wire::encode(&wire::GrantRequest { ttl_ms });
-        HttpCall::post("/grants", body, timeout_ms)
+        HttpCall::post(wire::grants_path(), body, timeout_ms)
     }
 
     /// Renews a grant.
     pub fn renew_grant(grant: u64, timeout_ms: u64) -> HttpCall {
-        HttpCall::post(format!("/grants/{grant}/renew"), vec![], timeout_ms)
+        HttpCall::post(wire::renewal_path(grant), vec![], timeout_ms)
     }
 
     /// Ends a grant.
     pub fn end_grant(grant: u64, timeout_ms: u64) -> HttpCall {
         HttpCall {
             method: DELETE,
-            path: format!("/grants/{grant}"),
+            path: wire::grant_path(grant),
             body: vec![],
             timeout_ms,
         }
--- a/src/controller/provider_client.rs
+++ b/src/controller/provider_client.rs
@@ -163,7 +163,7 @@
         }
         self.next_machine_types_at = now + TYPES_RETRY_MS;
         if self.limit.try_take(now, 1.0, TYPES_RESERVE) {
-            let call = HttpCall::get("/flavors", TIMEOUT_MS);
+            let call = HttpCall::get(wire::machine_types_path(), TIMEOUT_MS);
             outbox.call_cloud(PendingCall::MachineTypes, call);
         }
     }
@@ -197,8 +197,7 @@
             return;
         }
         let from = self.machine_list.begin_page(now, self.list_interval_ms);
-        let from = from.map(|name| format!("from={name}&")).unwrap_or_default();
-        let path = format!("/machines?{from}most={PAGE_MAX}");
+        let path = wire::machine_list_path(from.as_deref(), PAGE_MAX);
         let pending = PendingCall::MachineList {
             started_at: self.machine_list.started_at().unwrap_or(now),
             epoch,
--- a/src/controller/store_sync.rs
+++ b/src/controller/store_sync.rs
@@ -225,7 +225,10 @@
             asked,
         });
         let timeout_ms = WATCH_HOLD_MS + STORE_TIMEOUT_MS;
-        let call = HttpCall::get(watch_path(from, WATCH_HOLD_MS), timeout_ms);
+        let call = HttpCall::get(
+            wire::watch_path(ROOT_PREFIX, from, WATCH_HOLD_MS),
+            timeout_ms,
+        );
         outbox.call_store(pending, call);
     }
 
@@ -251,7 +254,7 @@
             from,
             asked,
         });
-        let call = HttpCall::get(watch_path(from, 0), READ_TIMEOUT_MS);
+        let call = HttpCall::get(wire::watch_path(ROOT_PREFIX, from, 0), READ_TIMEOUT_MS);
         outbox.call_store(pending, call);
     }
 
@@ -271,7 +274,3 @@
         self.user_read.next_at = retry_at;
     }
 }
-
-fn watch_path(from: u64, hold_ms: u64) -> String {
-    format!("/watch?under={ROOT_PREFIX}&from={from}&holdMs={hold_ms}")
-}
--- a/src/controller/user_request_parser.rs
+++ b/src/controller/user_request_parser.rs
@@ -58,7 +58,7 @@
         return parse_submission(method, body);
     }
     let name = rest.strip_prefix('/').ok_or(RequestError::NoSuchPath)?;
-    let (job, request) = match name.strip_suffix("/cancel") {
+    let (job, request) = match name.strip_suffix(wire::CANCELLATION_SUFFIX) {
         Some(job) if method == "POST" => (job, UserRequest::Cancel),
         None if method == "GET" && !name.contains('/') => (name, UserRequest::Poll),
         None if name.contains('/') => return Err(RequestError::NoSuchPath),
--- a/src/controller/user_requests.rs
+++ b/src/controller/user_requests.rs
@@ -275,8 +275,8 @@
     let job = &pending.job;
     let (method, path) = match &pending.request {
         UserRequest::Submit(_) => ("POST", wire::JOBS_PATH.to_string()),
-        UserRequest::Poll => ("GET", format!("{}/{job}", wire::JOBS_PATH)),
-        UserRequest::Cancel => ("POST", format!("{}/{job}/cancel", wire::JOBS_PATH)),
+        UserRequest::Poll => ("GET", wire::job_path(job)),
+        UserRequest::Cancel => ("POST", wire::cancellation_path(job)),
     };
     ForwardedRequest {
         method: method.into(),
--- a/src/duties/query.rs
+++ b/src/duties/query.rs
@@ -104,7 +104,7 @@
     }
 
     fn read_format(&mut self) -> Result<u64, QueryError> {
-        let answer = self.get(&format!("/kv/{FORMAT_KEY}"))?;
+        let answer = self.get(&wire::key_path(FORMAT_KEY))?;
         if answer.status == status::NOT_FOUND {
             return Ok(FORMAT_DEFAULT);
         }
@@ -134,8 +134,7 @@
 
     /// Reads the page of keys after `last_key`, or the first one.
     fn read_page(&mut self, last_key: Option<&str>) -> Result<Page, QueryError> {
-        let from = last_key.map_or(String::new(), |key| format!("&from={key}"));
-        let path = format!("/kv?under={DUTIES_PREFIX}{from}&most={PAGE_MAX}");
+        let path = wire::keys_path(DUTIES_PREFIX, last_key, PAGE_MAX);
         let answer = self.get(&path)?;
         let body = self.expect_ok(answer)?;
         wire::decode(&body).map_err(|_| QueryError::Unreadable(self.address))
--- a/src/wire/mod.rs
+++ b/src/wire/mod.rs
@@ -22,7 +22,7 @@
 };
 pub use paths::{
     cancellation_path, grant_path, grants_path, job_path, key_path, keys_path, machine_list_path,
-    machine_types_path, renewal_path, transaction_path, watch_path,
+    machine_types_path, renewal_path, transaction_path, watch_path, CANCELLATION_SUFFIX,
 };
 pub use store::{
     final_state_reply, Condition, FinalStateError, Grant, GrantRequest, KeyChange, KeyValue, Page,
--- a/src/wire/paths.rs
+++ b/src/wire/paths.rs
@@ -1,5 +1,8 @@
 //! Paths of requests to the store and to the cloud, with their parameters.
 
+/// What follows a job's path in a request to cancel it.
+pub const CANCELLATION_SUFFIX: &str = "/cancel";
+
 /// A single key of the store.
 pub fn key_path(key: &str) -> String {
     format!("/kv/{key}")
@@ -57,5 +60,5 @@
 
 /// The cancellation of a job.
 pub fn cancellation_path(id: &str) -> String {
-    format!("{}/{id}/cancel", super::JOBS_PATH)
+    format!("{}/{id}{CANCELLATION_SUFFIX}", super::JOBS_PATH)
 }
