--- a/tests/combined_failures/load.rs
+++ b/tests/combined_failures/load.rs
@@ -35,8 +35,8 @@
     }
     sim.run(1000);
     sim.submit(0, &array("run-000001", 12), 8000);
-    let gang = |id: &str, number| submission(id, "group", number, 6.0, "normal");
-    sim.submit(0, &gang("run-000002", 3), 12_000);
+    let gang = submission("run-000002", "group", 3, 6.0, "normal");
+    sim.submit(0, &gang, 12_000);
     for number in 3..30u64 {
         let id = format!("run-{number:06}");
         if number % 3 == 0 {
--- /dev/null
+++ b/tests/version_upgrade/reduced_limits.rs
@@ -0,0 +1,166 @@
+//! Limits of the store that are announced and later reduced.
+
+use ciborium::Value;
+use gaugesill::job::json_length;
+use gaugesill::settings::Settings;
+use gaugesill::wire;
+
+use crate::common::{submission, ReducedLimits, Sim};
+use crate::support::{format_of, submit_two_jobs, with_limits, ANNOUNCED, LOW};
+
+/// A limit of two writes in a transaction is enough, also through changes of leader.
+#[test]
+fn two_writes_in_a_transaction_are_enough() {
+    let mut sim = with_limits(r#","next":{"value_kb":2.0,"txn_ops":2,"write_rps":15.0}"#);
+    sim.run(1000);
+    submit_two_jobs(&mut sim);
+    assert!(sim.until(20_000, |sim| format_of(sim) == Some(1)));
+    sim.store.reduced_limits = Some(ReducedLimits {
+        transaction_writes: 2,
+        ..LOW
+    });
+    for _ in 0..3 {
+        let leader = sim.leader().expect("a leader");
+        sim.crash(leader, 9000);
+        assert!(sim.until(20_000, |sim| sim
+            .leader()
+            .is_some_and(|other| other != leader)));
+    }
+    sim.finish_and_check(120_000);
+    assert_eq!(sim.store.refused_by_size, 0);
+}
+
+/// The limits are reduced at each step of jobs' lives, during an election, with large records
+/// stored, and while jobs are cancelled: no transaction is refused for its size, and no job is
+/// lost or stuck.
+#[test]
+fn limits_are_reduced_at_every_step() {
+    let mut largest = 0;
+    for case in 0..24u64 {
+        let mut sim = with_limits(r#","next":{"value_kb":1.0,"txn_ops":4,"write_rps":15.0}"#);
+        sim.cloud.capacity = 60;
+        if case % 3 == 0 {
+            // A leader of the previous version has stored a large record.
+            sim.deployment.previous_version.extend([0, 1, 2]);
+        }
+        sim.run(1000);
+        submit_two_jobs(&mut sim);
+        sim.submit(
+            2,
+            &submission("run-000003", "sweep", 90, 5.0, "best_effort"),
+            9000,
+        );
+        for number in 10..22 {
+            let small = submission(&format!("run-0000{number}"), "sweep", 1, 1.0, "best_effort");
+            sim.submit(0, &small, 5000);
+        }
+        sim.run(6500 + 250 * case);
+        let stored = sim.store.keys.get("g/j/run-000003");
+        largest = largest.max(stored.map_or(0, |stored| json_length(&stored.value)));
+        if case % 3 == 0 {
+            sim.deployment.previous_version.clear();
+            sim.crash_all(|controller| 300 + 400 * controller);
+            assert!(sim.until(25_000, |sim| format_of(sim) == Some(1)));
+        }
+        if case % 3 == 1 {
+            let leader = sim.leader().expect("a leader");
+            sim.crash(leader, 300);
+            sim.run(60 * case);
+        }
+        sim.store.reduced_limits = Some(ReducedLimits {
+            value_bytes: 1024,
+            ..LOW
+        });
+        sim.note("the limits fall".into());
+        if case % 4 == 2 {
+            let slot = sim.cancel(1, "run-000003");
+            sim.run(3000);
+            assert!(
+                sim.answer(slot).is_some_and(|reply| reply.code == 200),
+                "{}",
+                sim.trace_text()
+            );
+        }
+        sim.finish_and_check(150_000);
+        assert_eq!(sim.store.refused_by_size, 0, "{case}");
+        assert!(
+            sim.store.refused_by_rate < 20,
+            "case {case}: {} transactions were refused for the rate",
+            sim.store.refused_by_rate
+        );
+    }
+    assert!(
+        largest > 1024,
+        "no record was larger than the later limit: {largest} bytes at most"
+    );
+}
+
+/// A gang whose placements would never fit into its record is refused, as it would wait for
+/// ever.
+#[test]
+fn a_gang_that_no_record_holds_is_refused() {
+    let mut sim = with_limits(r#","next":{"value_kb":1.0,"txn_ops":4,"write_rps":15.0}"#);
+    sim.run(1000);
+    let submit = |sim: &mut Sim, job: &Value| {
+        let slot = sim.ask(0, "POST", "/work", wire::encode(job));
+        assert!(sim.until(5000, |sim| sim.users.answers[slot].is_some()));
+        let answer = sim.users.answers[slot].clone().expect("an answer");
+        (answer.status, wire::readable(&answer.body))
+    };
+    let gang = submission("run-000001", "group", 100, 1.0, "normal");
+    let (status, reason) = submit(&mut sim, &gang);
+    assert_eq!(status, 422);
+    assert!(reason.contains("too large to be kept"), "{reason}");
+    // As much of an array is placed as fits, and a value of the usual size holds the gang.
+    let array = submission("run-000002", "sweep", 100, 1.0, "normal");
+    assert_eq!(submit(&mut sim, &array).0, 201);
+    let mut sim = Sim::new();
+    sim.run(1000);
+    let gang = submission("run-000003", "group", 100, 1.0, "normal");
+    assert_eq!(submit(&mut sim, &gang).0, 201);
+}
+
+/// Announced limits are checked like those that hold.
+#[test]
+fn announced_limits_are_checked() {
+    let check = |announced: &str| {
+        let text = format!(
+            r#"{{"member":"w0","zone":"z","front":"10.0.0.1:8080","mesh_addr":"10.0.0.1:8081",
+            "known":[],"endpoints":{{"cloud":"10.2.0.2:8443","state":"10.2.0.1:2379"}},
+            "cluster":{{"workers":{{"report_s":3,"lease_s":36.0,"gang_wait_s":35.0,"gang_peer_s":4.0,
+            "cancel_s":66.0}},"state":{{"rps":100,"write_rps":25.0,"value_kb":16.0,"txn_ops":20{announced}}},
+            "cloud":{{"rps":5.0,"list_lag_s":3.0}},
+            "limits":{{"cpu_share":0.08,"ram_mb":200,"fd_limit":4000}}}}}}"#
+        );
+        let settings: Settings = serde_json::from_str(&text).map_err(|error| error.to_string())?;
+        settings.check().map_err(|error| error.to_string())?;
+        Ok::<_, String>(settings.cluster.state.lowered())
+    };
+    let low = check(ANNOUNCED).expect("valid limits");
+    assert_eq!(
+        (low.value_kb, low.txn_ops, low.write_rps, low.rps),
+        (2.0, 4, 15.0, 100.0)
+    );
+    assert_eq!(check("").expect("no announced limits").value_kb, 16.0);
+    assert_eq!(
+        check(r#","next":null"#)
+            .expect("no announced limits")
+            .txn_ops,
+        20
+    );
+    assert_eq!(
+        check(r#","next":{"value_kb":99.0,"new":1}"#)
+            .expect("higher limits")
+            .value_kb,
+        16.0
+    );
+    for (announced, field) in [
+        (r#","next":{"txn_ops":1}"#, "next.txn_ops"),
+        (r#","next":{"value_kb":0.5}"#, "next.value_kb"),
+        (r#","next":{"write_rps":0}"#, "next.write_rps"),
+        (r#","next":{"write_rps":"x"}"#, "invalid type"),
+    ] {
+        let error = check(announced).expect_err(announced);
+        assert!(error.contains(field), "{error}");
+    }
+}
--- /dev/null
+++ b/tests/version_upgrade/support.rs
@@ -0,0 +1,89 @@
+//! Fixtures of the version in production, and runs with limits that are announced.
+
+use ciborium::Value;
+use gaugesill::job::JobRecord;
+use gaugesill::wire;
+
+use crate::common::{submission, ReducedLimits, Sim};
+
+/// A value that the version in production wrote.
+pub struct Fixture {
+    /// A form to be read by people, with the names that the fields had in that version.
+    pub readable: &'static str,
+    pub bytes: Vec<u8>,
+}
+
+/// The fixture with a name. The file has three lines for each: its name, its readable form and
+/// its bytes as hexadecimal digits.
+pub fn fixture(name: &str) -> Fixture {
+    let text = include_str!("../fixtures/production.txt");
+    let lines: Vec<&str> = text.lines().map(str::trim).collect();
+    let found = lines.chunks(3).find(|entry| entry[0] == name);
+    let entry = found.unwrap_or_else(|| panic!("no fixture {name}"));
+    Fixture {
+        readable: entry[1],
+        bytes: decode_hexadecimal(entry[2]),
+    }
+}
+
+fn decode_hexadecimal(text: &str) -> Vec<u8> {
+    let byte = |digits: &[u8]| {
+        let digits = std::str::from_utf8(digits).expect("digits");
+        u8::from_str_radix(digits, 16).expect("a byte")
+    };
+    text.as_bytes().chunks(2).map(byte).collect()
+}
+
+/// The job record of a fixture.
+pub fn fixture_record(name: &str) -> JobRecord {
+    let value: Value = wire::decode(&fixture(name).bytes).expect("a value");
+    JobRecord::from_value(&value).expect("a record")
+}
+
+/// Limits to come, as the settings announce them.
+pub const ANNOUNCED: &str = r#","next":{"value_kb":2.0,"txn_ops":4,"write_rps":15.0}"#;
+
+/// The announced limits, once they hold.
+pub const LOW: ReducedLimits = ReducedLimits {
+    value_bytes: 2048,
+    transaction_writes: 4,
+    writes_per_s: 15.0,
+};
+
+/// Controllers to which [`ANNOUNCED`] limits are announced.
+pub fn with_announced_limits() -> Sim {
+    with_limits(ANNOUNCED)
+}
+
+/// Controllers to which limits are announced.
+pub fn with_limits(announced: &str) -> Sim {
+    let mut sim = Sim::new();
+    sim.deployment.announced_limits = announced.into();
+    sim.crash_all(|_| 1);
+    sim.log.trace.clear();
+    sim.run(5);
+    sim
+}
+
+/// The format of the records according to the store.
+pub fn format_of(sim: &Sim) -> Option<u64> {
+    let format = sim.store.keys.get("g/l/format")?;
+    format
+        .value
+        .as_integer()
+        .and_then(|number| u64::try_from(number).ok())
+}
+
+/// Submits an array and a gang.
+pub fn submit_two_jobs(sim: &mut Sim) {
+    sim.submit(
+        0,
+        &submission("run-000001", "sweep", 5, 4.0, "best_effort"),
+        9000,
+    );
+    sim.submit(
+        1,
+        &submission("run-000002", "group", 3, 6.0, "normal"),
+        12_000,
+    );
+}
