--- a/examples/duty_overhead.rs
+++ b/examples/duty_overhead.rs
@@ -1,6 +1,10 @@
-//! What it costs that duties have holders of their own, on the tests' stand-ins: how long a
-//! duty has no holder, and from a shortage to the provisioning request that ends it, beside a leader that
-//! does everything itself. Simulated.
+//! Measures, in simulated runs, what it costs that duties have holders of their own compared
+//! with a leader that executes all orders itself:
+//!
+//! - the time from a shortage of machines to the provisioning request, without faults and with
+//!   a crash or a pause of the controller that rents;
+//! - the time for which a duty has no holder, after such a fault and in an orderly handover;
+//! - requests to the store and writes of it in each second, and repeated orders.
 //!
 //! `cargo run --release --example duty_overhead [RUNS]`
 
@@ -13,75 +17,84 @@
 use gaugesill::settings::DutyFence;
 use hdrhistogram::Histogram;
 
-/// Life of a duty's lease with the settings of the tests.
+/// Time to live of a duty's lease with the settings of the tests.
 const TTL_MS: u64 = 7200;
 /// Longest time that is measured.
 const LONGEST_MS: u64 = 120_000;
-/// How much later each further run begins.
+/// By how much the fault comes later with each further run.
 const RUN_OFFSET_MS: u64 = 173;
-const REST_MS: u64 = 100_000;
+/// How long requests and writes are counted.
+const COUNTED_MS: u64 = 100_000;
+/// Jobs that are submitted meanwhile.
+const COUNTED_JOBS: u64 = 20;
 
-/// What happens as the shortage begins.
+/// A fault at the beginning of the shortage. It lasts for longer than the measurement.
 #[derive(Debug, Clone, Copy, PartialEq)]
-enum Trouble {
+enum Fault {
     None,
-    /// Whoever rents ends, and is back after longer than all this takes.
+    /// The controller that rents crashes.
     Crash,
-    /// It stands still.
+    /// The controller that rents is paused.
     Pause,
 }
 
-/// Who rents.
+/// Which controller rents machines.
 #[derive(Debug, Clone, Copy, PartialEq)]
-enum Mode {
+enum Renter {
     Leader,
+    /// The holder of the duty.
     Holder,
 }
 
-fn service(mode: Mode, run: u64) -> Sim {
-    let mut sim = match mode {
-        Mode::Holder => Sim::with_duties(DutyFence::ProviderToken),
-        Mode::Leader => Sim::new(),
+/// What one run has measured.
+struct Measured {
+    /// From the submission of a job that needs machines to the first provisioning request.
+    to_provisioning_ms: u64,
+    /// For how long the duty had no holder; 0 if the holder did not change.
+    without_holder_ms: u64,
+}
+
+/// Controllers whose duties have settled.
+fn started(renter: Renter, run: u64) -> Sim {
+    let mut sim = match renter {
+        Renter::Holder => Sim::with_duties(DutyFence::ProviderToken),
+        Renter::Leader => Sim::new(),
     };
-    // All duties have settled.
     sim.run(30_000 + run * RUN_OFFSET_MS);
     sim
 }
 
-fn renting(sim: &Sim, mode: Mode) -> usize {
-    let renting = match mode {
-        Mode::Holder => sim.holder_of("rent"),
-        Mode::Leader => sim.leader(),
+fn renting_controller(sim: &Sim, renter: Renter) -> usize {
+    let controller = match renter {
+        Renter::Holder => sim.holder_of("rent"),
+        Renter::Leader => sim.leader(),
     };
-    renting.expect("somebody rents")
+    controller.expect("a controller that rents")
 }
 
-fn cause(sim: &mut Sim, trouble: Trouble, mode: Mode) {
-    let renting = renting(sim, mode);
-    match trouble {
-        Trouble::None => {}
-        Trouble::Crash => sim.crash(renting, LONGEST_MS),
-        Trouble::Pause => {
+fn inject(sim: &mut Sim, fault: Fault, renter: Renter) {
+    let renting = renting_controller(sim, renter);
+    match fault {
+        Fault::None => {}
+        Fault::Crash => sim.crash(renting, LONGEST_MS),
+        Fault::Pause => {
             sim.pauses.on_next_action.insert(renting, LONGEST_MS);
         }
     }
 }
 
-/// From the moment at which a job is submitted that needs machines to the provisioning request of the
-/// first, and how long the duty had no holder.
-fn measure(mode: Mode, trouble: Trouble, run: u64) -> (u64, u64) {
-    let mut sim = service(mode, run);
-    let before = renting(&sim, mode);
-    cause(&mut sim, trouble, mode);
+/// Submits a job that needs machines, once a second, until the first machine is requested.
+fn measure(renter: Renter, fault: Fault, run: u64) -> Measured {
+    let mut sim = started(renter, run);
+    let before = renting_controller(&sim, renter);
+    inject(&mut sim, fault, renter);
     let began_at = sim.now;
     let mut held_again_at = None;
-    let controller = (0..3)
-        .find(|controller| *controller != before)
-        .expect("another");
+    let other = if before == 0 { 1 } else { 0 };
     while sim.cloud.idempotency_keys.is_empty() && sim.now < began_at + LONGEST_MS {
         if (sim.now - began_at) % 1000 == 0 {
             let job = submission("run-000001", "sweep", 3, 4.0, "normal");
-            sim.submit(controller, &job, 3000);
+            sim.submit(other, &job, 3000);
         }
         let is_other = sim.holder_of("rent").is_some_and(|holder| holder != before);
         if held_again_at.is_none() && is_other {
@@ -89,16 +102,18 @@
         }
         sim.run(1);
     }
-    let free_ms = held_again_at.map_or(0, |at| at - began_at);
-    (sim.now - began_at, free_ms)
+    Measured {
+        to_provisioning_ms: sim.now - began_at,
+        without_holder_ms: held_again_at.map_or(0, |at| at - began_at),
+    }
 }
 
-/// A controller comes back and is handed a duty by one that has two: for how long that duty
-/// has no holder meanwhile.
+/// A controller is back up, and a controller that holds two duties hands one over to it: for
+/// how long that duty has no holder meanwhile.
 fn measure_handover(run: u64) -> Option<u64> {
     const DUTIES: [&str; 4] = ["rent", "return", "reclaim-idle", "clean-state"];
-    let mut sim = service(Mode::Holder, run);
-    let away = renting(&sim, Mode::Holder);
+    let mut sim = started(Renter::Holder, run);
+    let away = renting_controller(&sim, Renter::Holder);
     sim.crash(away, 3 * TTL_MS);
     let is_spread = |sim: &Sim| sim.are_duties_held() && sim.are_all_awake();
     sim.until(LONGEST_MS, is_spread);
@@ -123,74 +138,93 @@
     Histogram::new_with_bounds(1, LONGEST_MS, 3).expect("valid bounds")
 }
 
+/// Quantiles of times, in multiples of the time to live of a lease.
 fn in_ttls(times: &Histogram<u64>) -> String {
     let ratio = |ms: u64| ms as f64 / TTL_MS as f64;
     let median = times.value_at_quantile(0.5);
     format!(
-        "{:.2} lives (median, {median} ms), {:.2} (90%), {:.2} (longest)",
+        "{:.2} TTLs (median, {median} ms), {:.2} (90%), {:.2} (longest)",
         ratio(median),
         ratio(times.value_at_quantile(0.9)),
         ratio(times.max())
     )
 }
 
-/// Requests and changes of the store in a second, at rest and with work that comes
-/// and goes, and orders that were sent more than once.
-fn costs(mode: Mode) {
-    let mut sim = service(mode, 0);
-    let before = (sim.store.requests, sim.write_count());
-    sim.run(REST_MS);
-    let seconds = REST_MS as f64 / 1000.0;
-    let requests = (sim.store.requests - before.0) as f64 / seconds;
-    let changes = (sim.write_count() - before.1) as f64 / seconds;
-    println!("{mode:?}, at rest: {requests:.1} requests and {changes:.2} changes a second");
-    let before = (sim.store.requests, sim.write_count());
-    for number in 0..20 {
+/// Load of the store in each second of a run.
+struct StoreLoad {
+    requests_per_s: f64,
+    writes_per_s: f64,
+}
+
+/// The load of the store while `work` runs, which takes [`COUNTED_MS`].
+fn store_load(sim: &mut Sim, work: impl FnOnce(&mut Sim)) -> StoreLoad {
+    let (requests, writes) = (sim.store.requests, sim.write_count());
+    work(sim);
+    let seconds = COUNTED_MS as f64 / 1000.0;
+    StoreLoad {
+        requests_per_s: (sim.store.requests - requests) as f64 / seconds,
+        writes_per_s: (sim.write_count() - writes) as f64 / seconds,
+    }
+}
+
+fn submit_jobs(sim: &mut Sim) {
+    for number in 0..COUNTED_JOBS {
         let id = format!("run-{number:06}");
         sim.submit(0, &submission(&id, "sweep", 3, 6.0, "normal"), 3000);
-        sim.run(REST_MS / 20);
+        sim.run(COUNTED_MS / COUNTED_JOBS);
     }
-    let requests = (sim.store.requests - before.0) as f64 / seconds;
-    let changes = (sim.write_count() - before.1) as f64 / seconds;
-    let mut names = HashSet::new();
-    let mut twice = 0;
+}
+
+/// Prints the load of the store without jobs and with a job every few seconds, and how many
+/// orders were sent more than once.
+fn print_costs(renter: Renter) {
+    let mut sim = started(renter, 0);
+    let idle = store_load(&mut sim, |sim| sim.run(COUNTED_MS));
+    println!(
+        "{renter:?}, without jobs: {:.1} requests and {:.2} writes a second",
+        idle.requests_per_s, idle.writes_per_s
+    );
+    let busy = store_load(&mut sim, submit_jobs);
+    let mut seen = HashSet::new();
+    let mut repeated = 0;
     let mut orders = 0;
     for event in &sim.duty_history {
         if let DutyEvent::Received { targets, .. } = event {
             orders += 1;
-            twice += usize::from(!names.insert(targets.clone()));
+            repeated += usize::from(!seen.insert(targets.clone()));
         }
     }
     println!(
-        "{mode:?}, a job every 5 s: {requests:.1} requests and {changes:.2} changes a second, \
-         {orders} orders, {twice} of them sent again"
+        "{renter:?}, a job every 5 s: {:.1} requests and {:.2} writes a second, \
+         {orders} orders, {repeated} of them repeated",
+        busy.requests_per_s, busy.writes_per_s
     );
 }
 
 fn main() {
     let runs = std::env::args().nth(1).and_then(|text| text.parse().ok());
     let runs: u64 = runs.unwrap_or(40);
-    println!("{runs} runs each, a lease of {TTL_MS} ms, three controllers, simulated");
+    println!("{runs} simulated runs each, three controllers, a lease of {TTL_MS} ms");
     let cases = [
-        (Mode::Leader, Trouble::None),
-        (Mode::Holder, Trouble::None),
-        (Mode::Leader, Trouble::Crash),
-        (Mode::Holder, Trouble::Crash),
-        (Mode::Leader, Trouble::Pause),
-        (Mode::Holder, Trouble::Pause),
+        (Renter::Leader, Fault::None),
+        (Renter::Holder, Fault::None),
+        (Renter::Leader, Fault::Crash),
+        (Renter::Holder, Fault::Crash),
+        (Renter::Leader, Fault::Pause),
+        (Renter::Holder, Fault::Pause),
     ];
-    for (mode, trouble) in cases {
+    for (renter, fault) in cases {
         let (mut to_provisioning, mut without_holder) = (histogram(), histogram());
         for run in 0..runs {
-            let (rental_ms, free_ms) = measure(mode, trouble, run);
-            to_provisioning.saturating_record(rental_ms);
-            without_holder.saturating_record(free_ms.max(1));
+            let measured = measure(renter, fault, run);
+            to_provisioning.saturating_record(measured.to_provisioning_ms);
+            without_holder.saturating_record(measured.without_holder_ms.max(1));
         }
         println!(
-            "{mode:?}, {trouble:?}: shortage to rental {}",
+            "{renter:?}, {fault:?}: shortage to provisioning request {}",
             in_ttls(&to_provisioning)
         );
-        if mode == Mode::Holder && trouble != Trouble::None {
+        if renter == Renter::Holder && fault != Fault::None {
             println!("  without a holder {}", in_ttls(&without_holder));
         }
     }
@@ -203,6 +237,6 @@
         handovers.len(),
         in_ttls(&handovers)
     );
-    costs(Mode::Leader);
-    costs(Mode::Holder);
+    print_costs(Renter::Leader);
+    print_costs(Renter::Holder);
 }
--- a/examples/processor_time.rs
+++ b/examples/processor_time.rs
@@ -1,22 +1,22 @@
-//! What a controller's processor time goes to: whole controllers without sockets, against the
-//! tests' stand-ins, with a fleet in steady work. Counts are the same every time; times are
-//! of this machine.
+//! Measures what controllers use processor time for, by kind of work: whole controllers without
+//! sockets, in a simulation of a fleet with steady load. Counts are reproducible; times depend on
+//! the machine that runs it.
 //!
-//! `cargo run --release --example processor_time [MACHINES [SECONDS [steady or failover]]]`: a failover
-//! takes the leader away first, and its successor is measured.
+//! `cargo run --release --example processor_time [MACHINES [SECONDS [steady or failover]]]`: with
+//! `failover` the leader crashes first, and its successor is measured.
 
 #[path = "../tests/common/mod.rs"]
 mod common;
 
 use common::{jobs_for, Meter, RunTimes, Sim};
 
-/// How long the fleet works before anything is measured.
-const WARM_MS: u64 = 180_000;
-/// A job lasts about so long, so that as many have to come in that time.
+/// How long the fleet runs before the measurement.
+const WARM_UP_MS: u64 = 180_000;
+/// How long a job takes, about: for a steady load a whole queue is submitted in that time.
 const JOB_MS: u64 = 150_000;
 
-fn argument(n: usize, default: u64) -> u64 {
-    let text = std::env::args().nth(n);
+fn argument(position: usize, default: u64) -> u64 {
+    let text = std::env::args().nth(position);
     text.and_then(|text| text.parse().ok()).unwrap_or(default)
 }
 
@@ -28,10 +28,10 @@
         .is_some_and(|mode| mode == "failover");
     let times = RunTimes::LONG;
     let (mut sim, mut jobs) = Sim::with_full_queue(machines, times);
-    let every_ms = JOB_MS / jobs_for(machines) as u64;
-    let measured_from = sim.now + WARM_MS;
-    let end = measured_from + seconds * 1000;
-    while sim.now < end {
+    let interval_ms = JOB_MS / jobs_for(machines) as u64;
+    let measured_from = sim.now + WARM_UP_MS;
+    let measured_until = measured_from + seconds * 1000;
+    while sim.now < measured_until {
         if sim.meter.is_none() && sim.now >= measured_from {
             sim.meter = Some(Meter::default());
             if let Some(leader) = sim.leader().filter(|_| failover) {
@@ -40,12 +40,12 @@
         }
         sim.submit_fleet_job(jobs, times);
         jobs += 1;
-        sim.run(every_ms);
+        sim.run(interval_ms);
     }
-    print(&sim, seconds);
+    print_costs(&sim, seconds);
 }
 
-fn print(sim: &Sim, seconds: u64) {
+fn print_costs(sim: &Sim, seconds: u64) {
     let Some(meter) = &sim.meter else { return };
     for (index, controller) in sim.controllers.iter().enumerate() {
         let Some(controller) = controller else {
@@ -58,6 +58,6 @@
         meter.print(index, seconds as f64);
     }
     if !sim.log.violations.is_empty() {
-        println!("broken rules: {:?}", sim.log.violations);
+        println!("violations: {:?}", sim.log.violations);
     }
 }
--- a/examples/scheduling_cost.rs
+++ b/examples/scheduling_cost.rs
@@ -1,6 +1,6 @@
-//! What the leader's work costs at size: the library's own code on the tests' stand-ins of a
-//! fleet and a queue, one figure a line: the steady steps, the loss of a third of the fleet
-//! at once, and a successor that starts from the records, with the memory that all takes.
+//! Measures how long the steps of the leader's scheduler take with a large fleet and queue, one
+//! time in each line: with a steady load, after the loss of a third of the fleet at once, and
+//! for a successor that starts from the records; and the memory that all takes.
 //!
 //! `cargo run --release --example scheduling_cost [MACHINES]`
 
@@ -17,19 +17,19 @@
 use gaugesill::scheduler::{Effect, Scheduler, StatusOrigin};
 use gaugesill::settings::ClusterSettings;
 use gaugesill::watch_cache::{LiveJob, WatchCache};
-use gaugesill::wire::{self, AgentStatus, ListedMachine, TaskStatus};
+use gaugesill::wire::{self, AgentStatus, ExitReason, ListedMachine, TaskState, TaskStatus};
 use gaugesill::write_queue::CommitResult;
 
 /// The time of day as the leader begins.
 const WALL_MS: u64 = 1_000_000;
-/// One machine in so many is lost.
-const LOST_PART: usize = 3;
+/// One machine in this many is lost.
+const MACHINES_PER_LOST: usize = 3;
 /// How often a step without an effect is repeated to be measured.
 const REPEATED: usize = 100;
 /// Version of every record that is written.
 const VERSION: u64 = 11;
 
-/// Does a piece of work that consists of `count` alike and prints what one takes.
+/// Does a piece of work that consists of `count` equal steps and prints how long one takes.
 fn timed<T>(what: &str, count: usize, work: impl FnOnce() -> T) -> T {
     let began = Instant::now();
     let result = work();
@@ -38,36 +38,36 @@
     result
 }
 
-/// What the process holds, in MB, where the system tells.
-fn print_held_memory(what: &str) {
+/// Prints the resident memory of the process, where the system reports it.
+fn print_resident_memory(what: &str) {
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = status.lines().find(|line| line.starts_with("VmRSS:"));
     let kb = line.and_then(|line| line.split_whitespace().nth(1)?.parse::<f64>().ok());
     if let Some(kb) = kb {
-        println!("{:.1} MB held, {what}", kb / 1024.0);
+        println!("{:.1} MB resident, {what}", kb / 1024.0);
     }
 }
 
 /// Arrays of tasks for a fifth of a machine, and gangs of tasks for nearly a whole one.
-fn spec(n: u32) -> JobSpec {
-    let gang = n % 3 == 0;
-    let base = if gang {
-        support::spec(Shape::Gang, 1 << (n % 6), 28.0, Priority::Normal)
+fn spec(number: u32) -> JobSpec {
+    let is_gang = number % 3 == 0;
+    let base = if is_gang {
+        support::spec(Shape::Gang, 1 << (number % 6), 28.0, Priority::Normal)
     } else {
-        support::spec(Shape::Array, 5 + (n * 7) % 60, 6.0, Priority::Low)
+        support::spec(Shape::Array, 5 + (number * 7) % 60, 6.0, Priority::Low)
     };
     JobSpec {
-        single_zone: gang,
-        spot: !gang,
-        image: format!("img-{}", n % 20),
+        single_zone: is_gang,
+        spot: !is_gang,
+        image: format!("img-{}", number % 20),
         image_gb: 5.0,
-        expected_s: if gang { 200.0 } else { 70.0 },
-        deadline_s: (!gang).then_some(125.0),
+        expected_s: if is_gang { 200.0 } else { 70.0 },
+        deadline_s: (!is_gang).then_some(125.0),
         ..base
     }
 }
 
-/// A leader, its fleet, and what it has put on record.
+/// A leader's scheduler, its fleet, and the records that it has written.
 struct Fleet {
     machines: usize,
     cluster: ClusterSettings,
@@ -94,17 +94,18 @@
         }
     }
 
+    /// Whether a machine is among those that will be lost.
     fn is_lost(machine: usize) -> bool {
-        machine % LOST_PART == 1
+        machine % MACHINES_PER_LOST == 1
     }
 
     fn listed(&self) -> Vec<ListedMachine> {
-        let listed = (0..self.machines).map(|i| ListedMachine {
-            name: format!("m-{i:06}"),
+        let listed = (0..self.machines).map(|number| ListedMachine {
+            name: format!("m-{number:06}"),
             endpoint: None,
             machine_type: "large".into(),
             zone: "a".into(),
-            spot: i % 3 == 0,
+            spot: number % 3 == 0,
             status: "running".into(),
             age_s: Some(60.0),
         });
@@ -125,12 +126,13 @@
         self.scheduler.answer_commands(report, true, self.now)
     }
 
+    /// Advances the clocks.
     fn pass(&mut self, ms: u64) {
         self.now += ms;
         self.wall_ms += ms;
     }
 
-    /// Puts on record what the leader wants to, and returns its other effects.
+    /// Commits the records that the scheduler writes, and returns its other effects.
     fn commit(&mut self) -> Vec<Effect> {
         let mut others = Vec::new();
         for effect in self.scheduler.take_effects() {
@@ -166,13 +168,13 @@
 
     fn plan_and_apply(&mut self, what: &str, snapshot: Snapshot) {
         let decision = timed(what, 1, || plan::cycle(snapshot));
-        timed("its application, with what to buy", 1, || {
+        timed("its application, with scale-out", 1, || {
             self.scheduler
                 .apply_decision(decision, 4, self.now, self.wall_ms);
         });
     }
 
-    /// All machines come up, and more work than there is capacity for is there.
+    /// All machines are up, and there is more work than capacity.
     fn begin(&mut self) {
         let listed = self.listed();
         self.scheduler.on_machine_list(&listed, 1, 1);
@@ -180,13 +182,13 @@
             let report = self.report(machine, 1, 1);
             self.heartbeat(&report);
         }
-        for n in 0..self.machines as u32 / 4 {
+        for number in 0..self.machines as u32 / 4 {
             let live = LiveJob {
-                record: Arc::new(JobRecord::new(spec(n), WALL_MS)),
+                record: Arc::new(JobRecord::new(spec(number), WALL_MS)),
                 version: 1,
             };
             self.scheduler
-                .apply_record(&format!("run-{n:06}"), &live, self.now);
+                .apply_record(&format!("run-{number:06}"), &live, self.now);
         }
         let snapshot = self.snapshot("first snapshot");
         self.plan_and_apply("first plan", snapshot);
@@ -194,10 +196,12 @@
         self.commit();
     }
 
-    /// All tasks that have a place are started.
+    /// Starts all tasks that are placed.
     fn start_tasks(&mut self) {
-        let reports: Vec<AgentStatus> = (0..self.machines).map(|m| self.report(m, 2, 1)).collect();
-        let commands = timed("a check-in answered with starts", self.machines, || {
+        let reports: Vec<AgentStatus> = (0..self.machines)
+            .map(|machine| self.report(machine, 2, 1))
+            .collect();
+        let commands = timed("a heartbeat answered with starts", self.machines, || {
             let commands = reports.iter().map(|report| self.heartbeat(report));
             commands.collect::<Vec<_>>()
         });
@@ -215,14 +219,14 @@
         }
     }
 
-    /// Nothing happens any more.
+    /// Nothing changes.
     fn steady(&mut self) {
         self.pass(8000);
         let bodies: Vec<Vec<u8>> = (0..self.machines)
             .map(|machine| wire::encode(&self.report(machine, 4, 1)))
             .collect();
         timed(
-            "a check-in with nothing new, read and answered",
+            "a heartbeat without changes, read and answered",
             self.machines,
             || {
                 for body in &bodies {
@@ -237,66 +241,71 @@
                 }
             },
         );
-        drop(self.snapshot("snapshot after all tasks began"));
-        let snapshot = self.snapshot("snapshot with nothing new");
-        self.plan_and_apply("plan with a full queue and no room", snapshot);
-        timed("looking over all machines and gangs", 1, || {
+        drop(self.snapshot("snapshot after all tasks started"));
+        let snapshot = self.snapshot("snapshot without changes");
+        self.plan_and_apply("plan with a full queue and no capacity", snapshot);
+        timed("review of all machines and gangs", 1, || {
             self.scheduler.tick(self.now, 10, 0);
         });
-        timed("looking for records to write", REPEATED, || {
+        timed("search for records to write", REPEATED, || {
             for _ in 0..REPEATED {
                 self.scheduler.flush(self.now, 10, 0);
             }
         });
     }
 
-    /// A third of the machines falls silent, and nearly every gang loses a member.
+    /// A third of the machines stops reporting, and nearly every gang loses a member.
     fn lose_a_third(&mut self) {
         self.pass(5000);
         for tasks in &mut self.tasks {
             for task in tasks.iter_mut().filter(|task| task.task.len() % 2 == 0) {
-                task.status = "ended".into();
-                task.cause = Some("mates_gone".into());
+                task.status = TaskState::Exited;
+                task.cause = Some(ExitReason::GangMemberLost);
             }
         }
         let left = (0..self.machines).filter(|machine| !Fleet::is_lost(*machine));
         let reports: Vec<AgentStatus> = left.map(|machine| self.report(machine, 5, 1)).collect();
-        timed("a check-in of those left", reports.len(), || {
-            for report in &reports {
-                self.heartbeat(report);
-            }
-        });
+        timed(
+            "a heartbeat of the remaining machines",
+            reports.len(),
+            || {
+                for report in &reports {
+                    self.heartbeat(report);
+                }
+            },
+        );
         self.pass(14_000);
-        // What the gangs had is kept for them meanwhile.
+        // The gangs keep their machines meanwhile.
         let decision = plan::cycle(self.scheduler.snapshot(self.now, self.wall_ms));
         self.scheduler
             .apply_decision(decision, 4, self.now, self.wall_ms);
         self.commit();
         self.scheduler.set_redirected_elsewhere(Some(0));
-        timed("finding the silent ones", 1, || {
+        timed("detection of the lost machines", 1, || {
             self.scheduler.tick(self.now, 11, 0);
         });
         let effects = self.commit().into_iter();
-        let deletions = effects.filter_map(|effect| match effect {
+        let terminations = effects.filter_map(|effect| match effect {
             Effect::Terminate { machines } => Some(machines),
             _ => None,
         });
-        let deletions: Vec<Vec<String>> = deletions.collect();
-        println!("{} deletions", deletions.len());
-        timed("one of them", deletions.len(), || {
-            for machines in &deletions {
+        let terminations: Vec<Vec<String>> = terminations.collect();
+        println!("{} terminations", terminations.len());
+        timed("one termination", terminations.len(), || {
+            for machines in &terminations {
                 self.scheduler
                     .on_termination_outcome(machines, true, self.now);
             }
         });
-        let snapshot = self.snapshot("snapshot after it");
-        self.plan_and_apply("plan after it", snapshot);
+        let snapshot = self.snapshot("snapshot after the loss");
+        self.plan_and_apply("plan after the loss", snapshot);
         self.scheduler.flush(self.now, 12, 1000);
         self.commit();
-        print_held_memory("records and reports of the stand-ins included");
+        print_resident_memory("with the records and statuses of the simulated fleet");
     }
 
-    /// A successor has the records, the list and a round of reports.
+    /// A successor starts from the records, and gets the machine list and a heartbeat of each
+    /// machine.
     fn succeed(&mut self) {
         let mut watch_cache = WatchCache::default();
         watch_cache.jobs.extend(std::mem::take(&mut self.records));
@@ -305,7 +314,7 @@
         });
         let predecessor = std::mem::replace(&mut self.scheduler, successor);
         let listed = self.listed();
-        timed("the cloud's list", 1, || {
+        timed("the machine list", 1, || {
             self.scheduler.on_machine_list(&listed, self.now, self.now);
         });
         let left = (0..self.machines).filter(|machine| !Fleet::is_lost(*machine));
@@ -314,7 +323,7 @@
             ..self.report(machine, 6, 2)
         });
         let reports: Vec<AgentStatus> = reports.collect();
-        timed("a check-in to it", reports.len(), || {
+        timed("a heartbeat to the successor", reports.len(), || {
             for report in &reports {
                 self.scheduler
                     .on_agent_status(report, StatusOrigin::Heartbeat, self.now);
@@ -322,7 +331,7 @@
         });
         let snapshot = self.snapshot("its first snapshot");
         self.plan_and_apply("its first plan", snapshot);
-        print_held_memory("with both leaders' states");
+        print_resident_memory("with the states of both leaders");
         drop(predecessor);
     }
 }
--- a/tests/common/messages.rs
+++ b/tests/common/messages.rs
@@ -85,7 +85,8 @@
 }
 
 impl Job {
-    pub(super) fn is_done(&self) -> bool {
+    /// Whether all its tasks are done.
+    pub fn is_done(&self) -> bool {
         self.done.len() == self.tasks as usize
     }
 }
