--- a/tests/common/cloud.rs
+++ b/tests/common/cloud.rs
@@ -31,7 +31,7 @@
     pub rented_total: u64,
     /// How long a machine boots.
     pub boot_ms: u64,
-    /// At most so many machines are rented at the same time.
+    /// How many machines can be rented at the same time.
     pub capacity: usize,
     /// Pages of the list that were requested.
     pub pages_read: u64,
--- a/tests/duties/assignment.rs
+++ b/tests/duties/assignment.rs
@@ -18,7 +18,8 @@
             .value
             .deserialized::<LeaderKey>();
         assert_eq!(fenced.ok(), Some(LeaderKey::superseded()));
-        let holders = ["rent", "return", "reclaim-idle", "clean-state"].map(|d| sim.holder_of(d));
+        let holders =
+            ["rent", "return", "reclaim-idle", "clean-state"].map(|duty| sim.holder_of(duty));
         let distinct: BTreeSet<_> = holders.iter().collect();
         assert_eq!(
             distinct.len(),
@@ -35,7 +36,8 @@
             .iter()
             .any(|event| matches!(event, DutyEvent::Decided { controller, .. } if Some(*controller) != leader));
         assert!(by_others);
-        let has_token = |e: &DutyEvent| matches!(e, DutyEvent::Received { token: Some(_), .. });
+        let has_token =
+            |event: &DutyEvent| matches!(event, DutyEvent::Received { token: Some(_), .. });
         let with_token = sim.duty_history.iter().any(has_token);
         assert_eq!(with_token, fence == DutyFence::ProviderToken);
     }
--- a/tests/duties/records.rs
+++ b/tests/duties/records.rs
@@ -48,11 +48,11 @@
         let kind = cbor!({"machine_type" => "f8", "zone" => "a", "spot" => false, "count" => 1});
         let order = cbor!({"rent" => kind.expect("value")}).expect("value");
         // Requests to a duty that rents nothing, so its holder ignores them.
-        for n in 0..5 {
+        for number in 0..5 {
             let request =
                 cbor!({"order" => order, "phase" => "needed", "since_ms" => 1}).expect("value");
             sim.store
-                .put(&format!("g/d/o/clean-state/left-{n}"), request);
+                .put(&format!("g/d/o/clean-state/left-{number}"), request);
         }
         sim.run(70_000);
         assert_eq!(
@@ -139,7 +139,7 @@
     ) {
         let key = |request: u8| OrderKey { duty: Duty::Return, request: request.to_string() };
         let mut truth = BTreeMap::new();
-        let mut news = Vec::new();
+        let mut history = Vec::new();
         for (index, (request, phase)) in changes.iter().enumerate() {
             let version = index as u64 + 1;
             let value = (*phase < 3).then(|| record(*phase));
@@ -149,16 +149,16 @@
             if let Some(value) = &value {
                 truth.insert(*request, value.clone());
             }
-            news.push((*request, value, version));
+            history.push((*request, value, version));
         }
         let mut records = DutyRecords::default();
         // Own writes are known as soon as they are committed, here the latest first.
-        for (index, (request, value, version)) in news.iter().enumerate().rev() {
+        for (index, (request, value, version)) in history.iter().enumerate().rev() {
             if own[index] {
                 records.apply_own_write(&key(*request), value.clone(), *version);
             }
         }
-        for (index, (request, value, version)) in news.iter().enumerate() {
+        for (index, (request, value, version)) in history.iter().enumerate() {
             let name = order_key(&key(*request));
             let seen = records.order(&key(*request)).map(|(_, version)| version);
             match value {
@@ -174,7 +174,7 @@
             let now = records.order(&key(*request)).map(|(_, version)| version);
             prop_assert!(now.is_none() || now >= seen);
             // Nor a record that an own write is known to have replaced or deleted.
-            let of_request = news.iter().enumerate().filter(|(i, n)| own[*i] && n.0 == *request);
+            let of_request = history.iter().enumerate().filter(|(index, change)| own[*index] && change.0 == *request);
             let latest_own = of_request.map(|(_, (_, _, version))| *version).max();
             prop_assert!(now.is_none() || now >= latest_own);
         }
@@ -182,7 +182,7 @@
             let left = records.order(&key(request)).map(|(record, _)| record.clone());
             prop_assert_eq!(left, truth.get(&request).cloned());
         }
-        let open = truth.values().any(|r| !matches!(r.phase, OrderPhase::Completed(_)));
+        let open = truth.values().any(|record| !matches!(record.phase, OrderPhase::Completed(_)));
         prop_assert_eq!(records.is_being_terminated("m-1"), open);
     }
 }
--- a/tests/job_lifecycle/machines.rs
+++ b/tests/job_lifecycle/machines.rs
@@ -49,7 +49,7 @@
 /// then its tasks run elsewhere.
 #[test]
 fn a_machine_that_receives_nothing_is_replaced() {
-    for (busy, deaf_from) in [(true, 9000), (false, 7200), (true, 6500)] {
+    for (busy, unreachable_from) in [(true, 9000), (false, 7200), (true, 6500)] {
         let mut sim = Sim::new();
         sim.run(1000);
         let run_ms = if busy { 60_000 } else { 1000 };
@@ -58,7 +58,7 @@
             &submission("run-000001", "sweep", 2, 4.0, "normal"),
             run_ms,
         );
-        sim.run(deaf_from);
+        sim.run(unreachable_from);
         let machine = sim.first_machine();
         sim.faults.unable_to_receive.insert(machine.clone());
         sim.note(format!("{machine} hears nothing any more"));
@@ -74,7 +74,7 @@
         );
         sim.finish(150_000);
         sim.assert_sound();
-        if busy && deaf_from == 9000 {
+        if busy && unreachable_from == 9000 {
             assert_kept_trace("deaf-machine", &sim.log.trace);
         }
     }
--- a/tests/job_lifecycle/partitions.rs
+++ b/tests/job_lifecycle/partitions.rs
@@ -133,12 +133,12 @@
         assert!(sim.until(5000, |sim| sim.answer(slot).is_some()));
         assert_eq!(sim.answer(slot).map(|reply| reply.code), Some(200));
         sim.run(70_000);
-        let gone = |sim: &Sim| {
+        let is_stopped = |sim: &Sim| {
             let agents = sim.agents.values();
             let mut live = agents.flat_map(|agent| agent.live_tasks());
             !live.any(|task| task.name.starts_with("run-000001/"))
         };
-        assert!(gone(&sim), "{}", sim.trace_text());
+        assert!(is_stopped(&sim), "{}", sim.trace_text());
         sim.faults.cut_from_peers.clear();
         sim.heal_store();
         sim.run(5000);
--- a/tests/unit/agent_status.rs
+++ b/tests/unit/agent_status.rs
@@ -201,16 +201,16 @@
 fn suspicion_of_a_machine_ends() {
     let mut scheduler = successor(Shape::Array, 1);
     let runs = || vec![task("run-1/0", 1, "running", None)];
-    let mut gone = runs();
-    gone.push(task("run-7/0", 1, "ended", Some("stopped")));
-    let status = reports(1, 2, gone.clone());
+    let mut with_orphan = runs();
+    with_orphan.push(task("run-7/0", 1, "ended", Some("stopped")));
+    let status = reports(1, 2, with_orphan.clone());
     scheduler.on_agent_status(&status, StatusOrigin::Heartbeat, 2000);
     assert_eq!(
         scheduler.answer_commands(&status, true, 2000).len(),
         1,
         "the task must be cleared"
     );
-    scheduler.on_agent_status(&reports(2, 2, gone), StatusOrigin::Heartbeat, 5000);
+    scheduler.on_agent_status(&reports(2, 2, with_orphan), StatusOrigin::Heartbeat, 5000);
     let is_usable = |scheduler: &mut Scheduler, now| {
         !scheduler.snapshot(now, 1_000_000 + now).machines.is_empty()
     };
--- a/tests/unit/watch_cache.rs
+++ b/tests/unit/watch_cache.rs
@@ -18,19 +18,19 @@
         epoch: 2,
     };
     cache.leader_key = Some((own, 9));
-    let gone = KeyChange {
+    let deletion = KeyChange {
         set: None,
         value: None,
         delete: Some(LEADER_KEY.into()),
         version: 7,
     };
     assert!(cache
-        .apply_changes(8, 5, std::slice::from_ref(&gone))
+        .apply_changes(8, 5, std::slice::from_ref(&deletion))
         .is_empty());
     assert!(cache.leader().is_some());
     let later = KeyChange {
         version: 12,
-        ..gone
+        ..deletion
     };
     assert_eq!(
         cache.apply_changes(12, 8, &[later]),
