--- a/tests/unit/cloud.rs
+++ b/tests/unit/cloud.rs
@@ -6,102 +6,89 @@
 use std::collections::{BTreeMap, HashSet};
 use std::sync::Arc;
 
-#[test]
-fn the_cheapest_suitable_machines_are_rented() {
-    let request = |spec: JobSpec, count, ordinary_price_ratio| Demand {
-        spec: Arc::new(spec),
+/// How many machines a plan may rent.
+const MACHINES_MAX: u64 = 9;
+
+fn demand(spec: &JobSpec, count: u32) -> Demand {
+    Demand {
+        spec: Arc::new(spec.clone()),
         count,
         zones: BTreeMap::new(),
-        ordinary_price_ratio,
-    };
-    let none_exhausted = |_: &MachineKind| false;
-    let mut cheap = spec(Shape::Array, 8, 4.0, Priority::Low);
-    cheap.spot = true;
+        ordinary_price_ratio: 0.0,
+    }
+}
+
+/// Tasks of half a small machine that may run on spot machines.
+fn spot_array() -> JobSpec {
+    let mut array = spec(Shape::Array, 8, 4.0, Priority::Low);
+    array.spot = true;
+    array
+}
+
+/// Plans for one demand; `is_sold_out`: kinds of machines that are not available.
+fn plan(
+    demand: Demand,
+    incoming: Vec<IncomingMachines>,
+    is_sold_out: &dyn Fn(&MachineKind) -> bool,
+) -> Vec<(MachineKind, u64)> {
     let types = machine_types();
-    // Eight tasks fill one large machine; it is the cheapest for each.
-    let planned = plan_scale_out(
-        &[request(cheap.clone(), 8, 0.0)],
-        vec![],
-        &types,
-        &none_exhausted,
-        9,
-    );
+    plan_scale_out(&[demand], incoming, &types, is_sold_out, MACHINES_MAX)
+}
+
+fn none_sold_out(_: &MachineKind) -> bool {
+    false
+}
+
+/// Eight tasks fill one large machine, which is the cheapest for each; for one task alone a
+/// small machine is.
+#[test]
+fn the_cheapest_suitable_machines_are_rented() {
+    let planned = plan(demand(&spot_array(), 8), vec![], &none_sold_out);
     assert_eq!(planned.len(), 1);
-    assert!(planned[0].0.spot && planned[0].0.machine_type == "large" && planned[0].1 == 1);
-    // One task alone: a small one.
-    let planned = plan_scale_out(
-        &[request(cheap.clone(), 1, 0.0)],
-        vec![],
-        &types,
-        &none_exhausted,
-        9,
-    );
+    let (kind, count) = &planned[0];
+    assert!(kind.spot && kind.machine_type == "large" && *count == 1);
+    let planned = plan(demand(&spot_array(), 1), vec![], &none_sold_out);
     assert_eq!(planned[0].0.machine_type, "small");
-    // Machines that are on their way are used first.
-    let coming = IncomingMachines {
+}
+
+#[test]
+fn machines_on_their_way_are_used_first() {
+    let planned = plan(demand(&spot_array(), 1), vec![], &none_sold_out);
+    let incoming = IncomingMachines {
         kind: planned[0].0.clone(),
         count: 1,
     };
-    assert!(plan_scale_out(
-        &[request(cheap.clone(), 2, 0.0)],
-        vec![coming],
-        &types,
-        &none_exhausted,
-        9
-    )
-    .is_empty());
-    // No spot machines are available: on-demand machines only where it pays.
+    let planned = plan(demand(&spot_array(), 2), vec![incoming], &none_sold_out);
+    assert!(planned.is_empty());
+}
+
+#[test]
+fn on_demand_machines_are_rented_only_where_it_pays() {
     let no_spot = |kind: &MachineKind| kind.spot;
-    assert!(plan_scale_out(
-        &[request(cheap.clone(), 1, 0.0)],
-        vec![],
-        &types,
-        &no_spot,
-        9
-    )
-    .is_empty());
-    assert!(plan_scale_out(
-        &[request(cheap.clone(), 1, 2.0)],
-        vec![],
-        &types,
-        &no_spot,
-        9
-    )
-    .is_empty());
-    assert_eq!(
-        plan_scale_out(&[request(cheap, 1, 5.5)], vec![], &types, &no_spot, 9).len(),
-        1
-    );
-    // Machines for a gang in one zone are rented in one zone, for a spread one in two.
-    let mut one = spec(Shape::Gang, 6, 8.0, Priority::Normal);
-    one.single_zone = true;
-    let zones = |planned: &[(MachineKind, u64)]| {
-        planned
-            .iter()
-            .map(|(kind, _)| kind.zone.clone())
-            .collect::<HashSet<_>>()
-            .len()
+    let planned_at = |ordinary_price_ratio| {
+        let demand = Demand {
+            ordinary_price_ratio,
+            ..demand(&spot_array(), 1)
+        };
+        plan(demand, vec![], &no_spot)
+    };
+    assert!(planned_at(0.0).is_empty());
+    assert!(planned_at(2.0).is_empty());
+    assert_eq!(planned_at(5.5).len(), 1);
+}
+
+/// Machines for a gang in one zone are rented in one zone, for a spread one in two.
+#[test]
+fn machines_are_rented_in_zones_that_suit_the_gang() {
+    let zones = |gang: &JobSpec| {
+        let planned = plan(demand(gang, 6), vec![], &none_sold_out);
+        let zones = planned.iter().map(|(kind, _)| kind.zone.clone());
+        zones.collect::<HashSet<_>>().len()
     };
-    assert_eq!(
-        zones(&plan_scale_out(
-            &[request(one.clone(), 6, 0.0)],
-            vec![],
-            &types,
-            &none_exhausted,
-            9
-        )),
-        1
-    );
-    one.single_zone = false;
-    one.spread = true;
-    assert_eq!(
-        zones(&plan_scale_out(
-            &[request(one, 6, 0.0)],
-            vec![],
-            &types,
-            &none_exhausted,
-            9
-        )),
-        2
-    );
+    let mut gang = spec(Shape::Gang, 6, 8.0, Priority::Normal);
+    gang.single_zone = true;
+    assert_eq!(zones(&gang), 1);
+    gang.single_zone = false;
+    gang.spread = true;
+    assert_eq!(zones(&gang), 2);
 }
--- a/tests/unit/leader_lease.rs
+++ b/tests/unit/leader_lease.rs
@@ -7,11 +7,27 @@
 use gaugesill::settings::OperatorSettings;
 use gaugesill::watch_cache::WatchCache;
 
+/// A watch cache that has read the store and found a leader key, or none.
+fn loaded_cache(leader_key: Option<(LeaderKey, u64)>) -> WatchCache {
+    let mut cache = WatchCache::default();
+    cache.loaded = true;
+    cache.leader_key = leader_key;
+    cache
+}
+
+/// The leader key of member `c0` at epoch 1, with its version.
+fn own_key() -> Option<(LeaderKey, u64)> {
+    let key = LeaderKey {
+        member: "c0".into(),
+        epoch: 1,
+    };
+    Some((key, 3))
+}
+
 #[test]
 fn leadership_is_certain_only_while_its_grant_is_valid() {
     let mut lease = LeaderLease::new("c0", 3000, 20);
-    let mut cache = WatchCache::default();
-    cache.loaded = true;
+    let mut cache = loaded_cache(None);
     assert_eq!(lease.tick(100, &cache, 0.0), Some(LeaseRequest::Grant));
     lease.on_response(110, LeaseResponse::Granted(4));
     assert!(matches!(
@@ -22,36 +38,22 @@
             ..
         }))
     ));
-    assert!(lease.on_response(
-        120,
-        LeaseResponse::Elected {
-            epoch: 1,
-            version: 3
-        }
-    ));
+    let (epoch, version) = (1, 3);
+    assert!(lease.on_response(120, LeaseResponse::Elected { epoch, version }));
     assert!(
         lease.is_certain(2000) && !lease.is_certain(2900),
         "counted from the request for the grant"
     );
-    cache.leader_key = Some((
-        LeaderKey {
-            member: "c0".into(),
-            epoch: 1,
-        },
-        3,
-    ));
+    cache.leader_key = own_key();
     assert!(!lease.on_cache_event(&cache));
     cache.leader_key = None;
     assert!(lease.on_cache_event(&cache), "the leader key was deleted");
-    // A key of an earlier generation of the same member is replaced at once.
+}
+
+#[test]
+fn a_key_of_an_earlier_generation_is_replaced_at_once() {
     let mut lease = LeaderLease::new("c0", 3000, 20);
-    cache.leader_key = Some((
-        LeaderKey {
-            member: "c0".into(),
-            epoch: 1,
-        },
-        3,
-    ));
+    let cache = loaded_cache(own_key());
     assert_eq!(lease.tick(1, &cache, 0.0), Some(LeaseRequest::Grant));
     lease.on_response(2, LeaseResponse::Granted(5));
     assert!(matches!(
