--- a/src/controller/duties/scaling_requests.rs
+++ b/src/controller/duties/scaling_requests.rs
@@ -74,7 +74,7 @@
             return None;
         }
         let known = self.scheduler.as_ref()?.machines.get(&machine)?;
-        let class = known.termination_reason.map(TerminationReason::group)?;
+        let class = known.termination_reason.map(TerminationReason::class)?;
         Some(Termination { machine, class })
     }
 
--- a/src/machine/termination.rs
+++ b/src/machine/termination.rs
@@ -42,7 +42,7 @@
 
 impl TerminationReason {
     /// What has to be checked before the termination.
-    pub fn group(self) -> TerminationClass {
+    pub fn class(self) -> TerminationClass {
         match self {
             TerminationReason::Idle | TerminationReason::OnRecord => TerminationClass::Idle,
             TerminationReason::TaskFailed => TerminationClass::Drained,
--- a/src/scheduler/scale_in.rs
+++ b/src/scheduler/scale_in.rs
@@ -95,7 +95,7 @@
             let Some(machine) = self.machines.get_mut(name) else {
                 continue;
             };
-            let class = machine.termination_reason.map(TerminationReason::group);
+            let class = machine.termination_reason.map(TerminationReason::class);
             if class == Some(TerminationClass::Idle) {
                 machine.termination_reason = None;
                 machine.termination_sent_at = None;
@@ -117,7 +117,7 @@
             self.needs_planning = true;
         }
         // One that was being drained and is lost meanwhile need not be empty any more.
-        if machine.termination_reason.is_none() || reason.group() == TerminationClass::Lost {
+        if machine.termination_reason.is_none() || reason.class() == TerminationClass::Lost {
             machine.termination_reason = Some(reason);
         }
         if now < machine.next_termination_at {
