--- a/examples/scheduling_cost.rs
+++ b/examples/scheduling_cost.rs
@@ -14,7 +14,7 @@
 
 use gaugesill::job::{JobRecord, JobSpec, Priority, Shape};
 use gaugesill::plan::{self, Snapshot};
-use gaugesill::scheduler::{Effect, Scheduler, StatusOrigin};
+use gaugesill::scheduler::{Effect, Scheduler, StartPermission, StatusOrigin, TerminationOutcome};
 use gaugesill::settings::ClusterSettings;
 use gaugesill::watch_cache::{LiveJob, WatchCache};
 use gaugesill::wire::{self, AgentStatus, ExitReason, ListedMachine, TaskState, TaskStatus};
@@ -123,7 +123,8 @@
     fn heartbeat(&mut self, report: &AgentStatus) -> Vec<wire::Command> {
         let origin = StatusOrigin::Heartbeat;
         self.scheduler.on_agent_status(report, origin, self.now);
-        self.scheduler.answer_commands(report, true, self.now)
+        self.scheduler
+            .answer_commands(report, StartPermission::Granted, self.now)
     }
 
     /// Advances the clocks.
@@ -293,8 +294,11 @@
         println!("{} terminations", terminations.len());
         timed("one termination", terminations.len(), || {
             for machines in &terminations {
-                self.scheduler
-                    .on_termination_outcome(machines, true, self.now);
+                self.scheduler.on_termination_outcome(
+                    machines,
+                    TerminationOutcome::Confirmed,
+                    self.now,
+                );
             }
         });
         let snapshot = self.snapshot("snapshot after the loss");
--- a/src/controller/cache_updates.rs
+++ b/src/controller/cache_updates.rs
@@ -7,14 +7,18 @@
 use super::store_sync::{ChangeRead, ChangesCall, KeyRange};
 use super::{Controller, StepDownReason};
 use crate::net::{status, Outcome};
+use crate::scheduler::StartPermission;
 use crate::watch_cache::CacheEvent;
 use crate::wire;
 
 impl Controller {
     /// Whether tasks may be started: leadership is certain and the watch cache recent.
-    pub(super) fn may_start(&self) -> bool {
+    pub(super) fn start_permission(&self) -> StartPermission {
         let now = self.clock.steady_ms();
-        self.store_sync.is_recent(now) && self.leadership.is_certain(now)
+        match self.store_sync.is_recent(now) && self.leadership.is_certain(now) {
+            true => StartPermission::Granted,
+            false => StartPermission::Withheld,
+        }
     }
 
     pub(super) fn load_tick(&mut self) {
--- a/src/controller/duties/order_results.rs
+++ b/src/controller/duties/order_results.rs
@@ -7,7 +7,7 @@
 use super::writes::{DutyWrite, RecordChange, WritePurpose};
 use super::Controller;
 use crate::duties::{OrderChange, OrderKey, OrderPhase, OrderRecord};
-use crate::scheduler::{ProvisioningOutcome, Scheduler};
+use crate::scheduler::{ProvisioningOutcome, Scheduler, TerminationOutcome};
 
 impl Controller {
     /// A term has begun: the scheduler is notified of all records as they are.
@@ -69,7 +69,9 @@
                 scheduler.on_provisioning_outcome(&key.request, unavailable, now);
                 self.retain_machines(machines);
             }
-            OrderResult::Deleted => scheduler.on_termination_outcome(machines, true, now),
+            OrderResult::Deleted => {
+                scheduler.on_termination_outcome(machines, TerminationOutcome::Confirmed, now)
+            }
         }
         self.remove_processed_result(key.clone());
     }
@@ -116,7 +118,7 @@
             OrderPhase::Recorded(_) => {
                 let unavailable = ProvisioningOutcome::Unavailable;
                 scheduler.on_provisioning_outcome(request, unavailable, now);
-                scheduler.on_termination_outcome(machines, true, now);
+                scheduler.on_termination_outcome(machines, TerminationOutcome::Confirmed, now);
             }
             OrderPhase::Needed => {
                 let cancelled = ProvisioningOutcome::Cancelled;
--- a/src/controller/heartbeats.rs
+++ b/src/controller/heartbeats.rs
@@ -6,7 +6,7 @@
 use super::http::HttpResponse;
 use super::{Controller, StepDownReason};
 use crate::net::status;
-use crate::scheduler::StatusOrigin;
+use crate::scheduler::{FreedCapacity, StatusOrigin};
 use crate::time_units::to_ms;
 use crate::wire::{self, AgentStatus};
 
@@ -56,9 +56,10 @@
             return;
         };
         let origin = StatusOrigin::Heartbeat;
-        let has_free_capacity = scheduler.on_agent_status(&agent_status, origin, now);
+        let freed = scheduler.on_agent_status(&agent_status, origin, now);
+        let has_freed_capacity = freed == FreedCapacity::UsableByPendingTasks;
         let may_get_starts =
-            certain && has_free_capacity && !scheduler.is_startable(&agent_status.machine);
+            certain && has_freed_capacity && !scheduler.is_startable(&agent_status.machine);
         self.agents.record_accepted(now);
         if !may_get_starts {
             return self.answer_heartbeat(connection, &agent_status);
@@ -89,7 +90,7 @@
     /// Answers a heartbeat that was accepted with the commands that there are.
     fn answer_heartbeat(&mut self, connection: usize, agent_status: &AgentStatus) {
         let now = self.clock.steady_ms();
-        let may_start = self.may_start();
+        let permission = self.start_permission();
         let Some(scheduler) = &mut self.scheduler else {
             // It led a moment ago: the next heartbeat finds out who does.
             return self.outbox.respond(connection, HttpResponse::unavailable());
@@ -97,7 +98,7 @@
         let batch = wire::CommandBatch {
             epoch: scheduler.epoch(),
             incarnation: None,
-            commands: scheduler.answer_commands(agent_status, may_start, now),
+            commands: scheduler.answer_commands(agent_status, permission, now),
         };
         trace!(
             machine = agent_status.machine,
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -238,9 +238,9 @@
             scheduler.flush(now, self.watch_cache.revision, 0);
         }
         self.answer_deferred_heartbeats();
-        let may_start = self.may_start();
+        let permission = self.start_permission();
         if let Some(scheduler) = &mut self.scheduler {
-            scheduler.send_direct_starts(may_start, now);
+            scheduler.send_direct_starts(permission, now);
             for effect in scheduler.take_effects() {
                 self.execute_effect(effect);
             }
--- a/src/controller/provider_events.rs
+++ b/src/controller/provider_events.rs
@@ -8,7 +8,7 @@
 use super::responses::{self, ProviderError};
 use super::Controller;
 use crate::net::Outcome;
-use crate::scheduler::ProvisioningOutcome;
+use crate::scheduler::{ProvisioningOutcome, TerminationOutcome};
 
 impl Controller {
     pub(super) fn machine_types_tick(&mut self) {
@@ -138,9 +138,12 @@
         outcome: &Outcome,
     ) {
         let now = self.clock.steady_ms();
-        let confirmed = responses::termination(outcome).is_ok();
+        let result = match responses::termination(outcome) {
+            Ok(()) => TerminationOutcome::Confirmed,
+            Err(_) => TerminationOutcome::Unconfirmed,
+        };
         if let Some(scheduler) = self.scheduler_of(epoch) {
-            scheduler.on_termination_outcome(machines, confirmed, now);
+            scheduler.on_termination_outcome(machines, result, now);
         }
     }
 }
--- a/src/scheduler/agent_status.rs
+++ b/src/scheduler/agent_status.rs
@@ -24,6 +24,15 @@
     DirectResponse,
 }
 
+/// Whether a status shows that its machine has newly free capacity.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum FreedCapacity {
+    /// There is, and pending tasks could use it: their starts may follow soon.
+    UsableByPendingTasks,
+    /// There is none, or no task that could use it.
+    Unused,
+}
+
 /// Whether a status made its machine available for new work.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Schedulability {
@@ -42,18 +51,18 @@
 }
 
 impl Scheduler {
-    /// Applies an agent's status. Returns whether it frees capacity that pending tasks could
-    /// use: an answer that is held back for a moment can carry their starts, instead of the
-    /// next one a heartbeat interval later.
+    /// Applies an agent's status. Where it frees capacity that pending tasks could use, an
+    /// answer that is held back for a moment can carry their starts, instead of the next one a
+    /// heartbeat interval later.
     pub fn on_agent_status(
         &mut self,
         status: &AgentStatus,
         origin: StatusOrigin,
         now: u64,
-    ) -> bool {
+    ) -> FreedCapacity {
         if self.terminations.is_confirmed(&status.machine) {
             // Permanently deleted: its status is late.
-            return false;
+            return FreedCapacity::Unused;
         }
         let received = ReceivedStatus {
             status,
@@ -61,16 +70,19 @@
             now,
         };
         let Some(schedulability) = self.apply_status(received) else {
-            return false;
+            return FreedCapacity::Unused;
         };
         let Some(effects) = self.apply_tasks(received, schedulability) else {
-            return false;
+            return FreedCapacity::Unused;
         };
         self.complete_status(&status.machine, effects.start_pending, now);
         if schedulability == Schedulability::BecameSchedulable {
             self.retry_backed_off();
         }
-        effects.freed_capacity && effects.may_start && self.has_pending_jobs
+        match effects.freed_capacity && effects.may_start && self.has_pending_jobs {
+            true => FreedCapacity::UsableByPendingTasks,
+            false => FreedCapacity::Unused,
+        }
     }
 
     /// Applies a status to the machine's state. `None` if the status is not newer than the
--- a/src/scheduler/commands.rs
+++ b/src/scheduler/commands.rs
@@ -1,7 +1,7 @@
 //! The commands in the answer to a heartbeat.
 
 use super::placement::{Placement, StartDelivery, StopRequest};
-use super::starts::start_command;
+use super::starts::{start_command, StartPermission};
 use super::{to_ms, Scheduler, COMMANDS_MAX};
 use crate::job::task_name;
 use crate::machine::{ExitCause, ExpectedEffect, ReportedTask, TaskPhase};
@@ -24,12 +24,11 @@
 }
 
 impl Scheduler {
-    /// Commands for the answer to a heartbeat. `may_start`: this controller's lease is
-    /// certainly valid, so that it may start tasks.
+    /// Commands for the answer to a heartbeat; starts only with permission.
     pub fn answer_commands(
         &mut self,
         status: &AgentStatus,
-        may_start: bool,
+        permission: StartPermission,
         now: u64,
     ) -> Vec<Command> {
         let Some(machine) = self.machines.get_mut(&status.machine) else {
@@ -51,7 +50,7 @@
         }
         answer.commands.extend(self.direct_commands.take(&name));
         self.add_stops(&name, &mut answer, now);
-        if may_start {
+        if permission == StartPermission::Granted {
             self.add_starts(&name, status, &mut answer, now);
         }
         if !answer.expected.is_empty() {
--- a/src/scheduler/machine_list.rs
+++ b/src/scheduler/machine_list.rs
@@ -4,7 +4,7 @@
 
 use super::placement::TaskKey;
 use super::scale_in::TERMINATION_RETRY_MS;
-use super::{to_ms, Scheduler};
+use super::{to_ms, Scheduler, TerminationOutcome};
 use crate::machine::{CloudStatus, Machine};
 use crate::wire::ListedMachine;
 
@@ -55,19 +55,29 @@
         };
     }
 
-    /// The cloud has answered a deletion. If it confirms it, the machines and all tasks on
-    /// them are gone.
-    pub fn on_termination_outcome(&mut self, names: &[String], confirmed: bool, now: u64) {
+    /// The request to terminate these machines has an outcome. Confirmed, it removes the
+    /// machines and all tasks on them; otherwise it is retried later.
+    pub fn on_termination_outcome(
+        &mut self,
+        names: &[String],
+        outcome: TerminationOutcome,
+        now: u64,
+    ) {
         for name in names {
-            if confirmed {
-                self.remove_machine(name, now);
-            } else if let Some(machine) = self.machines.get_mut(name) {
-                machine.termination_sent_at = Some(now);
-                machine.next_termination_at = now + TERMINATION_RETRY_MS;
+            match outcome {
+                TerminationOutcome::Confirmed => self.remove_machine(name, now),
+                TerminationOutcome::Unconfirmed => self.retry_termination(name, now),
             }
         }
     }
 
+    fn retry_termination(&mut self, name: &str, now: u64) {
+        if let Some(machine) = self.machines.get_mut(name) {
+            machine.termination_sent_at = Some(now);
+            machine.next_termination_at = now + TERMINATION_RETRY_MS;
+        }
+    }
+
     fn remove_machine(&mut self, name: &str, now: u64) {
         self.terminations.confirm(name, now);
         self.direct_commands.take(name);
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -78,13 +78,14 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-pub use agent_status::StatusOrigin;
+pub use agent_status::{FreedCapacity, StatusOrigin};
 pub use effects::{DirectStart, Effect};
 pub use job::Job;
 pub use placement::Placement;
 pub use provisioning::ProvisioningOutcome;
 pub use reachability::Reachability;
-pub use starts::StartFailure;
+pub use starts::{StartFailure, StartPermission};
+pub use terminations::TerminationOutcome;
 
 use crate::machine::Machine;
 use crate::settings::{ClusterSettings, OperatorSettings, StoreLimits};
--- a/src/scheduler/starts.rs
+++ b/src/scheduler/starts.rs
@@ -18,6 +18,15 @@
     Rejected,
 }
 
+/// Whether this controller may start tasks now.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum StartPermission {
+    /// Its lease is certainly valid, and its watch cache recent.
+    Granted,
+    /// It may no longer lead, or not know of recent changes.
+    Withheld,
+}
+
 /// Where direct commands for an agent are sent.
 struct AgentTarget {
     address: SocketAddr,
@@ -141,9 +150,8 @@
     }
 
     /// Sends starts without a heartbeat to answer straight to the agents that have our epoch.
-    /// `may_start`: this controller's lease is certainly valid.
-    pub fn send_direct_starts(&mut self, may_start: bool, now: u64) {
-        if !may_start || self.is_overloaded(now) {
+    pub fn send_direct_starts(&mut self, permission: StartPermission, now: u64) {
+        if permission == StartPermission::Withheld || self.is_overloaded(now) {
             return;
         }
         while let Some(name) = self.starts.pop_within_limit(now) {
--- a/src/scheduler/terminations.rs
+++ b/src/scheduler/terminations.rs
@@ -7,6 +7,15 @@
 /// of machines that no longer exist may arrive minutes late.
 const TERMINATED_MEMORY_MS: u64 = 600_000;
 
+/// The outcome of a request to terminate machines.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum TerminationOutcome {
+    /// The machines are permanently deleted.
+    Confirmed,
+    /// The request failed or its outcome is unknown: the machines may still exist.
+    Unconfirmed,
+}
+
 /// Terminations that are recorded or confirmed in this term.
 #[derive(Debug, Default)]
 pub(super) struct Terminations {
--- a/tests/unit/agent_status.rs
+++ b/tests/unit/agent_status.rs
@@ -4,7 +4,7 @@
 use gaugesill::job::{JobRecord, Priority, Shape, TaskRun};
 use gaugesill::machine::TaskPhase;
 use gaugesill::plan;
-use gaugesill::scheduler::{Effect, Scheduler, StatusOrigin};
+use gaugesill::scheduler::{Effect, Scheduler, StartPermission, StatusOrigin, TerminationOutcome};
 use gaugesill::watch_cache::LiveJob;
 use gaugesill::wire::{AgentStatus, CommandVerb, TaskStatus};
 use std::sync::Arc;
@@ -28,7 +28,11 @@
     };
     scheduler.on_agent_status(&report(4), StatusOrigin::Heartbeat, 2000);
     assert!(scheduler.machines.contains_key("m-000001"));
-    scheduler.on_termination_outcome(&["m-000001".to_string()], true, 3000);
+    scheduler.on_termination_outcome(
+        &["m-000001".to_string()],
+        TerminationOutcome::Confirmed,
+        3000,
+    );
     scheduler.on_agent_status(&report(5), StatusOrigin::Heartbeat, 90_000);
     assert!(scheduler.machines.is_empty());
 }
@@ -116,7 +120,7 @@
         scheduler.on_agent_status(&status, StatusOrigin::Heartbeat, 1200);
         assert_eq!(scheduler.jobs["run-1"].placements.len(), 1, "{status:?}");
         assert_eq!(
-            scheduler.answer_commands(&status, true, 1200),
+            scheduler.answer_commands(&status, StartPermission::Granted, 1200),
             [],
             "no task may be cleared"
         );
@@ -161,7 +165,7 @@
             "{cpus} {limit}"
         );
         assert_eq!(scheduler.jobs["run-2"].placements.len(), 1);
-        let starts = scheduler.answer_commands(&status, true, 1500);
+        let starts = scheduler.answer_commands(&status, StartPermission::Granted, 1500);
         assert_eq!(starts.len(), kept);
     }
 }
@@ -176,7 +180,7 @@
     let status = reports(3, 2, alone());
     scheduler.on_agent_status(&status, StatusOrigin::Heartbeat, 1500);
     let verbs: Vec<CommandVerb> = scheduler
-        .answer_commands(&status, true, 1500)
+        .answer_commands(&status, StartPermission::Granted, 1500)
         .into_iter()
         .map(|command| command.verb)
         .collect();
@@ -206,7 +210,9 @@
     let status = reports(1, 2, with_orphan.clone());
     scheduler.on_agent_status(&status, StatusOrigin::Heartbeat, 2000);
     assert_eq!(
-        scheduler.answer_commands(&status, true, 2000).len(),
+        scheduler
+            .answer_commands(&status, StartPermission::Granted, 2000)
+            .len(),
         1,
         "the task must be cleared"
     );
@@ -292,7 +298,7 @@
             let status = report("m-0", serial, 1);
             scheduler.on_agent_status(&status, StatusOrigin::Heartbeat, now);
             // The answer has the leader's epoch, and the next heartbeat does not show it.
-            scheduler.answer_commands(&status, true, now);
+            scheduler.answer_commands(&status, StartPermission::Granted, now);
         }
         assert_eq!(
             scheduler.machines["m-0"].ineffective_answers, ineffective_answers,
--- a/tests/unit/duties.rs
+++ b/tests/unit/duties.rs
@@ -4,7 +4,7 @@
 
 use crate::support::*;
 use gaugesill::cloud::MachineKind;
-use gaugesill::scheduler::{ProvisioningOutcome, Scheduler, StatusOrigin};
+use gaugesill::scheduler::{ProvisioningOutcome, Scheduler, StatusOrigin, TerminationOutcome};
 use proptest::prelude::*;
 
 /// A change of an order's record, or a heartbeat in between.
@@ -102,8 +102,11 @@
             }
             Observation::Terminated(index) => {
                 let name = machine_name(index);
-                self.scheduler
-                    .on_termination_outcome(std::slice::from_ref(&name), true, self.now);
+                self.scheduler.on_termination_outcome(
+                    std::slice::from_ref(&name),
+                    TerminationOutcome::Confirmed,
+                    self.now,
+                );
                 self.terminating.remove(&name);
                 self.deleted.insert(name);
             }
--- a/tests/unit/scalability.rs
+++ b/tests/unit/scalability.rs
@@ -4,7 +4,7 @@
 use gaugesill::fleet_capacity::limit_capacities;
 use gaugesill::job::{JobRecord, Priority, Shape};
 use gaugesill::plan::{self, JobView, MachineView};
-use gaugesill::scheduler::{Effect, Scheduler, StatusOrigin, WorkCounts};
+use gaugesill::scheduler::{Effect, Scheduler, StartPermission, StatusOrigin, WorkCounts};
 
 /// The scheduler of a leader with a task on each machine, and a waiting task of each job.
 fn busy_fleet(machines: usize) -> Scheduler {
@@ -17,7 +17,7 @@
         let mut up = report(&format!("m-{number:06}"), 1, 2);
         up.tasks = vec![task(&format!("run-{number:06}/0"), 1, "running", None)];
         scheduler.on_agent_status(&up, StatusOrigin::Heartbeat, 1000);
-        scheduler.answer_commands(&up, true, 1000);
+        scheduler.answer_commands(&up, StartPermission::Granted, 1000);
     }
     scheduler.flush(1000, 1, 0);
     scheduler.take_effects();
@@ -53,9 +53,9 @@
         };
         next.tasks = vec![task(&format!("run-{number:06}/0"), 1, status, cause)];
         scheduler.on_agent_status(&next, StatusOrigin::Heartbeat, 9000);
-        scheduler.answer_commands(&next, true, 9000);
+        scheduler.answer_commands(&next, StartPermission::Granted, 9000);
         scheduler.flush(9000, 1, 0);
-        scheduler.send_direct_starts(true, 9000);
+        scheduler.send_direct_starts(StartPermission::Granted, 9000);
         records += records_written(&mut scheduler);
     }
     scheduler.tick(12_000, 1, 1000);
