--- a/src/cloud/mod.rs
+++ b/src/cloud/mod.rs
@@ -73,6 +73,15 @@
     pub count: u64,
 }
 
+/// Machines of a kind that a scale-out rents.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub struct MachinesToRent {
+    /// Their kind.
+    pub kind: MachineKind,
+    /// The number of machines.
+    pub count: u64,
+}
+
 /// The capacity of a machine of a type.
 pub fn capacity(machine_type: &MachineType) -> Resources {
     Resources {
@@ -92,17 +101,17 @@
 }
 
 /// Decides what to rent so that every demand has capacity on machines that are on their way or
-/// rented, at most `machines_max` machines. Returns the kinds with the number of machines, in
-/// the order of the demands that they are for.
+/// rented, at most `machines_max` machines. The result is in the order of the demands that the
+/// machines are for.
 pub fn plan_scale_out(
     demands: &[Demand],
-    incoming: Vec<IncomingMachines>,
+    incoming: &[IncomingMachines],
     machine_types: &[MachineType],
     is_sold_out: &dyn Fn(&MachineKind) -> bool,
     machines_max: u64,
-) -> Vec<(MachineKind, u64)> {
+) -> Vec<MachinesToRent> {
     let offerings = all_offerings(machine_types, is_sold_out);
-    let mut plan = ScaleOutPlan::new(&incoming, &offerings);
+    let mut plan = ScaleOutPlan::new(incoming, &offerings);
     let planner = ScaleOutPlanner::new(demands, &offerings, machines_max);
     let mut zones: Vec<&str> = machine_types
         .iter()
@@ -120,6 +129,9 @@
     }
     plan.rented()
         .iter()
-        .map(|rented| (offerings[rented.offering].kind.clone(), rented.count))
+        .map(|rented| MachinesToRent {
+            kind: offerings[rented.offering].kind.clone(),
+            count: rented.count,
+        })
         .collect()
 }
--- a/src/plan/cycle/decision_builder.rs
+++ b/src/plan/cycle/decision_builder.rs
@@ -1,7 +1,7 @@
 //! Records what a cycle decides, by the names of machines and jobs.
 
 use crate::plan::decision::{
-    Decision, PlannedPlacement, PlannedReservation, PlannedStop, UnmetDemand,
+    Decision, PlannedPlacement, PlannedReservation, PlannedStop, TaskBinding, UnmetDemand,
 };
 use crate::plan::fleet::Fleet;
 use crate::plan::resources::Resources;
@@ -38,7 +38,10 @@
     /// one record holds them.
     pub fn add_placements(&mut self, job: &JobView, assignment: &Assignment, fleet: &Fleet) {
         let tasks = assignment.tasks.iter();
-        let tasks = tasks.map(|assigned| (assigned.task, fleet.machine_name(assigned.machine)));
+        let tasks = tasks.map(|assigned| TaskBinding {
+            task: assigned.task,
+            machine: fleet.machine_name(assigned.machine),
+        });
         let mut placements = self.decision.placements.iter_mut();
         match placements.find(|placement| placement.job == job.id) {
             Some(placement) => placement.tasks.extend(tasks),
--- a/src/plan/decision.rs
+++ b/src/plan/decision.rs
@@ -5,13 +5,22 @@
 use super::resources::Resources;
 use super::snapshot::ZoneCounts;
 
+/// A task and the machine that it is to be bound to.
+#[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
+pub struct TaskBinding {
+    /// The task's number.
+    pub task: u32,
+    /// The machine's name.
+    pub machine: Arc<str>,
+}
+
 /// Placements of tasks of a job.
 #[derive(Debug, Clone, PartialEq)]
 pub struct PlannedPlacement {
     /// The job.
     pub job: Arc<str>,
-    /// Its tasks by number, each with the name of its machine.
-    pub tasks: Vec<(u32, Arc<str>)>,
+    /// Its tasks, each with its machine.
+    pub tasks: Vec<TaskBinding>,
 }
 
 /// A task to be preempted.
--- a/src/plan/mod.rs
+++ b/src/plan/mod.rs
@@ -39,7 +39,9 @@
 mod snapshot;
 
 pub use cycle::cycle;
-pub use decision::{Decision, PlannedPlacement, PlannedReservation, PlannedStop, UnmetDemand};
+pub use decision::{
+    Decision, PlannedPlacement, PlannedReservation, PlannedStop, TaskBinding, UnmetDemand,
+};
 pub use resources::{fetch_s, Resources};
 pub use snapshot::{
     is_allowed, lowest_priority, tasks_per_zone_max, JobView, MachineView, Reservation, Snapshot,
--- a/src/scheduler/decisions.rs
+++ b/src/scheduler/decisions.rs
@@ -6,12 +6,12 @@
 use tracing::{debug, info};
 
 use super::placement::TaskKey;
-use super::record_capacity::TaskBinding;
 use super::snapshots::PlanTime;
 use super::{Job, Placement, Scheduler};
 use crate::machine::Machine;
 use crate::plan::{
-    is_allowed, Decision, PlannedPlacement, PlannedReservation, Reservation, Resources, TeamView,
+    is_allowed, Decision, PlannedPlacement, PlannedReservation, Reservation, Resources,
+    TaskBinding, TeamView,
 };
 
 /// The share (numerator and denominator) of an array's new placements that is tried next if
@@ -110,27 +110,25 @@
         let mut team = team.clone();
         let mut free: HashMap<&str, Resources> = HashMap::new();
         let mut valid = Vec::new();
-        for (task, name) in &planned.tasks {
-            let Some(machine) = self.machines.get(&**name) else {
+        for binding in &planned.tasks {
+            let Some(machine) = self.machines.get(&*binding.machine) else {
                 continue;
             };
             if !self.may_place_on(job, machine, now) {
                 continue;
             }
             let free = free
-                .entry(name)
+                .entry(&binding.machine)
                 .or_insert_with(|| self.free_resources(machine));
             if !free.fits(demand) {
                 continue;
             }
             free.sub(demand);
-            let is_pending = !job.done.contains(*task) && job.placement(*task).is_none();
+            let task = binding.task;
+            let is_pending = !job.done.contains(task) && job.placement(task).is_none();
             if is_pending && team.allows(demand) {
                 team.add_tasks(demand, 1);
-                valid.push(TaskBinding {
-                    task: *task,
-                    machine: name.clone(),
-                });
+                valid.push(binding.clone());
             }
         }
         valid
--- a/src/scheduler/record_capacity.rs
+++ b/src/scheduler/record_capacity.rs
@@ -1,9 +1,8 @@
 //! How many placements fit into a job's record.
 
-use std::sync::Arc;
-
 use super::Job;
 use crate::job::{json_length, TaskRun, PACKED_FORMAT};
+use crate::plan::TaskBinding;
 use crate::settings::StoreLimits;
 
 /// The numbers and separators of a run in a record that is not packed.
@@ -26,13 +25,6 @@
 /// this many.
 const UNMEASURED_PART: usize = 4;
 
-/// A task and the machine that it is to be bound to.
-#[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) struct TaskBinding {
-    pub task: u32,
-    pub machine: Arc<str>,
-}
-
 /// The format in which job records are written, and the store's limits for them.
 #[derive(Debug)]
 pub(super) struct RecordCapacity {
--- a/src/scheduler/scale_out.rs
+++ b/src/scheduler/scale_out.rs
@@ -6,7 +6,7 @@
 
 use super::snapshots::PlanTime;
 use super::{to_ms, Scheduler};
-use crate::cloud::{self, Demand, IncomingMachines, MachineKind};
+use crate::cloud::{self, Demand, IncomingMachines, MachineKind, MachinesToRent};
 use crate::machine::Machine;
 use crate::plan::UnmetDemand;
 
@@ -39,13 +39,13 @@
         self.term.epoch <= 1 || now >= self.began_at + lag_ms
     }
 
-    fn plan_scale_out(&self, demands: &[Demand], now: u64) -> Vec<(MachineKind, u64)> {
+    fn plan_scale_out(&self, demands: &[Demand], now: u64) -> Vec<MachinesToRent> {
         let is_sold_out = |kind: &MachineKind| self.provisioning.is_sold_out(kind, now);
         // As many as the calls of a second may rent.
         let machines_max = PROVISION_BATCH_MAX * (self.cluster.cloud.rps as u64).max(1);
         cloud::plan_scale_out(
             demands,
-            self.incoming_machines(now),
+            &self.incoming_machines(now),
             self.catalog.machine_types(),
             &is_sold_out,
             machines_max,
@@ -55,13 +55,13 @@
     /// Adds the requests that rent these machines, at most `calls`.
     fn add_provisioning_requests(
         &mut self,
-        scale_out: Vec<(MachineKind, u64)>,
+        scale_out: Vec<MachinesToRent>,
         calls: usize,
         now: u64,
     ) {
         let prefix = format!("{}-{}", self.term.member, self.term.epoch);
         let mut calls_left = calls;
-        for (kind, mut count) in scale_out {
+        for MachinesToRent { kind, mut count } in scale_out {
             while count > 0 && calls_left > 0 {
                 calls_left -= 1;
                 let batch = count.min(PROVISION_BATCH_MAX);
--- a/tests/unit/agent_status.rs
+++ b/tests/unit/agent_status.rs
@@ -259,7 +259,10 @@
         let decision = plan::Decision {
             placements: vec![plan::PlannedPlacement {
                 job: "run-1".into(),
-                tasks: vec![(0, machine.as_str().into())],
+                tasks: vec![plan::TaskBinding {
+                    task: 0,
+                    machine: machine.as_str().into(),
+                }],
             }],
             ..Default::default()
         };
--- a/tests/unit/cloud.rs
+++ b/tests/unit/cloud.rs
@@ -1,7 +1,7 @@
 //! Which machines a scale-out rents.
 
 use crate::support::*;
-use gaugesill::cloud::{plan_scale_out, Demand, IncomingMachines, MachineKind};
+use gaugesill::cloud::{plan_scale_out, Demand, IncomingMachines, MachineKind, MachinesToRent};
 use gaugesill::job::{JobSpec, Priority, Shape};
 use std::collections::{BTreeMap, HashSet};
 use std::sync::Arc;
@@ -30,9 +30,9 @@
     demand: Demand,
     incoming: Vec<IncomingMachines>,
     is_sold_out: &dyn Fn(&MachineKind) -> bool,
-) -> Vec<(MachineKind, u64)> {
+) -> Vec<MachinesToRent> {
     let types = machine_types();
-    plan_scale_out(&[demand], incoming, &types, is_sold_out, MACHINES_MAX)
+    plan_scale_out(&[demand], &incoming, &types, is_sold_out, MACHINES_MAX)
 }
 
 fn none_sold_out(_: &MachineKind) -> bool {
@@ -45,17 +45,17 @@
 fn the_cheapest_suitable_machines_are_rented() {
     let planned = plan(demand(&spot_array(), 8), vec![], &none_sold_out);
     assert_eq!(planned.len(), 1);
-    let (kind, count) = &planned[0];
+    let MachinesToRent { kind, count } = &planned[0];
     assert!(kind.spot && kind.machine_type == "large" && *count == 1);
     let planned = plan(demand(&spot_array(), 1), vec![], &none_sold_out);
-    assert_eq!(planned[0].0.machine_type, "small");
+    assert_eq!(planned[0].kind.machine_type, "small");
 }
 
 #[test]
 fn machines_on_their_way_are_used_first() {
     let planned = plan(demand(&spot_array(), 1), vec![], &none_sold_out);
     let incoming = IncomingMachines {
-        kind: planned[0].0.clone(),
+        kind: planned[0].kind.clone(),
         count: 1,
     };
     let planned = plan(demand(&spot_array(), 2), vec![incoming], &none_sold_out);
@@ -82,7 +82,7 @@
 fn machines_are_rented_in_zones_that_suit_the_gang() {
     let zones = |gang: &JobSpec| {
         let planned = plan(demand(gang, 6), vec![], &none_sold_out);
-        let zones = planned.iter().map(|(kind, _)| kind.zone.clone());
+        let zones = planned.iter().map(|machines| machines.kind.zone.clone());
         zones.collect::<HashSet<_>>().len()
     };
     let mut gang = spec(Shape::Gang, 6, 8.0, Priority::Normal);
--- a/tests/unit/plan.rs
+++ b/tests/unit/plan.rs
@@ -2,7 +2,7 @@
 
 use crate::support::*;
 use gaugesill::job::{Priority, Shape};
-use gaugesill::plan::{cycle, JobView, TeamView};
+use gaugesill::plan::{cycle, JobView, TaskBinding, TeamView};
 use std::collections::{BTreeMap, HashMap};
 
 #[test]
@@ -99,7 +99,11 @@
     assert!(decision.stops.is_empty() && decision.placements.is_empty());
     // Other capacity is free now: the gang may use it.
     let decision = cycle(snapshot(vec![m1, machine("m3", "a", 8.0)], vec![gang]));
-    assert_eq!(decision.placements[0].tasks, [(0, "m3".into())]);
+    let binding = TaskBinding {
+        task: 0,
+        machine: "m3".into(),
+    };
+    assert_eq!(decision.placements[0].tasks, [binding]);
 }
 
 #[test]
@@ -171,7 +175,7 @@
     assert!(decision.placements[0]
         .tasks
         .iter()
-        .all(|(_, machine)| &**machine == "m2"));
+        .all(|binding| &*binding.machine == "m2"));
     let mut apart = spec(Shape::Gang, 3, 1.0, Priority::Normal);
     apart.spread = true;
     assert!(cycle(snapshot(
@@ -184,7 +188,7 @@
     let in_a = decision.placements[0]
         .tasks
         .iter()
-        .filter(|(_, machine)| &**machine == "m1")
+        .filter(|binding| &*binding.machine == "m1")
         .count();
     assert!((1..=2).contains(&in_a));
 }
--- a/tests/version_upgrade/record_limit.rs
+++ b/tests/version_upgrade/record_limit.rs
@@ -4,7 +4,7 @@
 
 use gaugesill::job::json_length;
 use gaugesill::leadership_keys::LEADER_KEY;
-use gaugesill::plan::{Decision, PlannedPlacement};
+use gaugesill::plan::{Decision, PlannedPlacement, TaskBinding};
 use gaugesill::scheduler::{Effect, Scheduler, StatusOrigin, Term};
 use gaugesill::settings::{ClusterSettings, OperatorSettings};
 use gaugesill::watch_cache::{LiveJob, WatchCache};
@@ -117,7 +117,10 @@
 
 /// A plan that places each task on a machine of its own.
 fn plan_all() -> Decision {
-    let tasks = (0..TASKS).map(|task| (task, machine_of(task).as_str().into()));
+    let tasks = (0..TASKS).map(|task| TaskBinding {
+        task,
+        machine: machine_of(task).as_str().into(),
+    });
     let placement = PlannedPlacement {
         job: "run-1".into(),
         tasks: tasks.collect(),
