--- a/src/cloud/mod.rs
+++ b/src/cloud/mod.rs
@@ -44,7 +44,7 @@
     /// The most that an on-demand machine may cost for each task of a job that may use spot
     /// machines, as a multiple of the lowest spot price for each task; 0 for no on-demand
     /// machines.
-    pub ordinary_price_ratio: f64,
+    pub on_demand_price_ratio: f64,
 }
 
 impl Demand {
--- a/src/cloud/planner.rs
+++ b/src/cloud/planner.rs
@@ -112,7 +112,7 @@
     /// The offering with the lowest price for each task that would go on a machine, the first
     /// of equal ones.
     fn cheapest_offering(&self, open: &OpenDemand) -> Option<usize> {
-        let on_demand_price_max = open.demand.ordinary_price_ratio * self.lowest_spot_price(open);
+        let on_demand_price_max = open.demand.on_demand_price_ratio * self.lowest_spot_price(open);
         let mut best: Option<PricedOffering> = None;
         for offering in 0..self.offerings.len() {
             if !self.is_candidate(offering, open, on_demand_price_max) {
--- a/src/plan/cycle/decision_builder.rs
+++ b/src/plan/cycle/decision_builder.rs
@@ -30,7 +30,7 @@
 
     /// Adds an array that skipped machines without its image.
     pub fn add_skipped(&mut self, job: &JobView) {
-        let skipped = &mut self.decision.skipped_uncached_machines;
+        let skipped = &mut self.decision.arrays_skipping_uncached;
         skipped.push(job.id.clone());
     }
 
--- a/src/plan/decision.rs
+++ b/src/plan/decision.rs
@@ -59,7 +59,7 @@
     /// Gangs without a placement, by capacity or quota: they back off.
     pub failed: Vec<Arc<str>>,
     /// Arrays that skipped machines with free capacity because these lack their image.
-    pub skipped_uncached_machines: Vec<Arc<str>>,
+    pub arrays_skipping_uncached: Vec<Arc<str>>,
     /// Tasks for which machines would have to be rented, in the order of the decisions.
     pub unmet: Vec<UnmetDemand>,
     /// How often the cycle examined a machine for a job: the measure of what it cost.
--- a/src/scheduler/decisions.rs
+++ b/src/scheduler/decisions.rs
@@ -40,7 +40,7 @@
                 job.retry.back_off(self.operator.backoff_max_s, now);
             }
         }
-        for id in &decision.skipped_uncached_machines {
+        for id in &decision.arrays_skipping_uncached {
             if let Some(job) = self.jobs.get_mut(&**id) {
                 job.waiting_for_cache_since.get_or_insert(now);
             }
--- a/src/scheduler/scale_out.rs
+++ b/src/scheduler/scale_out.rs
@@ -85,12 +85,12 @@
                 (on_demand, self.operator.ordinary_price_ratio),
                 (unmet.count - on_demand, 0.0),
             ];
-            for (count, ordinary_price_ratio) in parts.into_iter().filter(|part| part.0 > 0) {
+            for (count, on_demand_price_ratio) in parts.into_iter().filter(|part| part.0 > 0) {
                 demands.push(Demand {
                     spec: job.spec.clone(),
                     count,
                     zones: unmet.zones.clone(),
-                    ordinary_price_ratio,
+                    on_demand_price_ratio,
                 });
             }
         }
@@ -98,7 +98,7 @@
         // Tasks that cannot use spot machines are hard to place, and first. Then those for
         // which on-demand machines are rented: otherwise such machines on their way would count
         // for other tasks and be rented again by the next plan.
-        demands.sort_by_key(|demand| (demand.spec.spot, demand.ordinary_price_ratio == 0.0));
+        demands.sort_by_key(|demand| (demand.spec.spot, demand.on_demand_price_ratio == 0.0));
         demands
     }
 
@@ -159,7 +159,7 @@
     }
     let mut tasks: BTreeMap<(&str, bool), u32> = BTreeMap::new();
     for demand in demands {
-        let is_on_demand = demand.ordinary_price_ratio > 0.0;
+        let is_on_demand = demand.on_demand_price_ratio > 0.0;
         let key = (demand.spec.class.as_str(), is_on_demand);
         *tasks.entry(key).or_default() += demand.count;
     }
--- a/src/scheduler/standby_capacity.rs
+++ b/src/scheduler/standby_capacity.rs
@@ -70,7 +70,7 @@
                 spec: arrivals.spec.clone(),
                 count: (wanted - held) as u32,
                 zones: ZoneCounts::new(),
-                ordinary_price_ratio: 0.0,
+                on_demand_price_ratio: 0.0,
             });
         }
     }
--- a/tests/unit/cloud.rs
+++ b/tests/unit/cloud.rs
@@ -14,7 +14,7 @@
         spec: Arc::new(spec.clone()),
         count,
         zones: BTreeMap::new(),
-        ordinary_price_ratio: 0.0,
+        on_demand_price_ratio: 0.0,
     }
 }
 
@@ -65,9 +65,9 @@
 #[test]
 fn on_demand_machines_are_rented_only_where_it_pays() {
     let no_spot = |kind: &MachineKind| kind.spot;
-    let planned_at = |ordinary_price_ratio| {
+    let planned_at = |on_demand_price_ratio| {
         let demand = Demand {
-            ordinary_price_ratio,
+            on_demand_price_ratio,
             ..demand(&spot_array(), 1)
         };
         plan(demand, vec![], &no_spot)
--- a/tests/unit/plan.rs
+++ b/tests/unit/plan.rs
@@ -146,7 +146,7 @@
             .map(|placement| (placement.job.to_string(), placement.tasks.len()));
         (
             place,
-            decision.skipped_uncached_machines.len(),
+            decision.arrays_skipping_uncached.len(),
             decision.unmet.iter().map(|demand| demand.count).sum(),
         )
     };
