--- a/examples/processor_time.rs
+++ b/examples/processor_time.rs
@@ -52,7 +52,7 @@
             continue;
         };
         match &controller.scheduler {
-            Some(scheduler) => println!("c{index}, the leader, {}", scheduler.summary()),
+            Some(scheduler) => println!("c{index}, the leader, {:?}", scheduler.summary()),
             None => println!("c{index}, a follower"),
         }
         meter.print(index, seconds as f64);
--- a/src/controller/stats.rs
+++ b/src/controller/stats.rs
@@ -87,7 +87,15 @@
         self.log_writes();
         self.log_traffic();
         if let Some(scheduler) = &self.scheduler {
-            info!("leading: {}", scheduler.summary());
+            let summary = scheduler.summary();
+            info!(
+                epoch = summary.epoch,
+                jobs = summary.jobs,
+                placed_tasks = summary.placed_tasks,
+                machines = summary.machines,
+                machines_up = summary.machines_up,
+                "leading"
+            );
         }
         self.warn_of_near_limits();
     }
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -132,6 +132,21 @@
     pub starts_considered: u64,
 }
 
+/// The size of the scheduling state, for the log.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct SchedulerSummary {
+    /// The fencing token of the term.
+    pub epoch: u64,
+    /// The number of jobs.
+    pub jobs: usize,
+    /// The number of tasks with a placement, started or not.
+    pub placed_tasks: usize,
+    /// The number of machines, booting ones included.
+    pub machines: usize,
+    /// The number of machines that have sent a status in this term.
+    pub machines_up: usize,
+}
+
 /// The leader's scheduling state.
 ///
 /// Jobs hold their placements, and machines the tasks that are bound to them; both change
@@ -265,18 +280,17 @@
         self.needs_planning = true;
     }
 
-    /// The state in one line, for the log.
-    pub fn summary(&self) -> String {
-        let placed: usize = self.jobs.values().map(|job| job.placements.len()).sum();
+    /// How many jobs, tasks and machines there are. Walks all of them.
+    pub fn summary(&self) -> SchedulerSummary {
+        let placed_tasks: usize = self.jobs.values().map(|job| job.placements.len()).sum();
         let has_reported = |machine: &&Machine| machine.last_status_at.is_some();
-        let up = self.machines.values().filter(has_reported).count();
-        format!(
-            "epoch {}: {} jobs, {} tasks placed, {} machines ({} up)",
-            self.term.epoch,
-            self.jobs.len(),
-            placed,
-            self.machines.len(),
-            up
-        )
+        let machines_up = self.machines.values().filter(has_reported).count();
+        SchedulerSummary {
+            epoch: self.term.epoch,
+            jobs: self.jobs.len(),
+            placed_tasks,
+            machines: self.machines.len(),
+            machines_up,
+        }
     }
 }
