--- a/src/plan/decision.rs
+++ b/src/plan/decision.rs
@@ -5,13 +5,22 @@
 use super::resources::Resources;
 use super::snapshot::ZoneCounts;
 
+/// A task and the machine that it is to be bound to.
+#[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
+pub struct TaskBinding {
+    /// The task's number.
+    pub task: u32,
+    /// The machine's name.
+    pub machine: Arc<str>,
+}
+
 /// Placements of tasks of a job.
 #[derive(Debug, Clone, PartialEq)]
 pub struct PlannedPlacement {
     /// The job.
     pub job: Arc<str>,
-    /// Its tasks by number, each with the name of its machine.
-    pub tasks: Vec<(u32, Arc<str>)>,
+    /// Its tasks, each with its machine.
+    pub tasks: Vec<TaskBinding>,
 }
 
 /// A task to be preempted.
@@ -50,7 +59,7 @@
     /// Gangs without a placement, by capacity or quota: they back off.
     pub failed: Vec<Arc<str>>,
     /// Arrays that skipped machines with free capacity because these lack their image.
-    pub skipped_uncached_machines: Vec<Arc<str>>,
+    pub arrays_skipping_uncached: Vec<Arc<str>>,
     /// Tasks for which machines would have to be rented, in the order of the decisions.
     pub unmet: Vec<UnmetDemand>,
     /// How often the cycle examined a machine for a job: the measure of what it cost.
--- a/src/scheduler/scale_out.rs
+++ b/src/scheduler/scale_out.rs
@@ -6,7 +6,7 @@
 
 use super::snapshots::PlanTime;
 use super::{to_ms, Scheduler};
-use crate::cloud::{self, Demand, IncomingMachines, MachineKind};
+use crate::cloud::{self, Demand, IncomingMachines, MachineKind, MachinesToRent};
 use crate::machine::Machine;
 use crate::plan::UnmetDemand;
 
@@ -39,13 +39,13 @@
         self.term.epoch <= 1 || now >= self.began_at + lag_ms
     }
 
-    fn plan_scale_out(&self, demands: &[Demand], now: u64) -> Vec<(MachineKind, u64)> {
+    fn plan_scale_out(&self, demands: &[Demand], now: u64) -> Vec<MachinesToRent> {
         let is_sold_out = |kind: &MachineKind| self.provisioning.is_sold_out(kind, now);
         // As many as the calls of a second may rent.
         let machines_max = PROVISION_BATCH_MAX * (self.cluster.cloud.rps as u64).max(1);
         cloud::plan_scale_out(
             demands,
-            self.incoming_machines(now),
+            &self.incoming_machines(now),
             self.catalog.machine_types(),
             &is_sold_out,
             machines_max,
@@ -55,13 +55,13 @@
     /// Adds the requests that rent these machines, at most `calls`.
     fn add_provisioning_requests(
         &mut self,
-        scale_out: Vec<(MachineKind, u64)>,
+        scale_out: Vec<MachinesToRent>,
         calls: usize,
         now: u64,
     ) {
         let prefix = format!("{}-{}", self.term.member, self.term.epoch);
         let mut calls_left = calls;
-        for (kind, mut count) in scale_out {
+        for MachinesToRent { kind, mut count } in scale_out {
             while count > 0 && calls_left > 0 {
                 calls_left -= 1;
                 let batch = count.min(PROVISION_BATCH_MAX);
@@ -85,12 +85,12 @@
                 (on_demand, self.operator.ordinary_price_ratio),
                 (unmet.count - on_demand, 0.0),
             ];
-            for (count, ordinary_price_ratio) in parts.into_iter().filter(|part| part.0 > 0) {
+            for (count, on_demand_price_ratio) in parts.into_iter().filter(|part| part.0 > 0) {
                 demands.push(Demand {
                     spec: job.spec.clone(),
                     count,
                     zones: unmet.zones.clone(),
-                    ordinary_price_ratio,
+                    on_demand_price_ratio,
                 });
             }
         }
@@ -98,7 +98,7 @@
         // Tasks that cannot use spot machines are hard to place, and first. Then those for
         // which on-demand machines are rented: otherwise such machines on their way would count
         // for other tasks and be rented again by the next plan.
-        demands.sort_by_key(|demand| (demand.spec.spot, demand.ordinary_price_ratio == 0.0));
+        demands.sort_by_key(|demand| (demand.spec.spot, demand.on_demand_price_ratio == 0.0));
         demands
     }
 
@@ -159,7 +159,7 @@
     }
     let mut tasks: BTreeMap<(&str, bool), u32> = BTreeMap::new();
     for demand in demands {
-        let is_on_demand = demand.ordinary_price_ratio > 0.0;
+        let is_on_demand = demand.on_demand_price_ratio > 0.0;
         let key = (demand.spec.class.as_str(), is_on_demand);
         *tasks.entry(key).or_default() += demand.count;
     }
