--- a/src/controller/heartbeats.rs
+++ b/src/controller/heartbeats.rs
@@ -78,7 +78,8 @@
     fn redirect(&mut self, connection: usize, agent_status: AgentStatus) {
         let now = self.clock.steady_ms();
         self.agents.record_redirect(agent_status.machine, now);
-        let leader = self.watch_cache.leader().map(|(key, _)| key.member.clone());
+        let leader = self.watch_cache.leader();
+        let leader = leader.map(|leader| leader.key.member.clone());
         let body = wire::encode(&wire::Redirect {
             reports_to: leader.filter(|member| *member != self.settings.member),
         });
--- a/src/leader_lease.rs
+++ b/src/leader_lease.rs
@@ -213,7 +213,7 @@
     /// process of this controller holds can be taken over at once.
     fn is_led_by_another(&self, watch_cache: &WatchCache) -> bool {
         let leader = watch_cache.leader();
-        leader.is_some_and(|(leader, _)| leader.member != self.member)
+        leader.is_some_and(|leader| leader.key.member != self.member)
     }
 
     fn abandon_campaign(&mut self, grant: u64, now: u64, jitter: f64) -> LeaseRequest {
@@ -303,7 +303,7 @@
             return false;
         };
         let leader = watch_cache.leader();
-        if leader.is_some_and(|(_, known)| *known == version) {
+        if leader.is_some_and(|leader| leader.version == version) {
             return false;
         }
         self.state = LeaseState::Following;
@@ -313,5 +313,5 @@
 
 /// Returns the version of a leadership key; 0 if it does not exist.
 fn version_of(key: Option<&VersionedLeaderKey>) -> u64 {
-    key.map_or(0, |(_, version)| *version)
+    key.map_or(0, |key| key.version)
 }
--- a/src/watch_cache/mod.rs
+++ b/src/watch_cache/mod.rs
@@ -53,7 +53,20 @@
 }
 
 /// The value of a key that names the leader, and the version of that key.
-pub type VersionedLeaderKey = (LeaderKey, u64);
+#[derive(Debug, Clone, PartialEq)]
+pub struct VersionedLeaderKey {
+    /// The value.
+    pub key: LeaderKey,
+    /// The version of the store's key.
+    pub version: u64,
+}
+
+impl VersionedLeaderKey {
+    /// Returns whether the key only keeps the version in production from leading.
+    fn is_superseded(&self) -> bool {
+        self.key.member == SUPERSEDED
+    }
+}
 
 /// The local watch cache of the store, see the module's documentation.
 #[derive(Debug, Default)]
@@ -107,14 +120,14 @@
         let unfenced = self.leader_key.as_ref();
         self.lease_key
             .as_ref()
-            .or(unfenced.filter(|(leader, _)| leader.member != SUPERSEDED))
+            .or(unfenced.filter(|leader| !leader.is_superseded()))
     }
 
     /// Returns whether leaders are elected by [`crate::leadership_keys::LEASE_KEY`], which the
     /// version in production does not know.
     pub fn is_superseded(&self) -> bool {
         let leader_key = self.leader_key.as_ref();
-        leader_key.is_some_and(|(leader, _)| leader.member == SUPERSEDED)
+        leader_key.is_some_and(VersionedLeaderKey::is_superseded)
     }
 
     /// Applies an election that this controller has won, ahead of the watch. `version` is the
@@ -122,13 +135,15 @@
     pub fn apply_own_election(&mut self, key: LeaderKey, version: u64, fence: Fence) {
         self.epoch = key.epoch;
         self.epoch_version = version;
+        let elected = VersionedLeaderKey { key, version };
         match fence {
-            Fence::None => self.leader_key = Some((key, version)),
+            Fence::None => self.leader_key = Some(elected),
             Fence::Raise => {
-                self.leader_key = Some((LeaderKey::superseded(), version));
-                self.lease_key = Some((key, version));
+                let key = LeaderKey::superseded();
+                self.leader_key = Some(VersionedLeaderKey { key, version });
+                self.lease_key = Some(elected);
             }
-            Fence::Raised => self.lease_key = Some((key, version)),
+            Fence::Raised => self.lease_key = Some(elected),
         }
     }
 
@@ -258,8 +273,8 @@
 
     fn apply_claim(&mut self, key: ClaimKey, value: &Value, version: u64) -> Option<CacheEvent> {
         let claim = self.claim_older_than(key, version)?;
-        let leader = value.deserialized::<LeaderKey>().ok()?;
-        *claim = Some((leader, version));
+        let key = value.deserialized::<LeaderKey>().ok()?;
+        *claim = Some(VersionedLeaderKey { key, version });
         Some(CacheEvent::LeaderChanged)
     }
 
@@ -315,7 +330,7 @@
             ClaimKey::Leader => &mut self.leader_key,
             ClaimKey::Lease => &mut self.lease_key,
         };
-        let is_older = claim.as_ref().is_none_or(|(_, known)| *known < version);
+        let is_older = claim.as_ref().is_none_or(|known| known.version < version);
         is_older.then_some(claim)
     }
 
--- a/tests/unit/leader_lease.rs
+++ b/tests/unit/leader_lease.rs
@@ -5,10 +5,10 @@
 };
 use gaugesill::leadership_keys::{Fence, LeaderKey};
 use gaugesill::settings::OperatorSettings;
-use gaugesill::watch_cache::WatchCache;
+use gaugesill::watch_cache::{VersionedLeaderKey, WatchCache};
 
 /// A watch cache that has read the store and found a leader key, or none.
-fn loaded_cache(leader_key: Option<(LeaderKey, u64)>) -> WatchCache {
+fn loaded_cache(leader_key: Option<VersionedLeaderKey>) -> WatchCache {
     let mut cache = WatchCache::default();
     cache.loaded = true;
     cache.leader_key = leader_key;
@@ -16,12 +16,12 @@
 }
 
 /// The leader key of member `c0` at epoch 1, with its version.
-fn own_key() -> Option<(LeaderKey, u64)> {
+fn own_key() -> Option<VersionedLeaderKey> {
     let key = LeaderKey {
         member: "c0".into(),
         epoch: 1,
     };
-    Some((key, 3))
+    Some(VersionedLeaderKey { key, version: 3 })
 }
 
 #[test]
@@ -92,7 +92,10 @@
         let mut watch_cache = WatchCache::default();
         watch_cache.loaded = true;
         watch_cache.format = format;
-        watch_cache.leader_key = superseded.then(|| (LeaderKey::superseded(), 3));
+        watch_cache.leader_key = superseded.then(|| VersionedLeaderKey {
+            key: LeaderKey::superseded(),
+            version: 3,
+        });
         assert_eq!(lease.tick(1, &watch_cache, 0.0), Some(LeaseRequest::Grant));
         lease.on_response(2, LeaseResponse::Granted(5));
         match lease.tick(2, &watch_cache, 0.0) {
--- a/tests/unit/watch_cache.rs
+++ b/tests/unit/watch_cache.rs
@@ -3,7 +3,7 @@
 use crate::support::*;
 use gaugesill::job::{FinalState, JobRecord, Priority, Shape};
 use gaugesill::leadership_keys::{LeaderKey, LEADER_KEY};
-use gaugesill::watch_cache::{CacheEvent, WatchCache};
+use gaugesill::watch_cache::{CacheEvent, VersionedLeaderKey, WatchCache};
 use gaugesill::wire::KeyChange;
 
 /// An own election is known before the watch reports the deletion of the old key: the late
@@ -17,7 +17,10 @@
         member: "c1".into(),
         epoch: 2,
     };
-    cache.leader_key = Some((own, 9));
+    cache.leader_key = Some(VersionedLeaderKey {
+        key: own,
+        version: 9,
+    });
     let deletion = KeyChange {
         set: None,
         value: None,
