--- a/src/controller/duties/cleaning.rs
+++ b/src/controller/duties/cleaning.rs
@@ -124,11 +124,11 @@
             return;
         }
         let orders = self.watch_cache.duties.orders();
-        let removable = orders.filter(|(_, record, _)| is_removable(record));
+        let removable = orders.filter(|order| is_removable(order.record));
         let removable: Vec<RemovableRecord> = removable
-            .map(|(key, _, version)| RemovableRecord {
-                key: key.clone(),
-                version,
+            .map(|order| RemovableRecord {
+                key: order.key.clone(),
+                version: order.version,
             })
             .collect();
         let Some(due) = control.cleaning.update(&removable, now) else {
--- a/src/controller/duties/order_results.rs
+++ b/src/controller/duties/order_results.rs
@@ -19,7 +19,7 @@
         self.watch_cache.duties.take_changes();
         let orders = self.watch_cache.duties.orders();
         let orders: Vec<(OrderKey, OrderRecord)> = orders
-            .map(|(key, record, _)| (key.clone(), record.clone()))
+            .map(|order| (order.key.clone(), order.record.clone()))
             .collect();
         for (key, record) in orders {
             self.apply_order_record(&key, &record);
@@ -96,8 +96,8 @@
         }
         let is_completed = |record: &OrderRecord| matches!(record.phase, OrderPhase::Completed(_));
         let orders = self.watch_cache.duties.orders();
-        let completed = orders.filter(|(_, record, _)| is_completed(record));
-        let completed: Vec<OrderKey> = completed.map(|(key, ..)| key.clone()).collect();
+        let completed = orders.filter(|order| is_completed(order.record));
+        let completed: Vec<OrderKey> = completed.map(|order| order.key.clone()).collect();
         for key in completed {
             self.remove_processed_result(key);
         }
--- a/src/controller/duties/request_review.rs
+++ b/src/controller/duties/request_review.rs
@@ -116,7 +116,7 @@
     /// Idle machines become a request to the duty that terminates machines, in one
     /// transaction.
     fn forward_to_termination(&mut self, key: OrderKey, machines: Vec<String>) {
-        let Some((record, _)) = self.watch_cache.duties.order(&key) else {
+        let Some(order) = self.watch_cache.duties.order(&key) else {
             return;
         };
         let forwarded = OrderRecord {
@@ -125,7 +125,7 @@
                 if_empty: true,
             },
             phase: OrderPhase::Needed,
-            since_ms: record.since_ms,
+            since_ms: order.record.since_ms,
         };
         let forwarded_key = OrderKey {
             duty: Duty::Return,
--- a/src/controller/duties/scaling_requests.rs
+++ b/src/controller/duties/scaling_requests.rs
@@ -166,7 +166,7 @@
     pub(in crate::controller) fn scale_out_budget(&self) -> usize {
         let orders = self.watch_cache.duties.orders_of(Duty::Rent);
         let is_open = |record: &OrderRecord| !matches!(record.phase, OrderPhase::Completed(_));
-        let waiting = orders.filter(|(_, record, _)| is_open(record)).count();
+        let waiting = orders.filter(|order| is_open(order.record)).count();
         WAITING_SCALE_OUT_MAX.saturating_sub(waiting)
     }
 }
--- a/src/controller/duties/writes.rs
+++ b/src/controller/duties/writes.rs
@@ -94,7 +94,7 @@
         let mut writes = Vec::new();
         for RecordChange { key, record } in &write.changes {
             let order = self.watch_cache.duties.order(key);
-            let version = order.map_or(0, |(_, version)| version);
+            let version = order.map_or(0, |order| order.version);
             let name = order_key(key);
             conditions.push(Condition::new(name.clone(), version));
             writes.push(match record {
@@ -113,7 +113,7 @@
     /// Takes an order's record to its next phase.
     pub(super) fn write_phase(&mut self, purpose: WritePurpose, key: OrderKey, phase: OrderPhase) {
         let duty = key.duty;
-        let Some((record, _)) = self.watch_cache.duties.order(&key) else {
+        let Some(order) = self.watch_cache.duties.order(&key) else {
             // It has gone since: the order book learns of it as of a change that failed.
             let write = DutyWrite::new(purpose, vec![RecordChange::remove(key)]);
             let conflict = CommitResult::Conflict {
@@ -124,7 +124,7 @@
         };
         let record = OrderRecord {
             phase,
-            ..record.clone()
+            ..order.record.clone()
         };
         let changes = vec![RecordChange::set(key, record)];
         self.write_as_holder(duty, DutyWrite::new(purpose, changes));
--- a/src/duties/mod.rs
+++ b/src/duties/mod.rs
@@ -19,5 +19,7 @@
     LEASES_PREFIX,
 };
 pub use query::{read_report, QueryError};
-pub use records::{DutyRecords, OrderChange, OrderPhase, OrderRecord, RefusalRecord, StoredHolder};
+pub use records::{
+    DutyRecords, OrderChange, OrderPhase, OrderRecord, RefusalRecord, StoredHolder, StoredOrderRef,
+};
 pub use report::{DutyReport, DutyStatus, OrderStatus};
--- a/src/duties/records/mod.rs
+++ b/src/duties/records/mod.rs
@@ -22,7 +22,7 @@
 mod unreadable;
 mod values;
 
-pub use orders::OrderChange;
+pub use orders::{OrderChange, StoredOrderRef};
 pub use values::{OrderPhase, OrderRecord, RefusalRecord, StoredHolder};
 
 use ciborium::Value;
@@ -62,21 +62,19 @@
         self.leases.holder(duty)
     }
 
-    /// All orders with the versions of their keys.
-    pub fn orders(&self) -> impl Iterator<Item = (&OrderKey, &OrderRecord, u64)> {
-        let orders = self.orders.iter();
-        orders.map(|(key, stored)| (key, &stored.record, stored.version))
+    /// All orders, in the order of their keys.
+    pub fn orders(&self) -> impl Iterator<Item = StoredOrderRef<'_>> {
+        self.orders.iter()
     }
 
-    /// A duty's orders with the versions of their keys.
-    pub fn orders_of(&self, duty: Duty) -> impl Iterator<Item = (&OrderKey, &OrderRecord, u64)> {
-        self.orders().filter(move |(key, ..)| key.duty == duty)
+    /// A duty's orders, in the order of their keys.
+    pub fn orders_of(&self, duty: Duty) -> impl Iterator<Item = StoredOrderRef<'_>> {
+        self.orders().filter(move |order| order.key.duty == duty)
     }
 
-    /// The record of an order and the version of its key.
-    pub fn order(&self, key: &OrderKey) -> Option<(&OrderRecord, u64)> {
-        let stored = self.orders.get(key)?;
-        Some((&stored.record, stored.version))
+    /// The order under this key.
+    pub fn order(&self, key: &OrderKey) -> Option<StoredOrderRef<'_>> {
+        self.orders.get(key)
     }
 
     /// A duty's recorded orders, without those whose latest form can't be read.
--- a/src/duties/records/orders.rs
+++ b/src/duties/records/orders.rs
@@ -22,11 +22,32 @@
     pub after: Option<OrderRecord>,
 }
 
+/// An order as the store holds it.
+#[derive(Debug, Clone, Copy, PartialEq)]
+pub struct StoredOrderRef<'a> {
+    /// The order's key.
+    pub key: &'a OrderKey,
+    /// The order's record.
+    pub record: &'a OrderRecord,
+    /// The version of the key.
+    pub version: u64,
+}
+
+impl<'a> StoredOrderRef<'a> {
+    fn new((key, stored): (&'a OrderKey, &'a StoredOrder)) -> StoredOrderRef<'a> {
+        StoredOrderRef {
+            key,
+            record: &stored.record,
+            version: stored.version,
+        }
+    }
+}
+
 /// An order's record with the version of its key.
 #[derive(Debug, Clone)]
 pub(super) struct StoredOrder {
-    pub(super) record: OrderRecord,
-    pub(super) version: u64,
+    record: OrderRecord,
+    version: u64,
     /// Its latest form can't be read: the last one that could is kept, and not acted upon.
     is_stale: bool,
 }
@@ -70,18 +91,20 @@
 }
 
 impl CachedOrders {
-    pub(super) fn iter(&self) -> impl Iterator<Item = (&OrderKey, &StoredOrder)> {
-        self.orders.iter()
+    /// All orders, in the order of their keys.
+    pub(super) fn iter(&self) -> impl Iterator<Item = StoredOrderRef<'_>> {
+        self.orders.iter().map(StoredOrderRef::new)
     }
 
     /// A duty's orders whose latest form can be read.
     pub(super) fn readable(&self, duty: Duty) -> impl Iterator<Item = (&OrderKey, &StoredOrder)> {
-        self.iter()
+        self.orders
+            .iter()
             .filter(move |(key, stored)| key.duty == duty && !stored.is_stale)
     }
 
-    pub(super) fn get(&self, key: &OrderKey) -> Option<&StoredOrder> {
-        self.orders.get(key)
+    pub(super) fn get(&self, key: &OrderKey) -> Option<StoredOrderRef<'_>> {
+        self.orders.get_key_value(key).map(StoredOrderRef::new)
     }
 
     pub(super) fn is_being_terminated(&self, machine: &str) -> bool {
--- a/src/duties/report.rs
+++ b/src/duties/report.rs
@@ -75,7 +75,7 @@
             active: format >= DUTIES_FORMAT,
             duties: duties.to_vec(),
             orders: orders
-                .map(|(key, record, _)| OrderStatus::new(key, record, now_ms))
+                .map(|order| OrderStatus::new(order.key, order.record, now_ms))
                 .collect(),
             unreadable: records.unreadable().map(str::to_string).collect(),
         }
--- a/tests/duties/records.rs
+++ b/tests/duties/records.rs
@@ -160,7 +160,7 @@
         }
         for (index, (request, value, version)) in history.iter().enumerate() {
             let name = order_key(&key(*request));
-            let seen = records.order(&key(*request)).map(|(_, version)| version);
+            let seen = records.order(&key(*request)).map(|order| order.version);
             match value {
                 Some(value) => records.apply_set(&name, &value.to_value(), *version),
                 None => records.apply_delete(&name, *version),
@@ -171,7 +171,7 @@
                     records.apply_set(&name, &value.to_value(), *version);
                 }
             }
-            let now = records.order(&key(*request)).map(|(_, version)| version);
+            let now = records.order(&key(*request)).map(|order| order.version);
             prop_assert!(now.is_none() || now >= seen);
             // Nor a record that an own write is known to have replaced or deleted.
             let of_request = history.iter().enumerate().filter(|(index, change)| own[*index] && change.0 == *request);
@@ -179,7 +179,7 @@
             prop_assert!(now.is_none() || now >= latest_own);
         }
         for request in 0..3u8 {
-            let left = records.order(&key(request)).map(|(record, _)| record.clone());
+            let left = records.order(&key(request)).map(|order| order.record.clone());
             prop_assert_eq!(left, truth.get(&request).cloned());
         }
         let open = truth.values().any(|record| !matches!(record.phase, OrderPhase::Completed(_)));
