--- a/crates/duty-lease/src/lease/mod.rs
+++ b/crates/duty-lease/src/lease/mod.rs
@@ -30,7 +30,7 @@
 mod responses;
 
 pub use events::{LeaseEvent, LossReason, SuspensionReason};
-pub use protocol::{HolderKey, LeaseRequest, LeaseResponse, LeaseView};
+pub use protocol::{HolderKey, LeaseRequest, LeaseResponse, LeaseView, NumberedRequest};
 
 use crate::{LeaseTiming, Token};
 use clock::PauseDetector;
@@ -127,7 +127,7 @@
     /// Returns the request that has come due, with its number: the response is passed to
     /// [`DutyLease::on_response`] under it. To be called often, as pauses of the process
     /// are recognized by gaps between the calls.
-    pub fn tick(&mut self, now: u64) -> Option<(u64, LeaseRequest)> {
+    pub fn tick(&mut self, now: u64) -> Option<NumberedRequest> {
         self.check_clock(now);
         self.expire_request(now);
         if !self.requests.is_due(now) {
@@ -135,7 +135,7 @@
         }
         let request = self.next_request(now)?;
         let id = self.requests.begin(now);
-        Some((id, request))
+        Some(NumberedRequest { id, request })
     }
 
     /// The response to a request. One that comes late, or again, changes nothing.
--- a/crates/duty-lease/src/lease/protocol.rs
+++ b/crates/duty-lease/src/lease/protocol.rs
@@ -65,6 +65,15 @@
     },
 }
 
+/// A request with the number that its response is passed back under.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub struct NumberedRequest {
+    /// The number, used once per lease.
+    pub id: u64,
+    /// The request.
+    pub request: LeaseRequest,
+}
+
 /// The result of a [`LeaseRequest`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum LeaseResponse {
--- a/crates/duty-lease/src/lib.rs
+++ b/crates/duty-lease/src/lib.rs
@@ -26,7 +26,7 @@
 pub use intent::{Intent, Order, OrderId, OrderResult, ScalingRequest};
 pub use lease::{
     DutyLease, HolderKey, LeaseEvent, LeaseRequest, LeaseResponse, LeaseView, LossReason,
-    SuspensionReason,
+    NumberedRequest, SuspensionReason,
 };
 pub use order_book::{OrderBook, OrderOutcome, OrderRequest, RecordOutcome, WriteGuard};
 pub use timing::{LeaseTiming, TimingError};
--- a/crates/duty-lease/tests/model.rs
+++ b/crates/duty-lease/tests/model.rs
@@ -8,7 +8,7 @@
 
 use std::collections::{HashSet, VecDeque};
 
-use duty_lease::{Duty, DutyLease, LeaseRequest, LeaseTiming};
+use duty_lease::{Duty, DutyLease, LeaseRequest, LeaseTiming, NumberedRequest};
 use store::Store;
 
 const TTL_MS: u64 = 1000;
@@ -119,15 +119,15 @@
         }
         let now = self.now();
         match self.leases[index].tick(now) {
-            Some((id, request)) => {
-                self.send(index, id, request, choice);
+            Some(numbered) => {
+                self.send(index, numbered, choice);
                 Some(())
             }
             None => (!choice.requires_request()).then_some(()),
         }
     }
 
-    fn send(&mut self, from: usize, id: u64, request: LeaseRequest, choice: Choice) {
+    fn send(&mut self, from: usize, numbered: NumberedRequest, choice: Choice) {
         let late_steps = if choice == Choice::Delay {
             LATE_STEPS
         } else {
@@ -136,8 +136,8 @@
         self.messages.push(Message {
             arrives_at: self.step + late_steps,
             from,
-            id,
-            request,
+            id: numbered.id,
+            request: numbered.request,
             is_answer_lost: choice.requires_request(),
         });
     }
--- a/crates/duty-lease/tests/properties.rs
+++ b/crates/duty-lease/tests/properties.rs
@@ -1,7 +1,8 @@
 //! The lease over arbitrary orders of events.
 
 use duty_lease::{
-    DutyLease, HolderKey, LeaseRequest, LeaseResponse, LeaseTiming, LeaseView, Token,
+    DutyLease, HolderKey, LeaseRequest, LeaseResponse, LeaseTiming, LeaseView, NumberedRequest,
+    Token,
 };
 use proptest::prelude::*;
 use proptest::test_runner::TestCaseError;
@@ -194,7 +195,7 @@
     }
 
     fn tick(&mut self) {
-        let Some((id, request)) = self.lease.tick(self.now) else {
+        let Some(NumberedRequest { id, request }) = self.lease.tick(self.now) else {
             return;
         };
         if matches!(request, LeaseRequest::CreateGrant { .. }) {
@@ -246,7 +247,7 @@
 fn next_request(lease: &mut DutyLease, now: &mut u64) -> SentRequest {
     loop {
         *now += 10;
-        if let Some((id, request)) = lease.tick(*now) {
+        if let Some(NumberedRequest { id, request }) = lease.tick(*now) {
             let sent_at = *now;
             return SentRequest {
                 id,
--- a/src/controller/duties/runtime.rs
+++ b/src/controller/duties/runtime.rs
@@ -2,9 +2,9 @@
 //! records.
 
 use duty_lease::{
-    Duty, DutyLease, Intent, LeaseEvent, LeaseRequest, LeaseResponse, LeaseTiming, OrderBook,
-    OrderId, OrderOutcome, OrderRequest, RecordOutcome, ScalingRequest, SuspensionReason,
-    WriteGuard,
+    Duty, DutyLease, Intent, LeaseEvent, LeaseRequest, LeaseResponse, LeaseTiming, NumberedRequest,
+    OrderBook, OrderId, OrderOutcome, OrderRequest, RecordOutcome, ScalingRequest,
+    SuspensionReason, WriteGuard,
 };
 use tracing::{debug, info, warn};
 
@@ -93,7 +93,7 @@
             self.lease_generation = Some(generation);
             self.lease.on_view(&records.lease(self.duty), now);
         }
-        let (id, request) = self.lease.tick(now)?;
+        let NumberedRequest { id, request } = self.lease.tick(now)?;
         // A controller that only follows learns everything from the watch.
         if request == LeaseRequest::Read && self.lease.is_following() {
             let view = LeaseResponse::View(records.lease(self.duty));
