--- a/crates/duty-lease/examples/measure.rs
+++ b/crates/duty-lease/examples/measure.rs
@@ -14,7 +14,7 @@
 #[path = "../tests/simulation/world/mod.rs"]
 mod world;
 
-use duty_lease::Duty;
+use duty_lease::{Candidacy, Duty};
 use hdrhistogram::Histogram;
 use provider::Fence;
 use world::{Scaling, SentMessages, World, TTL_MS};
@@ -67,7 +67,7 @@
     match cause {
         Cause::Crash => world.crash(holder),
         Cause::Pause => world.pause(holder, 5 * TTL_MS, SentMessages::HeldUp),
-        Cause::Handover => world.set_candidate(holder, Duty::Rent, false),
+        Cause::Handover => world.set_candidacy(holder, Duty::Rent, Candidacy::Observer),
     }
     let is_taken_over = |world: &mut World| {
         let effective = world.effective_holders(Duty::Rent);
--- a/crates/duty-lease/src/lease/mod.rs
+++ b/crates/duty-lease/src/lease/mod.rs
@@ -54,6 +54,15 @@
     Releasing { grant: u64 },
 }
 
+/// Whether a controller is to acquire a duty.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum Candidacy {
+    /// It acquires the duty when the lease is free.
+    Candidate,
+    /// It does not acquire the duty, and releases the lease if it holds it.
+    Observer,
+}
+
 /// One controller's part in the lease of one duty.
 #[derive(Debug, Clone)]
 pub struct DutyLease {
@@ -61,7 +70,7 @@
     timing: LeaseTiming,
     state: State,
     observed: ObservedLease,
-    is_candidate: bool,
+    candidacy: Candidacy,
     requests: RequestSchedule,
     /// After an own release, others are to acquire the lease first until then.
     standby_until: u64,
@@ -77,7 +86,7 @@
             timing,
             state: State::Following,
             observed: ObservedLease::default(),
-            is_candidate: true,
+            candidacy: Candidacy::Candidate,
             requests: RequestSchedule::new(),
             standby_until: 0,
             pause_detector: PauseDetector::new(timing.pause_ms()),
@@ -118,10 +127,14 @@
         is_allowed.then_some(holding.token)
     }
 
-    /// Sets whether this controller is a candidate for the duty. A holder that is not one
-    /// any more releases the lease.
-    pub fn set_candidate(&mut self, is_candidate: bool) {
-        self.is_candidate = is_candidate;
+    /// Sets whether this controller is a candidate for the duty. A holder that becomes an
+    /// observer releases the lease.
+    pub fn set_candidacy(&mut self, candidacy: Candidacy) {
+        self.candidacy = candidacy;
+    }
+
+    fn is_candidate(&self) -> bool {
+        self.candidacy == Candidacy::Candidate
     }
 
     /// Returns the request that has come due, with its number: the response is passed to
@@ -227,7 +240,7 @@
             State::Granting => Some(self.grant_request()),
             State::Acquiring(acquisition) => self.acquire_request(acquisition),
             State::Unknown(_) => Some(LeaseRequest::Read),
-            State::Holding(holding) if self.is_candidate => Some(LeaseRequest::Renew {
+            State::Holding(holding) if self.is_candidate() => Some(LeaseRequest::Renew {
                 grant: holding.grant,
             }),
             State::Holding(holding) => Some(self.release(holding)),
@@ -238,7 +251,7 @@
     /// Reads the keys again and again. A candidate begins an election when the lease is
     /// free.
     fn next_request_following(&mut self, now: u64) -> LeaseRequest {
-        let may_campaign = self.is_candidate && now >= self.standby_until;
+        let may_campaign = self.is_candidate() && now >= self.standby_until;
         if may_campaign && self.is_free() {
             self.state = State::Granting;
             return self.grant_request();
--- a/crates/duty-lease/src/lib.rs
+++ b/crates/duty-lease/src/lib.rs
@@ -25,10 +25,12 @@
 pub use assignment::{assign, AssignmentRules, LiveMember};
 pub use intent::{Intent, Order, OrderId, OrderResult, ScalingRequest};
 pub use lease::{
-    DutyLease, HolderKey, LeaseEvent, LeaseRequest, LeaseResponse, LeaseView, LossReason,
-    NumberedRequest, SuspensionReason,
+    Candidacy, DutyLease, HolderKey, LeaseEvent, LeaseRequest, LeaseResponse, LeaseView,
+    LossReason, NumberedRequest, SuspensionReason,
+};
+pub use order_book::{
+    FencingStatus, OrderBook, OrderOutcome, OrderRequest, RecordOutcome, WriteGuard,
 };
-pub use order_book::{OrderBook, OrderOutcome, OrderRequest, RecordOutcome, WriteGuard};
 pub use timing::{LeaseTiming, TimingError};
 
 use serde::{Deserialize, Serialize};
--- a/crates/duty-lease/src/order_book/mod.rs
+++ b/crates/duty-lease/src/order_book/mod.rs
@@ -17,7 +17,7 @@
 mod entry;
 mod protocol;
 
-pub use protocol::{OrderOutcome, OrderRequest, RecordOutcome, WriteGuard};
+pub use protocol::{FencingStatus, OrderOutcome, OrderRequest, RecordOutcome, WriteGuard};
 
 use std::collections::BTreeMap;
 
@@ -164,23 +164,22 @@
         }
     }
 
-    /// The outcome of sending an order. Returns true if the holder is fenced: it has lost
-    /// the duty.
-    pub fn on_sent(&mut self, id: OrderId, outcome: OrderOutcome, now: u64) -> bool {
+    /// The outcome of sending an order. Returns whether it shows that the holder is fenced.
+    pub fn on_sent(&mut self, id: OrderId, outcome: OrderOutcome, now: u64) -> FencingStatus {
         let retry_at = self.retry_at(now);
         let Some(entry) = self.entries.get_mut(&id) else {
-            return false;
+            return FencingStatus::NotFenced;
         };
         if entry.step != Step::Send {
-            return false;
+            return FencingStatus::NotFenced;
         }
         entry.sent_at = None;
         match outcome {
             OrderOutcome::Done(result) => entry.step = Step::Complete { result },
-            OrderOutcome::Fenced => return true,
+            OrderOutcome::Fenced => return FencingStatus::Fenced,
             OrderOutcome::Unknown => entry.retry(retry_at),
         }
-        false
+        FencingStatus::NotFenced
     }
 
     /// The outcome of completing an intent.
--- a/crates/duty-lease/src/order_book/protocol.rs
+++ b/crates/duty-lease/src/order_book/protocol.rs
@@ -58,6 +58,16 @@
     Unknown,
 }
 
+/// Whether the provider has refused an order of this holder for a newer holder's token.
+#[must_use]
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum FencingStatus {
+    /// It has not, as far as is known.
+    NotFenced,
+    /// It has: this holder has lost the duty.
+    Fenced,
+}
+
 /// The outcome of an order that was sent.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum OrderOutcome {
--- a/crates/duty-lease/tests/order_book.rs
+++ b/crates/duty-lease/tests/order_book.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeSet;
 
 use duty_lease::{
-    Duty, LeaseTiming, Order, OrderBook, OrderId, OrderOutcome, OrderRequest, OrderResult,
-    RecordOutcome, ScalingRequest, Token, WriteGuard,
+    Duty, FencingStatus, LeaseTiming, Order, OrderBook, OrderId, OrderOutcome, OrderRequest,
+    OrderResult, RecordOutcome, ScalingRequest, Token, WriteGuard,
 };
 use proptest::prelude::*;
 use proptest::test_runner::TestCaseError;
@@ -105,8 +105,8 @@
                 if outcome == Outcome::Done {
                     self.done.insert(id);
                 }
-                let is_fenced = self.book.on_sent(id, outcome.of_order(), self.now);
-                prop_assert!(!is_fenced);
+                let fencing = self.book.on_sent(id, outcome.of_order(), self.now);
+                prop_assert_eq!(fencing, FencingStatus::NotFenced);
             }
             OrderRequest::Complete { intent, .. } => {
                 prop_assert!(self.done.contains(&intent.id));
--- a/crates/duty-lease/tests/properties.rs
+++ b/crates/duty-lease/tests/properties.rs
@@ -1,8 +1,8 @@
 //! The lease over arbitrary orders of events.
 
 use duty_lease::{
-    DutyLease, HolderKey, LeaseRequest, LeaseResponse, LeaseTiming, LeaseView, NumberedRequest,
-    Token,
+    Candidacy, DutyLease, HolderKey, LeaseRequest, LeaseResponse, LeaseTiming, LeaseView,
+    NumberedRequest, Token,
 };
 use proptest::prelude::*;
 use proptest::test_runner::TestCaseError;
@@ -26,7 +26,7 @@
         token: Token,
     },
     Fenced,
-    Candidate(bool),
+    Candidacy(Candidacy),
 }
 
 #[derive(Debug, Clone, Copy)]
@@ -46,6 +46,14 @@
     ]
 }
 
+fn candidacy(is_candidate: bool) -> Candidacy {
+    if is_candidate {
+        Candidacy::Candidate
+    } else {
+        Candidacy::Observer
+    }
+}
+
 fn steps() -> impl Strategy<Value = Vec<Step>> {
     let step = prop_oneof![
         8 => (1..60i64).prop_map(Step::Clock),
@@ -56,7 +64,7 @@
         1 => (0..9u64, 0..9u64)
             .prop_map(|(holder_version, token)| Step::View { holder_version, token }),
         1 => Just(Step::Fenced),
-        1 => any::<bool>().prop_map(Step::Candidate),
+        1 => any::<bool>().prop_map(|is_candidate| Step::Candidacy(candidacy(is_candidate))),
     ];
     prop::collection::vec(step, 0..200)
 }
@@ -146,7 +154,7 @@
                 self.lease.on_view(&view, self.now);
             }
             Step::Fenced => self.lease.on_fenced(self.now),
-            Step::Candidate(is_candidate) => self.lease.set_candidate(is_candidate),
+            Step::Candidacy(candidacy) => self.lease.set_candidacy(candidacy),
         }
         Ok(())
     }
--- a/crates/duty-lease/tests/simulation/main.rs
+++ b/crates/duty-lease/tests/simulation/main.rs
@@ -8,7 +8,7 @@
 mod world;
 
 use checker::Summary;
-use duty_lease::Duty;
+use duty_lease::{Candidacy, Duty};
 use provider::Fence;
 use scenario::{assert_sound, settle, troubled_run, Clocks};
 use world::{SentMessages, World, TTL_MS};
@@ -96,7 +96,7 @@
     let mut longest_ms = 0;
     for _ in 0..10 {
         let holder = world.holder(Duty::Rent).expect("a holder of the duty");
-        world.set_candidate(holder, Duty::Rent, false);
+        world.set_candidacy(holder, Duty::Rent, Candidacy::Observer);
         let released_at = world.now;
         let is_taken_over = |world: &World| {
             world
@@ -111,7 +111,7 @@
             );
         }
         longest_ms = longest_ms.max(world.now - released_at);
-        world.set_candidate(holder, Duty::Rent, true);
+        world.set_candidacy(holder, Duty::Rent, Candidacy::Candidate);
         world.run(4 * TTL_MS);
     }
     assert!(longest_ms < TTL_MS, "{longest_ms}");
--- a/crates/duty-lease/tests/simulation/world/controller.rs
+++ b/crates/duty-lease/tests/simulation/world/controller.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeMap;
 
 use duty_lease::{
-    Duty, DutyLease, LeaseEvent, LeaseResponse, LeaseTiming, NumberedRequest, OrderBook, OrderId,
-    OrderOutcome, OrderRequest, WriteGuard,
+    Duty, DutyLease, FencingStatus, LeaseEvent, LeaseResponse, LeaseTiming, NumberedRequest,
+    OrderBook, OrderId, OrderOutcome, OrderRequest, WriteGuard,
 };
 
 use super::clock::Clock;
@@ -186,8 +186,7 @@
         let Some(book) = self.books.get_mut(&id.duty) else {
             return;
         };
-        let is_fenced = book.on_sent(id, outcome, local);
-        if !is_fenced {
+        if book.on_sent(id, outcome, local) == FencingStatus::NotFenced {
             return;
         }
         if let Some(lease) = self.leases.get_mut(&id.duty) {
--- a/crates/duty-lease/tests/simulation/world/troubles.rs
+++ b/crates/duty-lease/tests/simulation/world/troubles.rs
@@ -1,6 +1,6 @@
 //! What may go wrong in the simulated world.
 
-use duty_lease::Duty;
+use duty_lease::{Candidacy, Duty};
 
 use super::World;
 
@@ -74,9 +74,9 @@
     }
 
     /// A controller becomes a candidate for a duty, or releases it.
-    pub fn set_candidate(&mut self, index: usize, duty: Duty, is_candidate: bool) {
+    pub fn set_candidacy(&mut self, index: usize, duty: Duty, candidacy: Candidacy) {
         if let Some(lease) = self.controllers[index].leases.get_mut(&duty) {
-            lease.set_candidate(is_candidate);
+            lease.set_candidacy(candidacy);
         }
     }
 
--- a/src/controller/duties/assignment.rs
+++ b/src/controller/duties/assignment.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use duty_lease::{assign, AssignmentRules, Duty, LeaseTiming, LiveMember};
+use duty_lease::{assign, AssignmentRules, Candidacy, Duty, LeaseTiming, LiveMember};
 use tracing::{debug, warn};
 
 use super::Controller;
@@ -106,7 +106,12 @@
             let Some(runtime) = control.runtimes.get_mut(&duty) else {
                 continue;
             };
-            runtime.set_candidate(is_assigned || is_unclaimed);
+            let candidacy = if is_assigned || is_unclaimed {
+                Candidacy::Candidate
+            } else {
+                Candidacy::Observer
+            };
+            runtime.set_candidacy(candidacy);
             if is_assigned && holder.is_some_and(|holder| holder != member) {
                 debug!(
                     duty = duty.name(),
--- a/src/controller/duties/orders.rs
+++ b/src/controller/duties/orders.rs
@@ -3,8 +3,8 @@
 use std::collections::HashSet;
 
 use duty_lease::{
-    Duty, Order, OrderId, OrderOutcome, OrderRequest, OrderResult, RecordOutcome, ScalingRequest,
-    Token,
+    Duty, FencingStatus, Order, OrderId, OrderOutcome, OrderRequest, OrderResult, RecordOutcome,
+    ScalingRequest, Token,
 };
 use tracing::{error, info, warn};
 
@@ -193,7 +193,7 @@
         let Some(runtime) = self.duties.runtime(id.duty) else {
             return;
         };
-        if runtime.on_order_outcome(id, outcome, now) {
+        if runtime.on_order_outcome(id, outcome, now) == FencingStatus::Fenced {
             self.process_lease_events(id.duty);
         }
     }
--- a/src/controller/duties/runtime.rs
+++ b/src/controller/duties/runtime.rs
@@ -2,9 +2,9 @@
 //! records.
 
 use duty_lease::{
-    Duty, DutyLease, Intent, LeaseEvent, LeaseRequest, LeaseResponse, LeaseTiming, NumberedRequest,
-    OrderBook, OrderId, OrderOutcome, OrderRequest, RecordOutcome, ScalingRequest,
-    SuspensionReason, WriteGuard,
+    Candidacy, Duty, DutyLease, FencingStatus, Intent, LeaseEvent, LeaseRequest, LeaseResponse,
+    LeaseTiming, NumberedRequest, OrderBook, OrderId, OrderOutcome, OrderRequest, RecordOutcome,
+    ScalingRequest, SuspensionReason, WriteGuard,
 };
 use tracing::{debug, info, warn};
 
@@ -48,7 +48,7 @@
     /// which others are live.
     pub fn new(duty: Duty, member: &str, timing: LeaseTiming) -> DutyRuntime {
         let mut lease = DutyLease::new(member, timing);
-        lease.set_candidate(false);
+        lease.set_candidacy(Candidacy::Observer);
         DutyRuntime {
             duty,
             timing,
@@ -77,8 +77,8 @@
     }
 
     /// Makes this controller a candidate for the duty, or not.
-    pub fn set_candidate(&mut self, is_candidate: bool) {
-        self.lease.set_candidate(is_candidate);
+    pub fn set_candidacy(&mut self, candidacy: Candidacy) {
+        self.lease.set_candidacy(candidacy);
     }
 
     /// How long a response of the store is waited for.
@@ -152,14 +152,19 @@
         self.orders.tick(order_token, now)
     }
 
-    /// What became of an order. Returns whether the duty is lost by that.
-    #[must_use]
-    pub fn on_order_outcome(&mut self, id: OrderId, outcome: OrderOutcome, now: u64) -> bool {
-        let is_fenced = self.orders.on_sent(id, outcome, now);
-        if is_fenced {
+    /// What became of an order. Returns whether it shows that this controller is fenced: it
+    /// has lost the duty then.
+    pub fn on_order_outcome(
+        &mut self,
+        id: OrderId,
+        outcome: OrderOutcome,
+        now: u64,
+    ) -> FencingStatus {
+        let fencing = self.orders.on_sent(id, outcome, now);
+        if fencing == FencingStatus::Fenced {
             self.lease.on_fenced(now);
         }
-        is_fenced
+        fencing
     }
 
     /// What became of recording an order.
--- a/src/controller/leadership.rs
+++ b/src/controller/leadership.rs
@@ -8,7 +8,9 @@
 use super::clock::Timestamp;
 use super::http::HttpCall;
 use super::responses::{self, CallError};
-use crate::leader_lease::{Election, LeaderLease, LeaseRequest, LeaseResponse};
+use crate::leader_lease::{
+    Election, LeaderLease, LeadershipTransition, LeaseRequest, LeaseResponse,
+};
 use crate::leadership_keys::{Fence, LeaderKey, EPOCH_KEY, LEADER_KEY, LEASE_KEY};
 use crate::net::{status, Outcome};
 use crate::scheduler::Term;
@@ -95,7 +97,7 @@
         now: u64,
     ) -> LeadershipChange {
         let response = response_to(request, outcome);
-        if !self.lease.on_response(now, response) {
+        if self.lease.on_response(now, response).is_none() {
             return LeadershipChange::Unchanged;
         }
         match (request, response) {
@@ -113,7 +115,7 @@
     /// The keys of leadership have changed in the watch cache. Returns whether the lease was
     /// lost by that.
     pub fn on_keys_changed(&mut self, watch_cache: &WatchCache) -> bool {
-        self.lease.on_cache_event(watch_cache)
+        self.lease.on_cache_event(watch_cache) == Some(LeadershipTransition::Ended)
     }
 
     /// Prepares the term that a won election begins.
--- a/src/leader_lease.rs
+++ b/src/leader_lease.rs
@@ -103,6 +103,15 @@
     Unknown,
 }
 
+/// A change of whether a controller leads.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum LeadershipTransition {
+    /// It leads from now on.
+    Began,
+    /// It does not lead any more.
+    Ended,
+}
+
 /// The state of a controller in the election.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum LeaseState {
@@ -246,9 +255,13 @@
         }
     }
 
-    /// Handles the response to the request in flight. Returns whether leadership began or
-    /// ended.
-    pub fn on_response(&mut self, now: u64, response: LeaseResponse) -> bool {
+    /// Handles the response to the request in flight. Returns whether this controller's
+    /// leadership began or ended; `None` if neither.
+    pub fn on_response(
+        &mut self,
+        now: u64,
+        response: LeaseResponse,
+    ) -> Option<LeadershipTransition> {
         let was_leading = self.is_leading();
         let sent_at = self.sent_at.take().unwrap_or(now);
         match (self.state, response) {
@@ -278,7 +291,11 @@
             }
             _ => self.retry(now),
         }
-        self.is_leading() != was_leading
+        match (was_leading, self.is_leading()) {
+            (false, true) => Some(LeadershipTransition::Began),
+            (true, false) => Some(LeadershipTransition::Ended),
+            (false, false) | (true, true) => None,
+        }
     }
 
     fn retry(&mut self, now: u64) {
@@ -296,18 +313,19 @@
         Some(LeaseRequest::Revoke(grant))
     }
 
-    /// Handles a change of the leadership keys in the watch cache. Returns whether it ended
-    /// this controller's leadership: the leader key has changed, or is deleted.
-    pub fn on_cache_event(&mut self, watch_cache: &WatchCache) -> bool {
+    /// Handles a change of the leadership keys in the watch cache. Returns
+    /// [`LeadershipTransition::Ended`] if it ended this controller's leadership: the leader key
+    /// has changed, or is deleted.
+    pub fn on_cache_event(&mut self, watch_cache: &WatchCache) -> Option<LeadershipTransition> {
         let LeaseState::Leading { version, .. } = self.state else {
-            return false;
+            return None;
         };
         let leader = watch_cache.leader();
         if leader.is_some_and(|leader| leader.version == version) {
-            return false;
+            return None;
         }
         self.state = LeaseState::Following;
-        true
+        Some(LeadershipTransition::Ended)
     }
 }
 
--- a/tests/unit/leader_lease.rs
+++ b/tests/unit/leader_lease.rs
@@ -1,7 +1,7 @@
 //! The lease of the leader.
 
 use gaugesill::leader_lease::{
-    leader_lease_ttl_ms, Election, LeaderLease, LeaseRequest, LeaseResponse,
+    leader_lease_ttl_ms, Election, LeaderLease, LeadershipTransition, LeaseRequest, LeaseResponse,
 };
 use gaugesill::leadership_keys::{Fence, LeaderKey};
 use gaugesill::settings::OperatorSettings;
@@ -39,15 +39,22 @@
         }))
     ));
     let (epoch, version) = (1, 3);
-    assert!(lease.on_response(120, LeaseResponse::Elected { epoch, version }));
+    assert_eq!(
+        lease.on_response(120, LeaseResponse::Elected { epoch, version }),
+        Some(LeadershipTransition::Began)
+    );
     assert!(
         lease.is_certain(2000) && !lease.is_certain(2900),
         "counted from the request for the grant"
     );
     cache.leader_key = own_key();
-    assert!(!lease.on_cache_event(&cache));
+    assert_eq!(lease.on_cache_event(&cache), None);
     cache.leader_key = None;
-    assert!(lease.on_cache_event(&cache), "the leader key was deleted");
+    assert_eq!(
+        lease.on_cache_event(&cache),
+        Some(LeadershipTransition::Ended),
+        "the leader key was deleted"
+    );
 }
 
 #[test]
