--- a/src/admission.rs
+++ b/src/admission.rs
@@ -36,7 +36,7 @@
 
 /// Statistics of response times.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct AnswerTimes {
+pub struct ResponseTimes {
     /// The number of responses.
     pub count: u64,
     /// The median in milliseconds.
@@ -96,12 +96,12 @@
 
     /// Returns the statistics since the last call and resets them; `None` if there were no
     /// responses.
-    pub fn take_times(&mut self) -> Option<AnswerTimes> {
+    pub fn take_response_times(&mut self) -> Option<ResponseTimes> {
         let count = self.times.len();
         if count == 0 {
             return None;
         }
-        let times = AnswerTimes {
+        let times = ResponseTimes {
             count,
             median_ms: self.times.value_at_quantile(0.5),
             p99_ms: self.times.value_at_quantile(0.99),
--- a/src/controller/stats.rs
+++ b/src/controller/stats.rs
@@ -93,7 +93,7 @@
     }
 
     fn log_users(&mut self) {
-        let Some(times) = self.users.take_times() else {
+        let Some(times) = self.users.take_response_times() else {
             return;
         };
         info!(
@@ -106,17 +106,17 @@
     }
 
     fn log_writes(&mut self) {
-        let writes = self.store.take_write_stats();
-        if writes.transactions == 0 {
+        let stats = self.store.take_write_stats();
+        if stats.transactions == 0 {
             return;
         }
         info!(
-            changes = writes.changes,
-            transactions = writes.transactions,
+            writes = stats.writes,
+            transactions = stats.transactions,
             waiting = self.store.waiting_writes(),
-            throttled = writes.throttled,
-            conflicts = writes.conflicts,
-            unknown = writes.unknown,
+            throttled = stats.throttled,
+            conflicts = stats.conflicts,
+            unknown = stats.unknown,
             "writes"
         );
     }
--- a/src/controller/user_request_table.rs
+++ b/src/controller/user_request_table.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use super::user_types::{Caller, PendingRequest, RequestStage, UserRequest};
-use crate::admission::{AdmissionLimit, AnswerTimes};
+use crate::admission::{AdmissionLimit, ResponseTimes};
 
 /// What a response to a user may take before the limit on requests in progress falls.
 const TARGET_MS: u64 = 500;
@@ -164,9 +164,9 @@
         self.admission.limit()
     }
 
-    /// The times of responses since the last call; `None` if there were none.
-    pub fn take_times(&mut self) -> Option<AnswerTimes> {
-        self.admission.take_times()
+    /// The statistics of response times since the last call; `None` if there were none.
+    pub fn take_response_times(&mut self) -> Option<ResponseTimes> {
+        self.admission.take_response_times()
     }
 }
 
--- a/src/write_queue/mod.rs
+++ b/src/write_queue/mod.rs
@@ -125,7 +125,7 @@
             return None;
         }
         self.stats.transactions += 1;
-        self.stats.changes += batch.write_count() as u64;
+        self.stats.writes += batch.write_count() as u64;
         let (transaction, group) = batch.into_transaction();
         self.in_flight.insert(tag, group);
         Some(transaction)
--- a/src/write_queue/stats.rs
+++ b/src/write_queue/stats.rs
@@ -8,7 +8,7 @@
     /// Transactions sent.
     pub transactions: u64,
     /// Writes sent.
-    pub changes: u64,
+    pub writes: u64,
     /// Transactions that the store refused because of its rate limits.
     pub throttled: u64,
     /// Transactions with a condition that did not hold.
