--- a/tests/unit/leader_lease.rs
+++ b/tests/unit/leader_lease.rs
@@ -1,14 +1,14 @@
 //! The lease of the leader.
 
 use gaugesill::leader_lease::{
-    leader_lease_ttl_ms, Election, LeaderLease, LeaseRequest, LeaseResponse,
+    leader_lease_ttl_ms, Election, LeaderLease, LeadershipTransition, LeaseRequest, LeaseResponse,
 };
 use gaugesill::leadership_keys::{Fence, LeaderKey};
 use gaugesill::settings::OperatorSettings;
-use gaugesill::watch_cache::WatchCache;
+use gaugesill::watch_cache::{VersionedLeaderKey, WatchCache};
 
 /// A watch cache that has read the store and found a leader key, or none.
-fn loaded_cache(leader_key: Option<(LeaderKey, u64)>) -> WatchCache {
+fn loaded_cache(leader_key: Option<VersionedLeaderKey>) -> WatchCache {
     let mut cache = WatchCache::default();
     cache.loaded = true;
     cache.leader_key = leader_key;
@@ -16,12 +16,12 @@
 }
 
 /// The leader key of member `c0` at epoch 1, with its version.
-fn own_key() -> Option<(LeaderKey, u64)> {
+fn own_key() -> Option<VersionedLeaderKey> {
     let key = LeaderKey {
         member: "c0".into(),
         epoch: 1,
     };
-    Some((key, 3))
+    Some(VersionedLeaderKey { key, version: 3 })
 }
 
 #[test]
@@ -39,15 +39,22 @@
         }))
     ));
     let (epoch, version) = (1, 3);
-    assert!(lease.on_response(120, LeaseResponse::Elected { epoch, version }));
+    assert_eq!(
+        lease.on_response(120, LeaseResponse::Elected { epoch, version }),
+        Some(LeadershipTransition::Began)
+    );
     assert!(
         lease.is_certain(2000) && !lease.is_certain(2900),
         "counted from the request for the grant"
     );
     cache.leader_key = own_key();
-    assert!(!lease.on_cache_event(&cache));
+    assert_eq!(lease.on_cache_event(&cache), None);
     cache.leader_key = None;
-    assert!(lease.on_cache_event(&cache), "the leader key was deleted");
+    assert_eq!(
+        lease.on_cache_event(&cache),
+        Some(LeadershipTransition::Ended),
+        "the leader key was deleted"
+    );
 }
 
 #[test]
@@ -92,7 +99,10 @@
         let mut watch_cache = WatchCache::default();
         watch_cache.loaded = true;
         watch_cache.format = format;
-        watch_cache.leader_key = superseded.then(|| (LeaderKey::superseded(), 3));
+        watch_cache.leader_key = superseded.then(|| VersionedLeaderKey {
+            key: LeaderKey::superseded(),
+            version: 3,
+        });
         assert_eq!(lease.tick(1, &watch_cache, 0.0), Some(LeaseRequest::Grant));
         lease.on_response(2, LeaseResponse::Granted(5));
         match lease.tick(2, &watch_cache, 0.0) {
