--- a/crates/duty-lease/examples/measure.rs
+++ b/crates/duty-lease/examples/measure.rs
@@ -3,7 +3,7 @@
 //!
 //! `cargo run --release -p duty-lease --example measure`
 
-#![allow(dead_code)]
+#![allow(dead_code, reason = "the simulation is shared with the tests")]
 
 #[path = "../tests/simulation/checker.rs"]
 mod checker;
--- a/crates/duty-lease/tests/model.rs
+++ b/crates/duty-lease/tests/model.rs
@@ -2,7 +2,7 @@
 //! steps of a tenth of a time to live, with every choice of where a few pauses, lost answers
 //! and late requests fall.
 
-#[allow(dead_code)]
+#[allow(dead_code, reason = "the store is shared with the simulation")]
 #[path = "simulation/store/mod.rs"]
 mod store;
 
--- a/crates/duty-lease/tests/simulation/checker.rs
+++ b/crates/duty-lease/tests/simulation/checker.rs
@@ -6,7 +6,7 @@
 use duty_lease::{Duty, Token};
 
 #[derive(Debug, Clone)]
-pub enum Event {
+pub(crate) enum Event {
     /// A controller could have given an order at this moment.
     MayOrder {
         duty: Duty,
@@ -36,13 +36,13 @@
 }
 
 #[derive(Debug, Default)]
-pub struct History {
+pub(crate) struct History {
     events: Vec<TimedEvent>,
 }
 
 /// The rules that hold in a world beside those that always do.
 #[derive(Debug, Clone, Copy)]
-pub struct Rules {
+pub(crate) struct Rules {
     /// The provider refuses lower tokens.
     pub tokens_refused: bool,
     /// All clocks keep within the drift that is allowed: there are never two effective
@@ -52,7 +52,7 @@
 
 /// What a history shows beside broken rules.
 #[derive(Debug, Default, Clone, Copy)]
-pub struct Summary {
+pub(crate) struct Summary {
     pub orders: usize,
     pub refused: usize,
     pub changes_of_hands: usize,
@@ -72,17 +72,17 @@
 
 /// The result of a check.
 #[derive(Debug, Default)]
-pub struct Verdict {
+pub(crate) struct Verdict {
     pub broken: Vec<String>,
     pub summary: Summary,
 }
 
 impl History {
-    pub fn add(&mut self, at: u64, event: Event) {
+    pub(crate) fn add(&mut self, at: u64, event: Event) {
         self.events.push(TimedEvent { at, event });
     }
 
-    pub fn check(&self, rules: Rules) -> Verdict {
+    pub(crate) fn check(&self, rules: Rules) -> Verdict {
         let mut checker = Checker::new(rules);
         for TimedEvent { at, event } in &self.events {
             checker.check(*at, event);
--- a/crates/duty-lease/tests/simulation/provider.rs
+++ b/crates/duty-lease/tests/simulation/provider.rs
@@ -11,7 +11,7 @@
 
 /// Whether the provider checks tokens.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Fence {
+pub(crate) enum Fence {
     /// It refuses an order whose token is lower than one that it has seen.
     Token,
     /// It knows no tokens; an order's name is carried out once.
@@ -20,7 +20,7 @@
 
 /// An order as it is sent.
 #[derive(Debug, Clone)]
-pub struct ProviderOrder {
+pub(crate) struct ProviderOrder {
     pub id: OrderId,
     pub order: Order,
     /// The sender's token.
@@ -35,7 +35,7 @@
 }
 
 #[derive(Debug)]
-pub struct Provider {
+pub(crate) struct Provider {
     pub fence: Fence,
     pub machines: BTreeSet<String>,
     highest_tokens: BTreeMap<Duty, Token>,
@@ -45,7 +45,7 @@
 }
 
 impl Provider {
-    pub fn new(fence: Fence) -> Provider {
+    pub(crate) fn new(fence: Fence) -> Provider {
         Provider {
             fence,
             machines: BTreeSet::new(),
@@ -55,7 +55,7 @@
         }
     }
 
-    pub fn execute(
+    pub(crate) fn execute(
         &mut self,
         sent: &ProviderOrder,
         now: u64,
--- a/crates/duty-lease/tests/simulation/scenario.rs
+++ b/crates/duty-lease/tests/simulation/scenario.rs
@@ -12,7 +12,7 @@
 
 /// Whether clocks leap and stand still among the random troubles.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Clocks {
+pub(crate) enum Clocks {
     Sound,
     Leaping,
 }
@@ -28,7 +28,7 @@
 }
 
 /// The history breaks no rule. `what` names the run.
-pub fn assert_sound(world: &World, what: &str) -> Summary {
+pub(crate) fn assert_sound(world: &World, what: &str) -> Summary {
     let rules = Rules {
         tokens_refused: world.provider.fence == Fence::Token,
         clocks_sound: world.clocks_sound,
@@ -39,7 +39,7 @@
 }
 
 /// No more troubles and no new scaling requests: all that was begun is completed.
-pub fn settle(world: &mut World, what: &str) {
+pub(crate) fn settle(world: &mut World, what: &str) {
     world.troubles = Troubles::default();
     world.scaling = Scaling::Stopped;
     world.run(SETTLE_MS);
@@ -47,7 +47,7 @@
 }
 
 /// A run with 25 random troubles, which ends settled and sound.
-pub fn troubled_run(seed: u64, fence: Fence, clocks: Clocks) -> Summary {
+pub(crate) fn troubled_run(seed: u64, fence: Fence, clocks: Clocks) -> Summary {
     let what = format!("seed {seed}, {fence:?}, {clocks:?} clocks");
     let mut world = World::new(seed, fence);
     world.run(2 * TTL_MS);
--- a/crates/duty-lease/tests/simulation/store/keys.rs
+++ b/crates/duty-lease/tests/simulation/store/keys.rs
@@ -2,39 +2,39 @@
 
 use duty_lease::{Duty, OrderId};
 
-pub const REQUESTS: &str = "request/";
-pub const INTENTS: &str = "intent/";
-pub const MACHINES: &str = "machine/";
-pub const TASKS: &str = "task/";
-pub const TERMINATIONS: &str = "return/";
+pub(crate) const REQUESTS: &str = "request/";
+pub(crate) const INTENTS: &str = "intent/";
+pub(crate) const MACHINES: &str = "machine/";
+pub(crate) const TASKS: &str = "task/";
+pub(crate) const TERMINATIONS: &str = "return/";
 
-pub fn lease(duty: Duty) -> String {
+pub(crate) fn lease(duty: Duty) -> String {
     format!("lease/{}", duty.name())
 }
 
-pub fn token(duty: Duty) -> String {
+pub(crate) fn token(duty: Duty) -> String {
     format!("token/{}", duty.name())
 }
 
-pub fn request(id: &str) -> String {
+pub(crate) fn request(id: &str) -> String {
     format!("{REQUESTS}{id}")
 }
 
-pub fn intent(id: OrderId) -> String {
+pub(crate) fn intent(id: OrderId) -> String {
     format!("{INTENTS}{id}")
 }
 
 /// A machine that the controllers own.
-pub fn machine(name: &str) -> String {
+pub(crate) fn machine(name: &str) -> String {
     format!("{MACHINES}{name}")
 }
 
 /// A task on a machine.
-pub fn task(machine: &str) -> String {
+pub(crate) fn task(machine: &str) -> String {
     format!("{TASKS}{machine}")
 }
 
 /// A machine that is to be returned.
-pub fn termination(machine: &str) -> String {
+pub(crate) fn termination(machine: &str) -> String {
     format!("{TERMINATIONS}{machine}")
 }
--- a/crates/duty-lease/tests/simulation/store/lease_requests.rs
+++ b/crates/duty-lease/tests/simulation/store/lease_requests.rs
@@ -5,7 +5,7 @@
 use super::{keys, Condition, Store, Transaction, TransactionOutcome, Value, Write};
 
 impl Store {
-    pub fn handle_lease_request(
+    pub(crate) fn handle_lease_request(
         &mut self,
         duty: Duty,
         request: LeaseRequest,
@@ -65,7 +65,7 @@
         }
     }
 
-    pub fn lease_view(&self, duty: Duty) -> LeaseView {
+    pub(crate) fn lease_view(&self, duty: Duty) -> LeaseView {
         let holder = match self.value(&keys::lease(duty)) {
             Some(Value::Holder(holder)) => Some(holder.clone()),
             _ => None,
--- a/crates/duty-lease/tests/simulation/store/mod.rs
+++ b/crates/duty-lease/tests/simulation/store/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! Shared by the simulation, the exhaustive model and the example.
 
-pub mod keys;
+pub(crate) mod keys;
 mod lease_requests;
 
 use std::collections::BTreeMap;
@@ -10,7 +10,7 @@
 use duty_lease::{HolderKey, Intent, ScalingRequest, Token};
 
 #[derive(Debug, Clone, PartialEq)]
-pub enum Value {
+pub(crate) enum Value {
     Holder(HolderKey),
     Token(Token),
     ScalingRequest(ScalingRequest),
@@ -21,19 +21,19 @@
 
 /// A key must have this version; 0: it must not exist.
 #[derive(Debug, Clone)]
-pub struct Condition {
+pub(crate) struct Condition {
     key: String,
     version: u64,
 }
 
 impl Condition {
-    pub fn new(key: String, version: u64) -> Condition {
+    pub(crate) fn new(key: String, version: u64) -> Condition {
         Condition { key, version }
     }
 }
 
 #[derive(Debug, Clone)]
-pub enum Write {
+pub(crate) enum Write {
     Set {
         key: String,
         value: Value,
@@ -45,7 +45,7 @@
 }
 
 impl Write {
-    pub fn set(key: String, value: Value) -> Write {
+    pub(crate) fn set(key: String, value: Value) -> Write {
         Write::Set {
             key,
             value,
@@ -54,7 +54,7 @@
     }
 
     /// Sets a key that vanishes with a grant.
-    pub fn set_attached(key: String, value: Value, grant: u64) -> Write {
+    pub(crate) fn set_attached(key: String, value: Value, grant: u64) -> Write {
         Write::Set {
             key,
             value,
@@ -62,19 +62,19 @@
         }
     }
 
-    pub fn delete(key: String) -> Write {
+    pub(crate) fn delete(key: String) -> Write {
         Write::Delete { key }
     }
 }
 
 #[derive(Debug, Clone)]
-pub struct Transaction {
+pub(crate) struct Transaction {
     pub conditions: Vec<Condition>,
     pub writes: Vec<Write>,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum TransactionOutcome {
+pub(crate) enum TransactionOutcome {
     /// Carried out at this revision.
     Written(u64),
     Conflict,
@@ -83,7 +83,7 @@
 
 /// A key's value and version.
 #[derive(Debug, Clone)]
-pub struct Entry {
+pub(crate) struct Entry {
     pub value: Value,
     pub version: u64,
     /// The grant that the key is attached to.
@@ -103,7 +103,7 @@
 }
 
 #[derive(Debug, Clone, Default)]
-pub struct Store {
+pub(crate) struct Store {
     entries: BTreeMap<String, Entry>,
     revision: u64,
     grants: BTreeMap<u64, Grant>,
@@ -112,21 +112,21 @@
 
 impl Store {
     /// The version of a key; 0 if it does not exist.
-    pub fn version(&self, key: &str) -> u64 {
+    pub(crate) fn version(&self, key: &str) -> u64 {
         self.entries.get(key).map_or(0, |entry| entry.version)
     }
 
-    pub fn value(&self, key: &str) -> Option<&Value> {
+    pub(crate) fn value(&self, key: &str) -> Option<&Value> {
         self.entries.get(key).map(|entry| &entry.value)
     }
 
-    pub fn entries(&self) -> impl Iterator<Item = (&str, &Entry)> {
+    pub(crate) fn entries(&self) -> impl Iterator<Item = (&str, &Entry)> {
         let entries = self.entries.iter();
         entries.map(|(key, entry)| (key.as_str(), entry))
     }
 
     /// Ends grants that were not renewed in time.
-    pub fn expire(&mut self, now: u64) {
+    pub(crate) fn expire(&mut self, now: u64) {
         let grants = self.grants.iter();
         let ended = grants.filter(|(_, grant)| now >= grant.expires_at);
         let ended: Vec<u64> = ended.map(|(id, _)| *id).collect();
@@ -136,13 +136,13 @@
     }
 
     /// After an outage every grant has its full time again.
-    pub fn refresh(&mut self, now: u64) {
+    pub(crate) fn refresh(&mut self, now: u64) {
         for grant in self.grants.values_mut() {
             grant.renew(now);
         }
     }
 
-    pub fn create_grant(&mut self, ttl_ms: u64, now: u64) -> u64 {
+    pub(crate) fn create_grant(&mut self, ttl_ms: u64, now: u64) -> u64 {
         self.last_grant += 1;
         let expires_at = now + ttl_ms;
         self.grants
@@ -151,7 +151,7 @@
     }
 
     /// Returns false if there is no such grant.
-    pub fn renew(&mut self, id: u64, now: u64) -> bool {
+    pub(crate) fn renew(&mut self, id: u64, now: u64) -> bool {
         let Some(grant) = self.grants.get_mut(&id) else {
             return false;
         };
@@ -160,7 +160,7 @@
     }
 
     /// Returns false if there is no such grant.
-    pub fn end_grant(&mut self, id: u64) -> bool {
+    pub(crate) fn end_grant(&mut self, id: u64) -> bool {
         let attached = self.entries().filter(|(_, entry)| entry.grant == Some(id));
         let attached: Vec<String> = attached.map(|(key, _)| key.to_string()).collect();
         for key in attached {
@@ -170,7 +170,7 @@
         self.grants.remove(&id).is_some()
     }
 
-    pub fn commit(&mut self, transaction: &Transaction) -> TransactionOutcome {
+    pub(crate) fn commit(&mut self, transaction: &Transaction) -> TransactionOutcome {
         let holds = |condition: &Condition| self.version(&condition.key) == condition.version;
         if !transaction.conditions.iter().all(holds) {
             return TransactionOutcome::Conflict;
--- a/crates/duty-lease/tests/simulation/world/clock.rs
+++ b/crates/duty-lease/tests/simulation/world/clock.rs
@@ -8,7 +8,7 @@
 const OFFSET_MAX_MS: i64 = 100_000;
 
 #[derive(Debug, Clone, Copy)]
-pub struct Clock {
+pub(super) struct Clock {
     offset_ms: i64,
     /// Runs fast, or slow, by this many parts in a million.
     drift_ppm: i64,
@@ -16,7 +16,7 @@
 }
 
 impl Clock {
-    pub fn random(rng: &mut StdRng) -> Clock {
+    pub(super) fn random(rng: &mut StdRng) -> Clock {
         Clock {
             offset_ms: rng.random_range(0..OFFSET_MAX_MS),
             drift_ppm: rng.random_range(-DRIFT_MAX_PPM..=DRIFT_MAX_PPM),
@@ -24,23 +24,23 @@
         }
     }
 
-    pub fn read(&self, now: u64) -> u64 {
+    pub(super) fn read(&self, now: u64) -> u64 {
         let drift_ms = now as i64 * self.drift_ppm / 1_000_000;
         let reading = (now as i64 + self.offset_ms + drift_ms).max(0) as u64;
         self.stands_at.unwrap_or(reading)
     }
 
     /// Leaps forward or back.
-    pub fn leap(&mut self, by_ms: i64) {
+    pub(super) fn leap(&mut self, by_ms: i64) {
         self.offset_ms += by_ms;
     }
 
-    pub fn stop(&mut self, now: u64) {
+    pub(super) fn stop(&mut self, now: u64) {
         self.stands_at = Some(self.read(now));
     }
 
     /// Goes on from where it stopped, if it did.
-    pub fn resume(&mut self, now: u64) {
+    pub(super) fn resume(&mut self, now: u64) {
         if let Some(stood_at) = self.stands_at.take() {
             let missed_ms = self.read(now) as i64 - stood_at as i64;
             self.offset_ms -= missed_ms;
--- a/crates/duty-lease/tests/simulation/world/controller.rs
+++ b/crates/duty-lease/tests/simulation/world/controller.rs
@@ -19,7 +19,7 @@
 /// The duties that have an order book.
 const ORDER_DUTIES: [Duty; 2] = [Duty::Rent, Duty::Return];
 
-pub struct Controller {
+pub(super) struct Controller {
     index: usize,
     process: u64,
     pub is_alive: bool,
@@ -33,7 +33,7 @@
 }
 
 impl Controller {
-    pub fn new(index: usize, clock: Clock) -> Controller {
+    pub(super) fn new(index: usize, clock: Clock) -> Controller {
         Controller {
             index,
             process: 0,
@@ -49,7 +49,7 @@
     }
 
     /// Starts a new process, which knows nothing of the one before.
-    pub fn start(&mut self) {
+    pub(super) fn start(&mut self) {
         self.process += 1;
         self.is_alive = true;
         self.view = Snapshot::default();
@@ -62,26 +62,26 @@
         self.books = ORDER_DUTIES.into_iter().map(book).collect();
     }
 
-    pub fn process(&self) -> Process {
+    pub(super) fn process(&self) -> Process {
         Process {
             controller: self.index,
             number: self.process,
         }
     }
 
-    pub fn is_running(&self, now: u64) -> bool {
+    pub(super) fn is_running(&self, now: u64) -> bool {
         self.is_alive && now >= self.paused_until
     }
 
     /// Whether it may give orders of a duty now.
-    pub fn may_order(&mut self, duty: Duty, now: u64) -> bool {
+    pub(super) fn may_order(&mut self, duty: Duty, now: u64) -> bool {
         let local = self.clock.read(now);
         let lease = self.leases.get_mut(&duty);
         lease.is_some_and(|lease| lease.order_token(local).is_some())
     }
 
     /// Requests of the leases, and the next read.
-    pub fn due_store_requests(&mut self, now: u64) -> Vec<StoreRequest> {
+    pub(super) fn due_store_requests(&mut self, now: u64) -> Vec<StoreRequest> {
         let local = self.clock.read(now);
         let mut requests = Vec::new();
         for (duty, lease) in &mut self.leases {
@@ -103,7 +103,11 @@
     }
 
     /// Requests of the order books. That this controller may give orders becomes history.
-    pub fn due_order_requests(&mut self, now: u64, history: &mut History) -> Vec<OrderRequest> {
+    pub(super) fn due_order_requests(
+        &mut self,
+        now: u64,
+        history: &mut History,
+    ) -> Vec<OrderRequest> {
         let local = self.clock.read(now);
         let mut requests = Vec::new();
         for (duty, lease) in &mut self.leases {
@@ -125,7 +129,7 @@
 
     /// What the planner's writes depend on, if this controller is the planner now and has
     /// read the store since it is.
-    pub fn planner_lease(&mut self, now: u64) -> Option<PlannerLease> {
+    pub(super) fn planner_lease(&mut self, now: u64) -> Option<PlannerLease> {
         let local = self.clock.read(now);
         let lease = self.leases.get_mut(&PLANNER)?;
         let token = lease.order_token(local)?;
@@ -135,12 +139,12 @@
     }
 
     /// A name's part that no other plan of this controller under the token has.
-    pub fn next_plan_suffix(&mut self, token: u64) -> String {
+    pub(super) fn next_plan_suffix(&mut self, token: u64) -> String {
         self.plans += 1;
         format!("{token}-{}", self.plans)
     }
 
-    pub fn on_store_result(&mut self, reply: Reply, result: StoreResult, now: u64) {
+    pub(super) fn on_store_result(&mut self, reply: Reply, result: StoreResult, now: u64) {
         let local = self.clock.read(now);
         match (reply, result) {
             (Reply::Lease { duty, id }, result) => {
@@ -181,7 +185,7 @@
         }
     }
 
-    pub fn on_order_outcome(&mut self, id: OrderId, outcome: OrderOutcome, now: u64) {
+    pub(super) fn on_order_outcome(&mut self, id: OrderId, outcome: OrderOutcome, now: u64) {
         let local = self.clock.read(now);
         let Some(book) = self.books.get_mut(&id.duty) else {
             return;
@@ -196,7 +200,7 @@
     }
 
     /// Notifies the order books of changes of the holder.
-    pub fn forward_lease_events(&mut self) {
+    pub(super) fn forward_lease_events(&mut self) {
         for (duty, lease) in &mut self.leases {
             let events = lease.take_events();
             let Some(book) = self.books.get_mut(duty) else {
@@ -218,7 +222,7 @@
 
 /// The planner's lease at the time of a plan.
 #[derive(Debug, Clone, Copy)]
-pub struct PlannerLease {
+pub(super) struct PlannerLease {
     pub token: u64,
     /// The version of the lease key.
     pub version: u64,
--- a/crates/duty-lease/tests/simulation/world/mod.rs
+++ b/crates/duty-lease/tests/simulation/world/mod.rs
@@ -26,15 +26,15 @@
 use network::{Network, Reply};
 use planner::PLANNER;
 
-pub use planner::Scaling;
-pub use troubles::{SentMessages, Troubles};
+pub(crate) use planner::Scaling;
+pub(crate) use troubles::{SentMessages, Troubles};
 
-pub const TTL_MS: u64 = 3000;
-pub const CONTROLLERS: usize = 3;
+pub(crate) const TTL_MS: u64 = 3000;
+pub(crate) const CONTROLLERS: usize = 3;
 const STEP_MS: u64 = 20;
 const DUTIES: [Duty; 3] = [Duty::Rent, Duty::Return, PLANNER];
 
-pub struct World {
+pub(crate) struct World {
     pub now: u64,
     pub rng: StdRng,
     pub store: Store,
@@ -51,7 +51,7 @@
 }
 
 impl World {
-    pub fn new(seed: u64, fence: Fence) -> World {
+    pub(crate) fn new(seed: u64, fence: Fence) -> World {
         let mut rng = StdRng::seed_from_u64(seed);
         let controllers = (0..CONTROLLERS)
             .map(|index| Controller::new(index, Clock::random(&mut rng)))
@@ -73,7 +73,7 @@
         world
     }
 
-    pub fn run(&mut self, for_ms: u64) {
+    pub(crate) fn run(&mut self, for_ms: u64) {
         let end = self.now + for_ms;
         while self.now < end {
             self.now += STEP_MS;
@@ -106,7 +106,7 @@
     }
 
     /// The controller that holds a duty by its own account.
-    pub fn holder(&self, duty: Duty) -> Option<usize> {
+    pub(crate) fn holder(&self, duty: Duty) -> Option<usize> {
         let holds = |controller: &Controller| {
             controller.is_alive && controller.leases[&duty].token().is_some()
         };
@@ -114,7 +114,7 @@
     }
 
     /// The controllers that could give an order now.
-    pub fn effective_holders(&mut self, duty: Duty) -> Vec<usize> {
+    pub(crate) fn effective_holders(&mut self, duty: Duty) -> Vec<usize> {
         let now = self.now;
         let controllers = self.controllers.iter_mut().enumerate();
         controllers
@@ -125,12 +125,12 @@
             .collect()
     }
 
-    pub fn effective_holder(&mut self, duty: Duty) -> Option<usize> {
+    pub(crate) fn effective_holder(&mut self, duty: Duty) -> Option<usize> {
         self.effective_holders(duty).first().copied()
     }
 
     /// Scaling requests and intents that are open, and machines that no controller owns.
-    pub fn loose_ends(&self) -> Vec<String> {
+    pub(crate) fn loose_ends(&self) -> Vec<String> {
         let is_open =
             |key: &&str| key.starts_with(keys::REQUESTS) || key.starts_with(keys::INTENTS);
         let all_keys = self.store.entries().map(|(key, _)| key);
--- a/crates/duty-lease/tests/simulation/world/network.rs
+++ b/crates/duty-lease/tests/simulation/world/network.rs
@@ -11,14 +11,14 @@
 /// A controller's process: a controller that starts again does not get the answers to its
 /// earlier process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Process {
+pub(super) struct Process {
     pub controller: usize,
     pub number: u64,
 }
 
 impl Process {
     /// An ended process of that controller: answers to it are dropped.
-    pub fn ended(controller: usize) -> Process {
+    pub(super) fn ended(controller: usize) -> Process {
         Process {
             controller,
             number: 0,
@@ -28,7 +28,7 @@
 
 /// What an answer of the store is for.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Reply {
+pub(super) enum Reply {
     Lease { duty: Duty, id: u64 },
     View,
     Recorded(OrderId),
@@ -37,14 +37,14 @@
 }
 
 #[derive(Debug, Clone)]
-pub enum StoreOperation {
+pub(super) enum StoreOperation {
     Lease(Duty, LeaseRequest),
     Read,
     Commit(Transaction),
 }
 
 #[derive(Debug, Clone)]
-pub enum StoreResult {
+pub(super) enum StoreResult {
     Lease(LeaseResponse),
     Snapshot(Box<Snapshot>),
     Committed(TransactionOutcome),
@@ -52,14 +52,14 @@
 }
 
 impl StoreResult {
-    pub fn into_lease_response(self) -> LeaseResponse {
+    pub(super) fn into_lease_response(self) -> LeaseResponse {
         match self {
             StoreResult::Lease(response) => response,
             _ => LeaseResponse::Refused,
         }
     }
 
-    pub fn record_outcome(&self) -> RecordOutcome {
+    pub(super) fn record_outcome(&self) -> RecordOutcome {
         match self {
             StoreResult::Committed(TransactionOutcome::Written(version)) => {
                 RecordOutcome::Written { version: *version }
@@ -72,20 +72,20 @@
 
 /// Whether the sender of a request gets the answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Answer {
+pub(super) enum Answer {
     Delivered,
     Lost,
 }
 
 /// A request to the store, with what its answer is for.
 #[derive(Debug, Clone)]
-pub struct StoreRequest {
+pub(super) struct StoreRequest {
     pub reply: Reply,
     pub operation: StoreOperation,
 }
 
 #[derive(Debug, Clone)]
-pub enum Message {
+pub(super) enum Message {
     ToStore {
         from: Process,
         request: StoreRequest,
@@ -126,25 +126,25 @@
 }
 
 #[derive(Debug, Default)]
-pub struct Network {
+pub(super) struct Network {
     messages: BTreeMap<Arrival, Message>,
     sent: u64,
 }
 
 impl Network {
-    pub fn send(&mut self, at: u64, message: Message) {
+    pub(super) fn send(&mut self, at: u64, message: Message) {
         self.sent += 1;
         let sequence = self.sent;
         self.messages.insert(Arrival { at, sequence }, message);
     }
 
-    pub fn next_due(&mut self, now: u64) -> Option<Message> {
+    pub(super) fn next_due(&mut self, now: u64) -> Option<Message> {
         let entry = self.messages.first_entry()?;
         (entry.key().at <= now).then(|| entry.remove())
     }
 
     /// Holds up what a controller has sent until this time.
-    pub fn hold_up(&mut self, controller: usize, until: u64) {
+    pub(super) fn hold_up(&mut self, controller: usize, until: u64) {
         let messages = self.messages.iter();
         let held = messages.filter(|(_, message)| message.sender() == Some(controller));
         let held: Vec<Arrival> = held.map(|(arrival, _)| *arrival).collect();
--- a/crates/duty-lease/tests/simulation/world/planner.rs
+++ b/crates/duty-lease/tests/simulation/world/planner.rs
@@ -10,18 +10,18 @@
 use crate::store::{keys, Condition, Transaction, Value, Write};
 
 /// The duty whose holder plans.
-pub const PLANNER: Duty = Duty::ReclaimIdle;
+pub(super) const PLANNER: Duty = Duty::ReclaimIdle;
 const MACHINES_WANTED: usize = 4;
 const TERMINATION_PROBABILITY: f64 = 0.3;
 
 /// Whether the planner requests machines and their termination, or only places tasks.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Scaling {
+pub(crate) enum Scaling {
     Active,
     Stopped,
 }
 
-pub struct Plan<'a> {
+pub(super) struct Plan<'a> {
     pub view: &'a Snapshot,
     pub scaling: Scaling,
     /// A part of the scaling request's name that is not used again.
@@ -30,7 +30,7 @@
 
 impl Plan<'_> {
     /// The planner's next transaction, without the condition that it holds its lease.
-    pub fn next(&self, provider: &Provider, rng: &mut StdRng) -> Option<Transaction> {
+    pub(super) fn next(&self, provider: &Provider, rng: &mut StdRng) -> Option<Transaction> {
         let is_unknown = |name: &&String| !self.view.machines.contains_key(*name);
         if let Some(machine) = provider.machines.iter().find(is_unknown) {
             return Some(adopt(machine));
--- a/crates/duty-lease/tests/simulation/world/snapshot.rs
+++ b/crates/duty-lease/tests/simulation/world/snapshot.rs
@@ -8,7 +8,7 @@
 use crate::store::{keys, Store, Value};
 
 #[derive(Debug, Clone, Default)]
-pub struct Snapshot {
+pub(super) struct Snapshot {
     pub leases: BTreeMap<Duty, LeaseView>,
     /// Machines that the controllers own, with the versions of their keys.
     pub machines: BTreeMap<String, u64>,
@@ -21,7 +21,7 @@
 }
 
 impl Snapshot {
-    pub fn read(store: &Store) -> Snapshot {
+    pub(super) fn read(store: &Store) -> Snapshot {
         let mut snapshot = Snapshot::default();
         for duty in DUTIES {
             snapshot.leases.insert(duty, store.lease_view(duty));
@@ -58,7 +58,7 @@
     }
 
     /// The open intents of a duty.
-    pub fn intents_of(&self, duty: Duty) -> Vec<Intent> {
+    pub(super) fn intents_of(&self, duty: Duty) -> Vec<Intent> {
         let intents = self.intents.iter();
         intents
             .filter(|intent| intent.id.duty == duty)
@@ -67,7 +67,7 @@
     }
 
     /// The scaling requests that a duty satisfies.
-    pub fn requests_of(&self, duty: Duty) -> Vec<ScalingRequest> {
+    pub(super) fn requests_of(&self, duty: Duty) -> Vec<ScalingRequest> {
         let requests = self.requests.iter();
         requests
             .filter(|request| duty_of(&request.order) == duty)
@@ -76,7 +76,7 @@
     }
 
     /// How many orders to rent machines are requested or recorded.
-    pub fn open_rentals(&self) -> usize {
+    pub(super) fn open_rentals(&self) -> usize {
         let requested = self.requests.iter().map(|request| &request.order);
         let recorded = self.intents.iter().map(|intent| &intent.order);
         let orders = requested.chain(recorded);
--- a/crates/duty-lease/tests/simulation/world/transactions.rs
+++ b/crates/duty-lease/tests/simulation/world/transactions.rs
@@ -5,7 +5,7 @@
 use crate::store::{keys, Condition, Transaction, Value, Write};
 
 /// Records an intent and removes the scaling request that it satisfies.
-pub fn record(intent: Intent, request: &ScalingRequest, guard: WriteGuard) -> Transaction {
+pub(super) fn record(intent: Intent, request: &ScalingRequest, guard: WriteGuard) -> Transaction {
     let id = intent.id;
     Transaction {
         conditions: vec![
@@ -21,7 +21,7 @@
 }
 
 /// Removes an intent and records its result.
-pub fn complete(intent: &Intent, result: &OrderResult, guard: WriteGuard) -> Transaction {
+pub(super) fn complete(intent: &Intent, result: &OrderResult, guard: WriteGuard) -> Transaction {
     let id = intent.id;
     let mut writes = vec![Write::delete(keys::intent(id))];
     writes.extend(result_writes(&intent.order, result));
--- a/crates/duty-lease/tests/simulation/world/troubles.rs
+++ b/crates/duty-lease/tests/simulation/world/troubles.rs
@@ -6,7 +6,7 @@
 
 /// Troubles that hold for the moment.
 #[derive(Debug, Default)]
-pub struct Troubles {
+pub(crate) struct Troubles {
     pub is_store_out: bool,
     /// The store refuses this controller alone.
     pub store_refuses: Option<usize>,
@@ -21,7 +21,7 @@
 
 /// What happens to the messages that a controller has sent before it is paused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum SentMessages {
+pub(crate) enum SentMessages {
     Delivered,
     /// They are held up until the controller goes on.
     HeldUp,
@@ -29,26 +29,26 @@
 
 impl World {
     /// Starts a controller, again if it runs.
-    pub fn start(&mut self, index: usize) {
+    pub(crate) fn start(&mut self, index: usize) {
         self.controllers[index].start();
     }
 
-    pub fn start_all(&mut self) {
+    pub(crate) fn start_all(&mut self) {
         for controller in &mut self.controllers {
             controller.start();
         }
     }
 
-    pub fn is_alive(&self, index: usize) -> bool {
+    pub(crate) fn is_alive(&self, index: usize) -> bool {
         self.controllers[index].is_alive
     }
 
-    pub fn crash(&mut self, index: usize) {
+    pub(crate) fn crash(&mut self, index: usize) {
         self.controllers[index].is_alive = false;
     }
 
     /// Stops a process for a while.
-    pub fn pause(&mut self, index: usize, for_ms: u64, sent: SentMessages) {
+    pub(crate) fn pause(&mut self, index: usize, for_ms: u64, sent: SentMessages) {
         let until = self.now + for_ms;
         self.controllers[index].paused_until = until;
         if sent == SentMessages::HeldUp {
@@ -57,31 +57,31 @@
     }
 
     /// The steady clock of a controller leaps, forward or back.
-    pub fn leap_clock(&mut self, index: usize, by_ms: i64) {
+    pub(crate) fn leap_clock(&mut self, index: usize, by_ms: i64) {
         self.clocks_sound = false;
         self.controllers[index].clock.leap(by_ms);
     }
 
     /// The steady clock of a controller stands still.
-    pub fn stop_clock(&mut self, index: usize) {
+    pub(crate) fn stop_clock(&mut self, index: usize) {
         self.clocks_sound = false;
         self.controllers[index].clock.stop(self.now);
     }
 
     /// The steady clock of a controller goes on from where it stands, if it does.
-    pub fn resume_clock(&mut self, index: usize) {
+    pub(crate) fn resume_clock(&mut self, index: usize) {
         self.controllers[index].clock.resume(self.now);
     }
 
     /// A controller becomes a candidate for a duty, or releases it.
-    pub fn set_candidacy(&mut self, index: usize, duty: Duty, candidacy: Candidacy) {
+    pub(crate) fn set_candidacy(&mut self, index: usize, duty: Duty, candidacy: Candidacy) {
         if let Some(lease) = self.controllers[index].leases.get_mut(&duty) {
             lease.set_candidacy(candidacy);
         }
     }
 
     /// The store answers again, and every grant has its full time.
-    pub fn end_store_outage(&mut self) {
+    pub(crate) fn end_store_outage(&mut self) {
         self.troubles.is_store_out = false;
         self.store.refresh(self.now);
     }
--- a/src/cloud/offerings.rs
+++ b/src/cloud/offerings.rs
@@ -19,7 +19,7 @@
 
 impl InstanceOffering {
     /// The price for each task if a machine were full of tasks with this demand.
-    pub fn price_per_task(&self, demand: Resources) -> f64 {
+    pub(super) fn price_per_task(&self, demand: Resources) -> f64 {
         self.price / f64::from(self.capacity.count_of(demand))
     }
 }
--- a/src/cloud/open_demand.rs
+++ b/src/cloud/open_demand.rs
@@ -21,7 +21,7 @@
 
 impl<'a> OpenDemand<'a> {
     /// A demand of which nothing is met. `zones`: where the job's other tasks are.
-    pub fn new(
+    pub(super) fn new(
         index: usize,
         demand: &'a Demand,
         zones: &ZoneCounts,
@@ -38,17 +38,17 @@
     }
 
     /// How many more of its tasks may be in a zone.
-    pub fn allowed_in_zone(&self, zone: &str) -> u32 {
+    pub(super) fn allowed_in_zone(&self, zone: &str) -> u32 {
         self.demand.allowed_in_zone(zone, &self.zones)
     }
 
     /// How many of the tasks without a machine may be in a zone.
-    pub fn unmet_in_zone(&self, zone: &str) -> u32 {
+    pub(super) fn unmet_in_zone(&self, zone: &str) -> u32 {
         self.unmet_count.min(self.allowed_in_zone(zone))
     }
 
     /// Counts tasks as placed in a zone.
-    pub fn add_placed(&mut self, zone: &str, count: u32) {
+    pub(super) fn add_placed(&mut self, zone: &str, count: u32) {
         self.unmet_count -= count;
         *self.zones.entry(zone.into()).or_insert(0) += count;
     }
--- a/src/cloud/planner.rs
+++ b/src/cloud/planner.rs
@@ -34,7 +34,7 @@
 
 impl<'a> ScaleOutPlanner<'a> {
     /// A planner that rents at most `machines_max` machines.
-    pub fn new(
+    pub(super) fn new(
         demands: &'a [Demand],
         offerings: &'a [InstanceOffering],
         machines_max: u64,
@@ -48,7 +48,12 @@
     }
 
     /// Satisfies a demand in the zone where the least of it stays unmet, then in the cheapest.
-    pub fn satisfy_in_best_zone(&self, index: usize, zones: &[&str], plan: &mut ScaleOutPlan) {
+    pub(super) fn satisfy_in_best_zone(
+        &self,
+        index: usize,
+        zones: &[&str],
+        plan: &mut ScaleOutPlan,
+    ) {
         let attempts = zones.iter().map(|zone| {
             let mut attempt = plan.clone();
             let only = ZoneCounts::from([((*zone).into(), 1)]);
@@ -68,7 +73,7 @@
 
     /// Satisfies a demand from the machines in the plan, rents machines for the rest, and
     /// returns how many tasks stay unmet. `zones`: where the job's other tasks are.
-    pub fn satisfy(&self, index: usize, zones: &ZoneCounts, plan: &mut ScaleOutPlan) -> u32 {
+    pub(super) fn satisfy(&self, index: usize, zones: &ZoneCounts, plan: &mut ScaleOutPlan) -> u32 {
         let demand = &self.demands[index];
         let mut open = OpenDemand::new(index, demand, zones, self.offerings);
         self.use_planned_machines(&mut open, plan);
--- a/src/cloud/scale_out_plan.rs
+++ b/src/cloud/scale_out_plan.rs
@@ -44,7 +44,10 @@
 impl ScaleOutPlan {
     /// A plan that rents nothing. Machines on their way that the cloud no longer offers don't
     /// count.
-    pub fn new(incoming: &[IncomingMachines], offerings: &[InstanceOffering]) -> ScaleOutPlan {
+    pub(super) fn new(
+        incoming: &[IncomingMachines],
+        offerings: &[InstanceOffering],
+    ) -> ScaleOutPlan {
         let group = |machines: &IncomingMachines| {
             let mut kinds = offerings.iter().map(|offering| &offering.kind);
             let offering = kinds.position(|kind| *kind == machines.kind)?;
@@ -63,27 +66,32 @@
     }
 
     /// The machines on their way or to be rented.
-    pub fn groups(&self) -> &[MachineGroup] {
+    pub(super) fn groups(&self) -> &[MachineGroup] {
         &self.groups
     }
 
     /// The machines to be rented.
-    pub fn rented(&self) -> &[RentedMachines] {
+    pub(super) fn rented(&self) -> &[RentedMachines] {
         &self.rented
     }
 
     /// The number of machines to be rented.
-    pub fn rented_count(&self) -> u64 {
+    pub(super) fn rented_count(&self) -> u64 {
         self.rented_count
     }
 
     /// The price for an hour of all machines to be rented.
-    pub fn price(&self) -> f64 {
+    pub(super) fn price(&self) -> f64 {
         self.price
     }
 
     /// Rents machines, and returns the index of their group.
-    pub fn rent(&mut self, offering: usize, details: &InstanceOffering, count: u64) -> usize {
+    pub(super) fn rent(
+        &mut self,
+        offering: usize,
+        details: &InstanceOffering,
+        count: u64,
+    ) -> usize {
         self.price += details.price * count as f64;
         self.rented_count += count;
         let mut rented = self.rented.iter_mut();
@@ -101,7 +109,7 @@
 
     /// Places tasks of a demand on the machines of a group in `zone`, as many as they hold.
     /// Machines that receive tasks become groups of their own.
-    pub fn use_group(&mut self, index: usize, open: &mut OpenDemand, zone: &str) {
+    pub(super) fn use_group(&mut self, index: usize, open: &mut OpenDemand, zone: &str) {
         let group = self.groups[index];
         let tasks_each = group.free.count_of(open.per_task);
         let tasks_max = open.unmet_in_zone(zone);
@@ -147,7 +155,7 @@
     }
 
     /// Removes the groups that were split completely.
-    pub fn remove_empty_groups(&mut self) {
+    pub(super) fn remove_empty_groups(&mut self) {
         self.groups.retain(|group| group.count > 0);
     }
 }
--- a/src/controller/acknowledged_cancellations.rs
+++ b/src/controller/acknowledged_cancellations.rs
@@ -11,17 +11,17 @@
 
 impl AcknowledgedCancellations {
     /// A user was told that a job is cancelled.
-    pub fn record(&mut self, job: &str, now: u64) {
+    pub(super) fn record(&mut self, job: &str, now: u64) {
         self.acknowledged_at.entry(job.to_string()).or_insert(now);
     }
 
     /// Drops those that are older than `memory_ms`.
-    pub fn expire(&mut self, memory_ms: u64, now: u64) {
+    pub(super) fn expire(&mut self, memory_ms: u64, now: u64) {
         self.acknowledged_at.retain(|_, at| now < *at + memory_ms);
     }
 
     /// The jobs.
-    pub fn jobs(&self) -> Vec<String> {
+    pub(super) fn jobs(&self) -> Vec<String> {
         self.acknowledged_at.keys().cloned().collect()
     }
 }
--- a/src/controller/calls.rs
+++ b/src/controller/calls.rs
@@ -63,7 +63,7 @@
 
 impl PendingCall {
     /// Whether the outcome shows if the store is reachable.
-    pub fn is_store_call(&self) -> bool {
+    pub(super) fn is_store_call(&self) -> bool {
         matches!(
             self,
             PendingCall::LoadPage(_)
--- a/src/controller/clock.rs
+++ b/src/controller/clock.rs
@@ -29,7 +29,7 @@
 }
 
 impl EventClock {
-    pub fn new() -> EventClock {
+    pub(super) fn new() -> EventClock {
         EventClock {
             now: Timestamp { steady: 0, wall: 0 },
             event_count: 0,
@@ -38,39 +38,39 @@
     }
 
     /// An event has come: what is read of the store from now on is newer than it.
-    pub fn begin_event(&mut self, now: Timestamp) {
+    pub(super) fn begin_event(&mut self, now: Timestamp) {
         self.now = now;
         self.event_count += 1;
         self.began_at.get_or_insert(now.steady);
     }
 
     /// Time has passed without an event from outside.
-    pub fn set(&mut self, now: Timestamp) {
+    pub(super) fn set(&mut self, now: Timestamp) {
         self.now = now;
     }
 
     /// The moment of the event in progress.
-    pub fn timestamp(&self) -> Timestamp {
+    pub(super) fn timestamp(&self) -> Timestamp {
         self.now
     }
 
     /// The steady clock in milliseconds.
-    pub fn steady_ms(&self) -> u64 {
+    pub(super) fn steady_ms(&self) -> u64 {
         self.now.steady
     }
 
     /// The time of day in milliseconds.
-    pub fn wall_ms(&self) -> u64 {
+    pub(super) fn wall_ms(&self) -> u64 {
         self.now.wall
     }
 
     /// The number of the event in progress.
-    pub fn sequence(&self) -> u64 {
+    pub(super) fn sequence(&self) -> u64 {
         self.event_count
     }
 
     /// The time of the event in progress.
-    pub fn event_time(&self) -> EventTime {
+    pub(super) fn event_time(&self) -> EventTime {
         EventTime {
             at: self.now.steady,
             sequence: self.event_count,
@@ -78,7 +78,7 @@
     }
 
     /// For how long this process has run.
-    pub fn process_age_ms(&self) -> u64 {
+    pub(super) fn process_age_ms(&self) -> u64 {
         self.began_at.map_or(0, |at| self.now.steady - at)
     }
 }
--- a/src/controller/commits.rs
+++ b/src/controller/commits.rs
@@ -22,7 +22,7 @@
 
 impl WriteOwner {
     /// Whether the write depends on the leader's term.
-    pub fn is_of_leader(&self) -> bool {
+    pub(super) fn is_of_leader(&self) -> bool {
         match self {
             WriteOwner::Job(_) => true,
             WriteOwner::Duty(write) => write.is_of_leader(),
--- a/src/controller/deferred_heartbeats.rs
+++ b/src/controller/deferred_heartbeats.rs
@@ -24,7 +24,7 @@
 impl DeferredHeartbeats {
     /// Adds a heartbeat. Returns an earlier one of the same machine, for which nobody may
     /// wait any more.
-    pub fn insert(&mut self, heartbeat: DeferredHeartbeat) -> Option<DeferredHeartbeat> {
+    pub(super) fn insert(&mut self, heartbeat: DeferredHeartbeat) -> Option<DeferredHeartbeat> {
         let number = self.next_number;
         self.next_number += 1;
         let machine = heartbeat.status.machine.clone();
@@ -34,7 +34,7 @@
     }
 
     /// Removes those of the given machines, in the order in which they came.
-    pub fn take_of<'a>(
+    pub(super) fn take_of<'a>(
         &mut self,
         machines: impl Iterator<Item = &'a str>,
     ) -> Vec<DeferredHeartbeat> {
@@ -48,7 +48,7 @@
     }
 
     /// Removes those whose time is over. All wait equally long, so these came first.
-    pub fn take_due(&mut self, now: u64) -> Vec<DeferredHeartbeat> {
+    pub(super) fn take_due(&mut self, now: u64) -> Vec<DeferredHeartbeat> {
         let mut due = Vec::new();
         while let Some(first) = self.by_number.first_entry() {
             if now < first.get().until {
@@ -62,7 +62,7 @@
     }
 
     /// Removes all.
-    pub fn take_all(&mut self) -> Vec<DeferredHeartbeat> {
+    pub(super) fn take_all(&mut self) -> Vec<DeferredHeartbeat> {
         self.number_of.clear();
         std::mem::take(&mut self.by_number).into_values().collect()
     }
--- a/src/controller/duties/assignment.rs
+++ b/src/controller/duties/assignment.rs
@@ -30,7 +30,7 @@
 }
 
 impl DutyAssignment {
-    pub fn new(settings: &DutySettings, timing: &LeaseTiming) -> DutyAssignment {
+    pub(super) fn new(settings: &DutySettings, timing: &LeaseTiming) -> DutyAssignment {
         DutyAssignment {
             rules: AssignmentRules {
                 settle_ms: timing.ttl_ms,
--- a/src/controller/duties/cleaning.rs
+++ b/src/controller/duties/cleaning.rs
@@ -54,7 +54,7 @@
 
 impl Cleaning {
     /// `lease_s`: an agent's lease.
-    pub fn new(settings: &DutySettings, lease_s: f64) -> Cleaning {
+    pub(super) fn new(settings: &DutySettings, lease_s: f64) -> Cleaning {
         let mode = if settings.cleaning_dry_run {
             CleaningMode::DryRun
         } else {
--- a/src/controller/duties/leader_requests.rs
+++ b/src/controller/duties/leader_requests.rs
@@ -21,47 +21,47 @@
 
 impl LeaderRequests {
     /// A term has begun. The count goes on: names must not occur twice.
-    pub fn reset(&mut self) {
+    pub(super) fn reset(&mut self) {
         self.pending_terminations.clear();
         self.unanswered_terminations.clear();
         self.processed.clear();
     }
 
     /// Whether a machine's termination is being written.
-    pub fn is_termination_pending(&self, machine: &str) -> bool {
+    pub(super) fn is_termination_pending(&self, machine: &str) -> bool {
         self.pending_terminations.contains(machine)
     }
 
     /// Whether a machine's termination may yet be written.
-    pub fn is_termination_unanswered(&self, machine: &str) -> bool {
+    pub(super) fn is_termination_unanswered(&self, machine: &str) -> bool {
         self.unanswered_terminations.contains(machine)
     }
 
     /// The termination of machines is being written. Returns the number of the request.
-    pub fn begin_termination(&mut self, machines: &[String]) -> u64 {
+    pub(super) fn begin_termination(&mut self, machines: &[String]) -> u64 {
         self.termination_count += 1;
         self.pending_terminations.extend(machines.iter().cloned());
         self.termination_count
     }
 
     /// The write of a machine's termination has an outcome.
-    pub fn end_termination(&mut self, machine: &str) {
+    pub(super) fn end_termination(&mut self, machine: &str) {
         self.pending_terminations.remove(machine);
     }
 
     /// The write of a machine's termination has an unknown outcome.
-    pub fn mark_unanswered(&mut self, machine: &str) {
+    pub(super) fn mark_unanswered(&mut self, machine: &str) {
         self.unanswered_terminations.insert(machine.to_string());
     }
 
     /// A processed result is to be removed. Returns whether its removal is not on its way
     /// already.
-    pub fn begin_removal(&mut self, key: &OrderKey) -> bool {
+    pub(super) fn begin_removal(&mut self, key: &OrderKey) -> bool {
         self.processed.insert(key.clone())
     }
 
     /// The removal of a processed result has an outcome.
-    pub fn end_removal(&mut self, key: &OrderKey) {
+    pub(super) fn end_removal(&mut self, key: &OrderKey) {
         self.processed.remove(key);
     }
 }
--- a/src/controller/duties/mod.rs
+++ b/src/controller/duties/mod.rs
@@ -70,7 +70,11 @@
 
 impl DutyState {
     /// `settings`: the operators', which this keeps no copy of.
-    pub fn new(member: &str, cluster: &ClusterSettings, settings: Option<&DutySettings>) -> Self {
+    pub(super) fn new(
+        member: &str,
+        cluster: &ClusterSettings,
+        settings: Option<&DutySettings>,
+    ) -> Self {
         let lease_s = cluster.workers.lease_s;
         let control = settings.map(|settings| DutyControl::new(member, lease_s, settings));
         // A leader warns by the usual times if operators have not switched duties on for it.
--- a/src/controller/duties/order_results.rs
+++ b/src/controller/duties/order_results.rs
@@ -70,7 +70,7 @@
                 self.retain_machines(machines);
             }
             OrderResult::Deleted => {
-                scheduler.on_termination_outcome(machines, TerminationOutcome::Confirmed, now)
+                scheduler.on_termination_outcome(machines, TerminationOutcome::Confirmed, now);
             }
         }
         self.remove_processed_result(key.clone());
--- a/src/controller/duties/request_review.rs
+++ b/src/controller/duties/request_review.rs
@@ -66,7 +66,7 @@
     pub(super) fn occupied_machines(&self) -> HashSet<String> {
         let jobs = self.watch_cache.jobs.values();
         let runs = jobs.flat_map(|job| &job.record.runs);
-        runs.map(|run| run.machine.to_string()).collect()
+        runs.map(|run| run.machine.clone()).collect()
     }
 
     fn execute_verdict(
--- a/src/controller/duties/runtime.rs
+++ b/src/controller/duties/runtime.rs
@@ -46,7 +46,7 @@
 impl DutyRuntime {
     /// A controller that does not hold the duty, and is no candidate for it until it knows
     /// which others are live.
-    pub fn new(duty: Duty, member: &str, timing: LeaseTiming) -> DutyRuntime {
+    pub(super) fn new(duty: Duty, member: &str, timing: LeaseTiming) -> DutyRuntime {
         let mut lease = DutyLease::new(member, timing);
         lease.set_candidacy(Candidacy::Observer);
         DutyRuntime {
@@ -62,32 +62,36 @@
     }
 
     /// Whether this controller holds the duty, whether it may send orders or not.
-    pub fn holds(&self) -> bool {
+    pub(super) fn holds(&self) -> bool {
         self.lease.token().is_some()
     }
 
     /// Whether this controller may send orders at this very moment.
-    pub fn may_send_orders(&mut self, now: u64) -> bool {
+    pub(super) fn may_send_orders(&mut self, now: u64) -> bool {
         self.lease.order_token(now).is_some()
     }
 
     /// The version of the lease key, if this controller holds the duty.
-    pub fn holder_version(&self) -> Option<u64> {
+    pub(super) fn holder_version(&self) -> Option<u64> {
         self.lease.holder_version()
     }
 
     /// Makes this controller a candidate for the duty, or not.
-    pub fn set_candidacy(&mut self, candidacy: Candidacy) {
+    pub(super) fn set_candidacy(&mut self, candidacy: Candidacy) {
         self.lease.set_candidacy(candidacy);
     }
 
     /// How long a response of the store is waited for.
-    pub fn answer_timeout_ms(&self) -> u64 {
+    pub(super) fn answer_timeout_ms(&self) -> u64 {
         self.timing.answer_timeout_ms()
     }
 
     /// The next request for the lease that has to be sent to the store.
-    pub fn next_lease_call(&mut self, records: &DutyRecords, now: u64) -> Option<DutyLeaseCall> {
+    pub(super) fn next_lease_call(
+        &mut self,
+        records: &DutyRecords,
+        now: u64,
+    ) -> Option<DutyLeaseCall> {
         let generation = records.generation();
         if self.lease_generation != Some(generation) {
             self.lease_generation = Some(generation);
@@ -105,12 +109,12 @@
     }
 
     /// The response to a request for the lease.
-    pub fn on_lease_response(&mut self, id: u64, response: LeaseResponse, now: u64) {
+    pub(super) fn on_lease_response(&mut self, id: u64, response: LeaseResponse, now: u64) {
         self.lease.on_response(id, response, now);
     }
 
     /// Applies what has happened to the lease to the orders, and logs it.
-    pub fn process_lease_events(&mut self, member: &str) {
+    pub(super) fn process_lease_events(&mut self, member: &str) {
         for event in self.lease.take_events() {
             log_lease_event(self.duty, member, event);
             match event {
@@ -130,31 +134,31 @@
     }
 
     /// Whether the order book is to be shown records of this generation.
-    pub fn begin_order_sync(&mut self, generation: u64) -> bool {
+    pub(super) fn begin_order_sync(&mut self, generation: u64) -> bool {
         let is_new = self.orders_generation != Some(generation);
         self.orders_generation = Some(generation);
         is_new
     }
 
     /// Shows the order book the recorded orders, and the requests that may be satisfied.
-    pub fn sync_orders(&mut self, intents: &[Intent], requests: &[ScalingRequest]) {
+    pub(super) fn sync_orders(&mut self, intents: &[Intent], requests: &[ScalingRequest]) {
         self.orders.on_view(intents, requests);
     }
 
     /// The order book is to be shown the records again, even if nothing else changes.
-    pub fn repeat_order_sync(&mut self) {
+    pub(super) fn repeat_order_sync(&mut self) {
         self.orders_generation = None;
     }
 
     /// The requests of the order book that are due.
-    pub fn due_order_requests(&mut self, now: u64) -> Vec<OrderRequest> {
+    pub(super) fn due_order_requests(&mut self, now: u64) -> Vec<OrderRequest> {
         let order_token = self.lease.order_token(now);
         self.orders.tick(order_token, now)
     }
 
     /// What became of an order. Returns whether it shows that this controller is fenced: it
     /// has lost the duty then.
-    pub fn on_order_outcome(
+    pub(super) fn on_order_outcome(
         &mut self,
         id: OrderId,
         outcome: OrderOutcome,
@@ -168,38 +172,38 @@
     }
 
     /// What became of recording an order.
-    pub fn on_order_recorded(&mut self, id: OrderId, outcome: RecordOutcome, now: u64) {
+    pub(super) fn on_order_recorded(&mut self, id: OrderId, outcome: RecordOutcome, now: u64) {
         self.orders.on_recorded(id, outcome, now);
     }
 
     /// What became of completing an order.
-    pub fn on_order_completed(&mut self, id: OrderId, outcome: RecordOutcome, now: u64) {
+    pub(super) fn on_order_completed(&mut self, id: OrderId, outcome: RecordOutcome, now: u64) {
         self.orders.on_completed(id, outcome, now);
     }
 
     /// Whether scaling requests were reviewed by these records.
-    pub fn is_reviewed(&self, point: ReviewPoint) -> bool {
+    pub(super) fn is_reviewed(&self, point: ReviewPoint) -> bool {
         self.reviewed_at == Some(point)
     }
 
     /// Scaling requests were reviewed.
-    pub fn mark_reviewed(&mut self, point: ReviewPoint) {
+    pub(super) fn mark_reviewed(&mut self, point: ReviewPoint) {
         self.reviewed_at = Some(point);
     }
 
     /// Whether a decision on a scaling request is on its way.
-    pub fn has_decision_in_flight(&self, request: &str) -> bool {
+    pub(super) fn has_decision_in_flight(&self, request: &str) -> bool {
         let mut decisions = self.decisions_in_flight.iter();
         decisions.any(|key| key.request == request)
     }
 
     /// A decision on a scaling request is being written.
-    pub fn begin_decision(&mut self, key: OrderKey) {
+    pub(super) fn begin_decision(&mut self, key: OrderKey) {
         self.decisions_in_flight.push(key);
     }
 
     /// A decision was written, or was not: then it is made again.
-    pub fn end_decision(&mut self, key: &OrderKey) {
+    pub(super) fn end_decision(&mut self, key: &OrderKey) {
         self.decisions_in_flight.retain(|other| other != key);
         self.reviewed_at = None;
         self.orders_generation = None;
--- a/src/controller/duties/unheld_duties.rs
+++ b/src/controller/duties/unheld_duties.rs
@@ -21,7 +21,7 @@
 }
 
 impl UnheldDuties {
-    pub fn new(bound_ms: u64) -> UnheldDuties {
+    pub(super) fn new(bound_ms: u64) -> UnheldDuties {
         UnheldDuties {
             bound_ms,
             unheld: BTreeMap::new(),
@@ -29,13 +29,13 @@
     }
 
     /// A duty has a holder.
-    pub fn on_held(&mut self, duty: Duty) {
+    pub(super) fn on_held(&mut self, duty: Duty) {
         self.unheld.remove(&duty);
     }
 
     /// A duty has no holder. Returns for how long, in milliseconds, once it is longer than
     /// the bound.
-    pub fn on_unheld(&mut self, duty: Duty, now: u64) -> Option<u64> {
+    pub(super) fn on_unheld(&mut self, duty: Duty, now: u64) -> Option<u64> {
         let unheld = self.unheld.entry(duty).or_insert(UnheldDuty {
             since: now,
             is_reported: false,
--- a/src/controller/duties/writes.rs
+++ b/src/controller/duties/writes.rs
@@ -19,12 +19,12 @@
 }
 
 impl RecordChange {
-    pub fn set(key: OrderKey, record: OrderRecord) -> RecordChange {
+    pub(super) fn set(key: OrderKey, record: OrderRecord) -> RecordChange {
         let record = Some(record);
         RecordChange { key, record }
     }
 
-    pub fn remove(key: OrderKey) -> RecordChange {
+    pub(super) fn remove(key: OrderKey) -> RecordChange {
         RecordChange { key, record: None }
     }
 }
@@ -61,7 +61,7 @@
     }
 
     /// Whether it depends on the leader's term.
-    pub fn is_of_leader(&self) -> bool {
+    pub(crate) fn is_of_leader(&self) -> bool {
         let purpose = &self.purpose;
         matches!(
             purpose,
--- a/src/controller/http.rs
+++ b/src/controller/http.rs
@@ -21,7 +21,7 @@
 }
 
 impl HttpCall {
-    pub fn get(path: impl Into<String>, timeout_ms: u64) -> HttpCall {
+    pub(super) fn get(path: impl Into<String>, timeout_ms: u64) -> HttpCall {
         HttpCall {
             method: GET,
             path: path.into(),
@@ -30,7 +30,7 @@
         }
     }
 
-    pub fn post(path: impl Into<String>, body: Vec<u8>, timeout_ms: u64) -> HttpCall {
+    pub(super) fn post(path: impl Into<String>, body: Vec<u8>, timeout_ms: u64) -> HttpCall {
         HttpCall {
             method: POST,
             path: path.into(),
@@ -40,12 +40,12 @@
     }
 
     /// Reads a single key of the store.
-    pub fn get_key(key: &str) -> HttpCall {
+    pub(super) fn get_key(key: &str) -> HttpCall {
         HttpCall::get(wire::key_path(key), READ_TIMEOUT_MS)
     }
 
     /// Reads a page of the keys of the store under a prefix, behind the key `from`.
-    pub fn get_page(
+    pub(super) fn get_page(
         prefix: &str,
         from: Option<&str>,
         keys_max: usize,
@@ -55,7 +55,7 @@
     }
 
     /// Sends a transaction to the store.
-    pub fn transaction(transaction: &wire::Transaction, timeout_ms: u64) -> HttpCall {
+    pub(super) fn transaction(transaction: &wire::Transaction, timeout_ms: u64) -> HttpCall {
         HttpCall::post(
             wire::transaction_path(),
             wire::encode(transaction),
@@ -64,18 +64,18 @@
     }
 
     /// Asks the store for a grant.
-    pub fn create_grant(ttl_ms: u64, timeout_ms: u64) -> HttpCall {
+    pub(super) fn create_grant(ttl_ms: u64, timeout_ms: u64) -> HttpCall {
         let body = wire::encode(&wire::GrantRequest { ttl_ms });
         HttpCall::post(wire::grants_path(), body, timeout_ms)
     }
 
     /// Renews a grant.
-    pub fn renew_grant(grant: u64, timeout_ms: u64) -> HttpCall {
+    pub(super) fn renew_grant(grant: u64, timeout_ms: u64) -> HttpCall {
         HttpCall::post(wire::renewal_path(grant), vec![], timeout_ms)
     }
 
     /// Ends a grant.
-    pub fn end_grant(grant: u64, timeout_ms: u64) -> HttpCall {
+    pub(super) fn end_grant(grant: u64, timeout_ms: u64) -> HttpCall {
         HttpCall {
             method: DELETE,
             path: wire::grant_path(grant),
@@ -96,7 +96,7 @@
 
 impl HttpResponse {
     /// A response with a body; the client is not asked to try again.
-    pub fn new(status: u16, body: Vec<u8>) -> HttpResponse {
+    pub(super) fn new(status: u16, body: Vec<u8>) -> HttpResponse {
         HttpResponse {
             status,
             retry_after_s: None,
@@ -105,28 +105,28 @@
     }
 
     /// A successful response.
-    pub fn ok(body: Vec<u8>) -> HttpResponse {
+    pub(super) fn ok(body: Vec<u8>) -> HttpResponse {
         HttpResponse::new(status::OK, body)
     }
 
     /// A response without a body.
-    pub fn empty(status: u16) -> HttpResponse {
+    pub(super) fn empty(status: u16) -> HttpResponse {
         HttpResponse::new(status, vec![])
     }
 
     /// Nothing can be said now: the client is to try again.
-    pub fn unavailable() -> HttpResponse {
+    pub(super) fn unavailable() -> HttpResponse {
         HttpResponse::empty(status::UNAVAILABLE).with_retry_after()
     }
 
     /// A response that says what is wrong.
-    pub fn error(status: u16, reason: &str) -> HttpResponse {
+    pub(super) fn error(status: u16, reason: &str) -> HttpResponse {
         let body = wire::encode(&wire::ErrorReply { error: reason });
         HttpResponse::new(status, body)
     }
 
     /// Asks the client to try again.
-    pub fn with_retry_after(self) -> HttpResponse {
+    pub(super) fn with_retry_after(self) -> HttpResponse {
         HttpResponse {
             retry_after_s: Some(RETRY_AFTER_S),
             ..self
--- a/src/controller/leadership.rs
+++ b/src/controller/leadership.rs
@@ -50,7 +50,7 @@
 
 impl Leadership {
     /// A follower. `writes_max`: most changes of a transaction, now and under limits to come.
-    pub fn new(member: &str, ttl_ms: u64, writes_max: usize, seed: u64) -> Leadership {
+    pub(super) fn new(member: &str, ttl_ms: u64, writes_max: usize, seed: u64) -> Leadership {
         Leadership {
             member: member.to_string(),
             lease: LeaderLease::new(member, ttl_ms, writes_max),
@@ -60,23 +60,23 @@
     }
 
     /// Whether the lease is ours as far as is known.
-    pub fn has_lease(&self) -> bool {
+    pub(super) fn has_lease(&self) -> bool {
         self.lease.epoch().is_some()
     }
 
     /// Whether the lease is ours and can't have expired.
-    pub fn is_certain(&self, now: u64) -> bool {
+    pub(super) fn is_certain(&self, now: u64) -> bool {
         self.lease.is_certain(now)
     }
 
     /// The next request for the lease, if it is time for one.
-    pub fn tick(&mut self, watch_cache: &WatchCache, now: u64) -> Option<LeaseRequest> {
+    pub(super) fn tick(&mut self, watch_cache: &WatchCache, now: u64) -> Option<LeaseRequest> {
         let jitter = self.rng.random::<f64>();
         self.lease.tick(now, watch_cache, jitter)
     }
 
     /// The call that a request for the lease becomes.
-    pub fn http_call(&self, request: &LeaseRequest) -> HttpCall {
+    pub(super) fn http_call(&self, request: &LeaseRequest) -> HttpCall {
         let timeout_ms = self.lease.ttl_ms / TIMEOUT_PART;
         match request {
             LeaseRequest::Grant => HttpCall::create_grant(self.lease.ttl_ms, timeout_ms),
@@ -90,7 +90,7 @@
     }
 
     /// Processes the outcome of a request for the lease.
-    pub fn on_outcome(
+    pub(super) fn on_outcome(
         &mut self,
         request: &LeaseRequest,
         outcome: &Outcome,
@@ -114,12 +114,12 @@
 
     /// The keys of leadership have changed in the watch cache. Returns whether the lease was
     /// lost by that.
-    pub fn on_keys_changed(&mut self, watch_cache: &WatchCache) -> bool {
+    pub(super) fn on_keys_changed(&mut self, watch_cache: &WatchCache) -> bool {
         self.lease.on_cache_event(watch_cache) == Some(LeadershipTransition::Ended)
     }
 
     /// Prepares the term that a won election begins.
-    pub fn prepare_term(&mut self, election: WonElection, now: Timestamp) {
+    pub(super) fn prepare_term(&mut self, election: WonElection, now: Timestamp) {
         self.pending_term = Some(Term {
             member: self.member.clone(),
             epoch: election.epoch,
@@ -130,29 +130,29 @@
     }
 
     /// Whether a term waits for the watch cache.
-    pub fn has_pending_term(&self) -> bool {
+    pub(super) fn has_pending_term(&self) -> bool {
         self.pending_term.is_some()
     }
 
     /// The term that may begin, as the watch cache holds all changes up to `revision`.
-    pub fn take_term(&mut self, revision: u64) -> Option<Term> {
+    pub(super) fn take_term(&mut self, revision: u64) -> Option<Term> {
         self.pending_term
             .take_if(|term| term.key_version <= revision)
     }
 
     /// Drops a term that has not begun.
-    pub fn drop_pending_term(&mut self) {
+    pub(super) fn drop_pending_term(&mut self) {
         self.pending_term = None;
     }
 
     /// Gives up the lease, and does not campaign for `standby_ms`. Returns the request that
     /// ends the grant, if the lease was ours.
-    pub fn resign(&mut self, standby_ms: u64, now: u64) -> Option<LeaseRequest> {
+    pub(super) fn resign(&mut self, standby_ms: u64, now: u64) -> Option<LeaseRequest> {
         self.lease.resign(now, standby_ms)
     }
 
     /// Gives up a lease that is another's already: there is no grant to end.
-    pub fn abandon(&mut self, now: u64) {
+    pub(super) fn abandon(&mut self, now: u64) {
         let _ = self.lease.resign(now, 0);
     }
 }
--- a/src/controller/machine_list_reader.rs
+++ b/src/controller/machine_list_reader.rs
@@ -71,13 +71,13 @@
 
 impl MachineListReader {
     /// Gives up a read in progress and begins anew.
-    pub fn restart(&mut self, now: u64) {
+    pub(super) fn restart(&mut self, now: u64) {
         self.next_at = now;
         self.read = None;
     }
 
     /// Whether a page is to be asked for.
-    pub fn is_due(&self, now: u64) -> bool {
+    pub(super) fn is_due(&self, now: u64) -> bool {
         match &self.read {
             Some(read) => read.next_page_at.is_some_and(|at| now >= at),
             None => now >= self.next_at,
@@ -87,7 +87,7 @@
     /// A page is being read. `interval_ms`: time between two reads, for each page of
     /// the list: a long one costs calls and time, and shows little that heartbeats don't.
     /// Returns the last name that is known already.
-    pub fn begin_page(&mut self, now: u64, interval_ms: u64) -> Option<String> {
+    pub(super) fn begin_page(&mut self, now: u64, interval_ms: u64) -> Option<String> {
         if self.read.is_none() {
             let doublings = self.invalid.min(INVALID_DOUBLINGS_MAX);
             self.next_at = now + ((interval_ms * self.pages.max(1)) << doublings);
@@ -105,12 +105,12 @@
     }
 
     /// When the read in progress began: what belongs to an earlier one is dropped.
-    pub fn started_at(&self) -> Option<u64> {
+    pub(super) fn started_at(&self) -> Option<u64> {
         self.read.as_ref().map(|read| read.started_at)
     }
 
     /// A page was not read. It is read again, and after some failures the whole list.
-    pub fn on_failure(&mut self, now: u64) {
+    pub(super) fn on_failure(&mut self, now: u64) {
         let Some(read) = &mut self.read else {
             return;
         };
@@ -124,7 +124,12 @@
     }
 
     /// Adds a page. `machines_max`: more can't be held in memory.
-    pub fn on_page(&mut self, page: MachineList, machines_max: usize, now: u64) -> PageResult {
+    pub(super) fn on_page(
+        &mut self,
+        page: MachineList,
+        machines_max: usize,
+        now: u64,
+    ) -> PageResult {
         let Some(mut read) = self.read.take() else {
             return PageResult::More;
         };
--- a/src/controller/outbox.rs
+++ b/src/controller/outbox.rs
@@ -30,7 +30,7 @@
 }
 
 impl Outbox {
-    pub fn new(endpoints: Endpoints) -> Outbox {
+    pub(super) fn new(endpoints: Endpoints) -> Outbox {
         Outbox {
             endpoints,
             in_flight: HashMap::new(),
@@ -41,12 +41,12 @@
     }
 
     /// The tag of the next call.
-    pub fn next_tag(&self) -> u64 {
+    pub(super) fn next_tag(&self) -> u64 {
         self.next_tag
     }
 
     /// Sends a request to an address.
-    pub fn call(&mut self, pending: PendingCall, address: SocketAddr, call: HttpCall) {
+    pub(super) fn call(&mut self, pending: PendingCall, address: SocketAddr, call: HttpCall) {
         self.count_call(&pending);
         let tag = self.next_tag;
         self.next_tag += 1;
@@ -62,17 +62,17 @@
     }
 
     /// Sends a request to the store.
-    pub fn call_store(&mut self, pending: PendingCall, call: HttpCall) {
+    pub(super) fn call_store(&mut self, pending: PendingCall, call: HttpCall) {
         self.call(pending, self.endpoints.state, call);
     }
 
     /// Sends a request to the cloud provider.
-    pub fn call_cloud(&mut self, pending: PendingCall, call: HttpCall) {
+    pub(super) fn call_cloud(&mut self, pending: PendingCall, call: HttpCall) {
         self.call(pending, self.endpoints.cloud, call);
     }
 
     /// Responds to a request that was received on a connection.
-    pub fn respond(&mut self, connection: usize, response: HttpResponse) {
+    pub(super) fn respond(&mut self, connection: usize, response: HttpResponse) {
         self.actions.push(Action::Answer {
             connection,
             status: response.status,
@@ -82,19 +82,19 @@
     }
 
     /// A call has its outcome. Returns what it was for, or `None` if that is not known.
-    pub fn complete(&mut self, tag: u64) -> Option<PendingCall> {
+    pub(super) fn complete(&mut self, tag: u64) -> Option<PendingCall> {
         let pending = self.in_flight.remove(&tag)?;
         self.stats.replies += 1;
         Some(pending)
     }
 
     /// What is to be done since the last call.
-    pub fn take_actions(&mut self) -> Vec<Action> {
+    pub(super) fn take_actions(&mut self) -> Vec<Action> {
         std::mem::take(&mut self.actions)
     }
 
     /// The statistics since the last call.
-    pub fn take_stats(&mut self) -> CallStats {
+    pub(super) fn take_stats(&mut self) -> CallStats {
         std::mem::take(&mut self.stats)
     }
 
--- a/src/controller/peer_table.rs
+++ b/src/controller/peer_table.rs
@@ -76,14 +76,14 @@
     }
 
     /// What it has said of itself lately.
-    pub fn recent_status(&self, now: u64) -> Option<&PeerStatus> {
+    pub(super) fn recent_status(&self, now: u64) -> Option<&PeerStatus> {
         let is_recent = self.was_heard_within(STATUS_VALID_MS, now);
         is_recent.then_some(&self.status)
     }
 }
 
 impl PeerTable {
-    pub fn new(peers: &[Peer]) -> PeerTable {
+    pub(super) fn new(peers: &[Peer]) -> PeerTable {
         PeerTable {
             peers: peers.iter().map(PeerView::new).collect(),
             next_status_at: 0,
@@ -91,7 +91,7 @@
     }
 
     /// All other controllers.
-    pub fn iter(&self) -> impl Iterator<Item = &PeerView> {
+    pub(super) fn iter(&self) -> impl Iterator<Item = &PeerView> {
         self.peers.iter()
     }
 
@@ -100,7 +100,7 @@
     }
 
     /// A status came, as a request or as a response.
-    pub fn record_status(&mut self, member: &str, status: PeerStatus, now: u64) {
+    pub(super) fn record_status(&mut self, member: &str, status: PeerStatus, now: u64) {
         if let Some(peer) = self.get_mut(member) {
             peer.heard_at = Some(now);
             peer.status = status;
@@ -108,7 +108,7 @@
     }
 
     /// A controller has told us of its acknowledged cancellations.
-    pub fn record_cancellation_sync(&mut self, member: &str, sync: CancellationSync) {
+    pub(super) fn record_cancellation_sync(&mut self, member: &str, sync: CancellationSync) {
         if let Some(peer) = self.get_mut(member) {
             peer.cancellation_sync = Some(sync);
         }
@@ -117,7 +117,7 @@
     /// Until when the cancellations of all other controllers are known, if none of them has
     /// begun anew since the store was read at `read_at`; 0 if those of one are not. `None` if
     /// there are no others.
-    pub fn cancellations_synced_at(&self, read_at: u64) -> Option<u64> {
+    pub(super) fn cancellations_synced_at(&self, read_at: u64) -> Option<u64> {
         let synced_at = self.peers.iter().map(|peer| {
             let sync = peer.cancellation_sync;
             let valid = sync.filter(|sync| sync.process_began_at <= read_at);
@@ -132,17 +132,17 @@
     }
 
     /// Whether there are other controllers, and none of them is alive.
-    pub fn are_all_silent(&self, now: u64) -> bool {
+    pub(super) fn are_all_silent(&self, now: u64) -> bool {
         !self.peers.is_empty() && self.live(now).next().is_none()
     }
 
     /// Whether the store is reachable for another live controller.
-    pub fn is_store_reachable_elsewhere(&self, now: u64) -> bool {
+    pub(super) fn is_store_reachable_elsewhere(&self, now: u64) -> bool {
         self.live(now).any(|peer| peer.status.store_reachable)
     }
 
     /// The address of a controller for which the store is reachable.
-    pub fn served_peer(&self, now: u64) -> Option<SocketAddr> {
+    pub(super) fn served_peer(&self, now: u64) -> Option<SocketAddr> {
         let is_served = |peer: &&PeerView| {
             let status = peer.recent_status(now);
             status.is_some_and(|status| status.store_reachable)
@@ -151,7 +151,7 @@
     }
 
     /// Agents that came to live other controllers lately.
-    pub fn redirected_elsewhere(&self, now: u64) -> RedirectedElsewhere {
+    pub(super) fn redirected_elsewhere(&self, now: u64) -> RedirectedElsewhere {
         let mut heard = 0;
         let mut agents: u32 = 0;
         for peer in self.live(now) {
@@ -165,7 +165,7 @@
     }
 
     /// Whether it is time to exchange statuses; the next time is an interval later.
-    pub fn begin_exchange_if_due(&mut self, now: u64) -> bool {
+    pub(super) fn begin_exchange_if_due(&mut self, now: u64) -> bool {
         if now < self.next_status_at {
             return false;
         }
@@ -175,7 +175,11 @@
 
     /// The controllers to send our status to: those whose last one is not fresh, as one that
     /// has just asked was answered with ours, or all.
-    pub fn to_ask(&self, receivers: StatusReceivers, now: u64) -> impl Iterator<Item = &PeerView> {
+    pub(super) fn to_ask(
+        &self,
+        receivers: StatusReceivers,
+        now: u64,
+    ) -> impl Iterator<Item = &PeerView> {
         let is_fresh = move |peer: &PeerView| peer.was_heard_within(STATUS_FRESH_MS, now);
         let peers = self.peers.iter();
         peers.filter(move |peer| receivers == StatusReceivers::All || !is_fresh(peer))
--- a/src/controller/planning.rs
+++ b/src/controller/planning.rs
@@ -21,7 +21,7 @@
 
 impl PlanTimer {
     /// Another term has begun, or none: a plan in progress does not count any more.
-    pub fn reset(&mut self) {
+    pub(super) fn reset(&mut self) {
         self.in_progress = false;
     }
 
--- a/src/controller/provider_client.rs
+++ b/src/controller/provider_client.rs
@@ -83,7 +83,7 @@
 }
 
 impl ProviderClient {
-    pub fn new(cluster: &ClusterSettings) -> ProviderClient {
+    pub(super) fn new(cluster: &ClusterSettings) -> ProviderClient {
         let lag_ms = to_ms(cluster.cloud.list_lag_s);
         let list_bytes = cluster.limits.memory_part(LIST_MEMORY_SHARE);
         ProviderClient {
@@ -98,7 +98,7 @@
     }
 
     /// Uses the share of the limit that belongs to a role from now on.
-    pub fn set_share(&mut self, role: ProviderRole, now: u64) {
+    pub(super) fn set_share(&mut self, role: ProviderRole, now: u64) {
         let share = match role {
             ProviderRole::LeaderAndHolder => FULL_SHARE,
             ProviderRole::Holder => HOLDER_SHARE,
@@ -110,23 +110,23 @@
     }
 
     /// Whether machines may be provisioned or terminated now, by the rate limit.
-    pub fn try_order(&mut self, now: u64) -> bool {
+    pub(super) fn try_order(&mut self, now: u64) -> bool {
         self.limit.try_take(now, 1.0, 0.0)
     }
 
     /// How many provisioning requests may be sent now.
-    pub fn provisioning_budget(&mut self, now: u64) -> usize {
+    pub(super) fn provisioning_budget(&mut self, now: u64) -> usize {
         self.limit.available(now, PROVISIONING_RESERVE)
     }
 
     /// The provider says that the limit was reached.
-    pub fn on_throttled(&mut self) {
+    pub(super) fn on_throttled(&mut self) {
         self.limit.drain();
     }
 
     /// The request to provision machines, which the provider carries out once for each
     /// idempotency key.
-    pub fn provision_call(
+    pub(super) fn provision_call(
         idempotency_key: &str,
         request: &MachineRequest,
         fencing: Option<FencingToken>,
@@ -143,7 +143,7 @@
     }
 
     /// The request to terminate machines.
-    pub fn terminate_call(machines: &[String], fencing: Option<FencingToken>) -> HttpCall {
+    pub(super) fn terminate_call(machines: &[String], fencing: Option<FencingToken>) -> HttpCall {
         let body = wire::encode(&wire::TerminateRequest {
             names: machines,
             fencing,
@@ -152,12 +152,12 @@
     }
 
     /// The machine types; none if they were not read yet.
-    pub fn machine_types(&self) -> Arc<Vec<MachineType>> {
+    pub(super) fn machine_types(&self) -> Arc<Vec<MachineType>> {
         self.machine_types.clone()
     }
 
     /// Reads the machine types when it is time and the limit allows.
-    pub fn read_machine_types_if_due(&mut self, outbox: &mut Outbox, now: u64) {
+    pub(super) fn read_machine_types_if_due(&mut self, outbox: &mut Outbox, now: u64) {
         if now < self.next_machine_types_at {
             return;
         }
@@ -169,7 +169,7 @@
     }
 
     /// Processes the response with the machine types. Returns whether they were read.
-    pub fn on_machine_types(&mut self, outcome: &Outcome, now: u64) -> bool {
+    pub(super) fn on_machine_types(&mut self, outcome: &Outcome, now: u64) -> bool {
         match responses::decode_success::<wire::MachineTypes>(outcome) {
             Ok(reply) => {
                 self.machine_types = Arc::new(reply.types);
@@ -184,7 +184,7 @@
     }
 
     /// This controller leads: the list is read from its beginning, and the machine types soon.
-    pub fn on_term_begun(&mut self, now: u64) {
+    pub(super) fn on_term_begun(&mut self, now: u64) {
         self.machine_list.restart(now);
         let soon = now + TYPES_AFTER_ELECTION_MS;
         self.next_machine_types_at = self.next_machine_types_at.min(soon);
@@ -192,7 +192,7 @@
 
     /// Reads the next page of the list, for the leader of an epoch, when it is due and the
     /// limit allows.
-    pub fn read_machine_list_if_due(&mut self, outbox: &mut Outbox, epoch: u64, now: u64) {
+    pub(super) fn read_machine_list_if_due(&mut self, outbox: &mut Outbox, epoch: u64, now: u64) {
         if !self.machine_list.is_due(now) || !self.limit.try_take(now, 1.0, LIST_RESERVE) {
             return;
         }
@@ -206,18 +206,18 @@
     }
 
     /// Whether the read of the list that began at `started_at` is in progress.
-    pub fn is_reading_list(&self, started_at: u64) -> bool {
+    pub(super) fn is_reading_list(&self, started_at: u64) -> bool {
         self.machine_list.started_at() == Some(started_at)
     }
 
     /// Gives up the read of the list in progress.
-    pub fn restart_machine_list(&mut self, now: u64) {
+    pub(super) fn restart_machine_list(&mut self, now: u64) {
         self.machine_list.restart(now);
     }
 
     /// Processes a page of the list, and asks for the next one. Returns the list if it is
     /// complete.
-    pub fn on_machine_list_page(
+    pub(super) fn on_machine_list_page(
         &mut self,
         outbox: &mut Outbox,
         epoch: u64,
--- a/src/controller/responses.rs
+++ b/src/controller/responses.rs
@@ -128,7 +128,7 @@
 
 impl AgentResponse {
     /// Reads the response of the agent of a machine.
-    pub fn new(outcome: &Outcome, machine: &str) -> AgentResponse {
+    pub(super) fn new(outcome: &Outcome, machine: &str) -> AgentResponse {
         let failure = match outcome {
             Outcome::NotSent => Some(StartFailure::NotSent),
             Outcome::Answer {
--- a/src/controller/stats.rs
+++ b/src/controller/stats.rs
@@ -35,7 +35,7 @@
 }
 
 impl ControllerStats {
-    pub fn new() -> ControllerStats {
+    pub(super) fn new() -> ControllerStats {
         ControllerStats {
             next_at: INTERVAL_MS,
             traffic: Traffic::default(),
@@ -44,7 +44,7 @@
     }
 
     /// A request came.
-    pub fn count_request(&mut self, listener: Listener, path: &str) {
+    pub(super) fn count_request(&mut self, listener: Listener, path: &str) {
         let count = match (listener, path) {
             (Listener::Peers, _) => &mut self.traffic.peers,
             (Listener::Front, wire::HEARTBEAT_PATH) => &mut self.traffic.heartbeats,
@@ -54,18 +54,18 @@
     }
 
     /// A plan was made.
-    pub fn record_plan(&mut self, took_ms: u64) {
+    pub(super) fn record_plan(&mut self, took_ms: u64) {
         self.traffic.plans += 1;
         self.traffic.plan_ms += took_ms;
     }
 
     /// A tick was late.
-    pub fn record_late_tick(&mut self, late_ms: u64) {
+    pub(super) fn record_late_tick(&mut self, late_ms: u64) {
         self.traffic.tick_late_ms = self.traffic.tick_late_ms.max(late_ms);
     }
 
     /// Input waited before it was read.
-    pub fn record_read_delay(&mut self, delay_ms: u64) {
+    pub(super) fn record_read_delay(&mut self, delay_ms: u64) {
         self.traffic.read_delay_ms = self.traffic.read_delay_ms.max(delay_ms);
     }
 
--- a/src/controller/store_client.rs
+++ b/src/controller/store_client.rs
@@ -52,7 +52,7 @@
 
 impl StoreClient {
     /// A client with a follower's share.
-    pub fn new(limits: &StoreLimits, peers: usize) -> StoreClient {
+    pub(super) fn new(limits: &StoreLimits, peers: usize) -> StoreClient {
         let write_rate = limits.write_rps * FOLLOWER_WRITES;
         let mut writes = WriteQueue::new(write_rate, write_rate, limits.txn_ops);
         writes.set_duty_rate(0, duty_write_rate(limits));
@@ -65,7 +65,7 @@
     }
 
     /// Uses the leader's or a follower's share of limits from now on.
-    pub fn set_share(&mut self, role: StoreRole, limits: &StoreLimits, now: u64) {
+    pub(super) fn set_share(&mut self, role: StoreRole, limits: &StoreLimits, now: u64) {
         let follower_rate = follower_request_rate(limits, self.peers);
         let (request_rate, write_share) = match role {
             StoreRole::Leader => {
@@ -81,22 +81,22 @@
     }
 
     /// Whether a request may be sent now, so that a share of the limit is left to others.
-    pub fn try_request(&mut self, now: u64, reserve: f64) -> bool {
+    pub(super) fn try_request(&mut self, now: u64, reserve: f64) -> bool {
         self.request_limit.try_take(now, 1.0, reserve)
     }
 
     /// Counts a request that is sent whether the limit allows it or not.
-    pub fn count_request(&mut self, now: u64) {
+    pub(super) fn count_request(&mut self, now: u64) {
         let _ = self.request_limit.try_take(now, 1.0, 0.0);
     }
 
     /// Whether the store has answered lately.
-    pub fn is_reachable(&self, now: u64) -> bool {
+    pub(super) fn is_reachable(&self, now: u64) -> bool {
         self.answered_at.is_some_and(|at| now < at + REACHABLE_MS)
     }
 
     /// Learns from the outcome of any call to the store.
-    pub fn record_outcome(&mut self, outcome: &Outcome, now: u64) {
+    pub(super) fn record_outcome(&mut self, outcome: &Outcome, now: u64) {
         match outcome {
             Outcome::Answer {
                 status: status::TOO_MANY_REQUESTS,
@@ -110,17 +110,17 @@
     }
 
     /// Queues a write.
-    pub fn push_write(&mut self, request: WriteRequest<WriteOwner>) {
+    pub(super) fn push_write(&mut self, request: WriteRequest<WriteOwner>) {
         self.writes.push(request);
     }
 
     /// Drops writes that were not sent yet.
-    pub fn cancel_writes(&mut self, matches: impl Fn(&WriteOwner) -> bool) {
+    pub(super) fn cancel_writes(&mut self, matches: impl Fn(&WriteOwner) -> bool) {
         self.writes.remove_waiting(matches);
     }
 
     /// Sends the transactions that the rate limits allow.
-    pub fn send_writes(&mut self, outbox: &mut Outbox, now: u64) {
+    pub(super) fn send_writes(&mut self, outbox: &mut Outbox, now: u64) {
         loop {
             let tag = outbox.next_tag();
             let next = self.writes.next(now, tag, &mut self.request_limit);
@@ -133,7 +133,7 @@
     }
 
     /// The outcome of the transaction with a tag. Returns that of each write in it.
-    pub fn on_transaction_outcome(
+    pub(super) fn on_transaction_outcome(
         &mut self,
         tag: u64,
         outcome: &Outcome,
@@ -142,22 +142,22 @@
     }
 
     /// Whether the leader's writes wait for the rate limit.
-    pub fn has_waiting_leader_writes(&self) -> bool {
+    pub(super) fn has_waiting_leader_writes(&self) -> bool {
         self.writes.has_waiting(WriteClass::Leader)
     }
 
     /// How many writes that nobody waits for may be queued now.
-    pub fn spare_writes(&mut self, now: u64) -> usize {
+    pub(super) fn spare_writes(&mut self, now: u64) -> usize {
         self.writes.spare_writes(now)
     }
 
     /// How many writes wait for the rate limit.
-    pub fn waiting_writes(&self) -> usize {
+    pub(super) fn waiting_writes(&self) -> usize {
         self.writes.waiting_count()
     }
 
     /// The statistics of writes since the last call.
-    pub fn take_write_stats(&mut self) -> WriteStats {
+    pub(super) fn take_write_stats(&mut self) -> WriteStats {
         self.writes.take_stats()
     }
 }
--- a/src/controller/store_sync.rs
+++ b/src/controller/store_sync.rs
@@ -109,7 +109,7 @@
 
 impl StoreSync {
     /// Nothing was read yet. `controllers`: how many share the store.
-    pub fn new(cluster: &ClusterSettings, controllers: usize) -> StoreSync {
+    pub(super) fn new(cluster: &ClusterSettings, controllers: usize) -> StoreSync {
         StoreSync {
             is_loading: false,
             next_load_at: 0,
@@ -121,18 +121,18 @@
     }
 
     /// The moment as of which the watch cache is complete.
-    pub fn complete_as_of(&self) -> Option<EventTime> {
+    pub(super) fn complete_as_of(&self) -> Option<EventTime> {
         self.complete_as_of
     }
 
     /// Whether the watch cache is as recent as it is while the store is reachable.
-    pub fn is_recent(&self, now: u64) -> bool {
+    pub(super) fn is_recent(&self, now: u64) -> bool {
         let complete = self.complete_as_of;
         complete.is_some_and(|complete| now < complete.at + REACHABLE_MS)
     }
 
     /// Changes that were asked for at a moment were applied, and the watch cache has them all.
-    pub fn record_complete(&mut self, asked: EventTime) {
+    pub(super) fn record_complete(&mut self, asked: EventTime) {
         let complete = self.complete_as_of;
         if complete.is_none_or(|complete| complete.sequence < asked.sequence) {
             self.complete_as_of = Some(asked);
@@ -140,7 +140,7 @@
     }
 
     /// Begins to read everything if that is due. Returns whether it has.
-    pub fn begin_load_if_due(&mut self, now: u64) -> bool {
+    pub(super) fn begin_load_if_due(&mut self, now: u64) -> bool {
         if self.is_loading || now < self.next_load_at {
             return false;
         }
@@ -150,7 +150,7 @@
     }
 
     /// Reads the first page of a range.
-    pub fn read_range(&mut self, outbox: &mut Outbox, range: KeyRange) {
+    pub(super) fn read_range(&mut self, outbox: &mut Outbox, range: KeyRange) {
         self.last_key = None;
         self.read_page(outbox, range);
     }
@@ -158,7 +158,7 @@
     /// Reads the page behind one that was truncated. Returns whether it can: the pages have to
     /// go on.
     #[must_use]
-    pub fn read_next_page(
+    pub(super) fn read_next_page(
         &mut self,
         outbox: &mut Outbox,
         range: KeyRange,
@@ -184,23 +184,23 @@
     }
 
     /// The last page was read.
-    pub fn end_load(&mut self) {
+    pub(super) fn end_load(&mut self) {
         self.is_loading = false;
     }
 
     /// A page was not read: everything is read again after a pause.
-    pub fn retry_load(&mut self, now: u64) {
+    pub(super) fn retry_load(&mut self, now: u64) {
         self.is_loading = false;
         self.next_load_at = now + PAGE_RETRY_MS;
     }
 
     /// Everything is to be read again at once.
-    pub fn request_load(&mut self) {
+    pub(super) fn request_load(&mut self) {
         self.next_load_at = 0;
     }
 
     /// Opens a watch on changes after a revision if that is due and the limit allows.
-    pub fn watch_if_due(
+    pub(super) fn watch_if_due(
         &mut self,
         store: &mut StoreClient,
         outbox: &mut Outbox,
@@ -233,12 +233,12 @@
     }
 
     /// Whether a read for requests that wait would be due.
-    pub fn is_user_read_due(&self, now: u64) -> bool {
+    pub(super) fn is_user_read_due(&self, now: u64) -> bool {
         self.user_read.is_due(now)
     }
 
     /// Reads changes after a revision for requests that wait, if the limit allows.
-    pub fn read_for_users(
+    pub(super) fn read_for_users(
         &mut self,
         store: &mut StoreClient,
         outbox: &mut Outbox,
@@ -259,7 +259,7 @@
     }
 
     /// A read of changes has its outcome.
-    pub fn complete_read(&mut self, read: ChangeRead) {
+    pub(super) fn complete_read(&mut self, read: ChangeRead) {
         let read = match read {
             ChangeRead::Watch => &mut self.watch,
             ChangeRead::ForWaitingUsers => &mut self.user_read,
@@ -268,7 +268,7 @@
     }
 
     /// A read of changes has failed: the next ones wait for a moment.
-    pub fn pause_reads(&mut self, now: u64) {
+    pub(super) fn pause_reads(&mut self, now: u64) {
         let retry_at = now + READ_RETRY_MS;
         self.watch.next_at = retry_at;
         self.user_read.next_at = retry_at;
--- a/src/controller/user_request_parser.rs
+++ b/src/controller/user_request_parser.rs
@@ -24,7 +24,7 @@
 
 impl RequestError {
     /// The response to the user.
-    pub fn response(self) -> HttpResponse {
+    pub(super) fn response(self) -> HttpResponse {
         let status = match self {
             RequestError::NoSuchPath | RequestError::NoSuchJob => status::NOT_FOUND,
             RequestError::WrongMethod | RequestError::OnlyPost => status::METHOD_NOT_ALLOWED,
--- a/src/controller/user_request_table.rs
+++ b/src/controller/user_request_table.rs
@@ -38,7 +38,7 @@
 
 impl UserRequestTable {
     /// An empty table. `fd_limit`: sockets that the process may have.
-    pub fn new(fd_limit: usize) -> UserRequestTable {
+    pub(super) fn new(fd_limit: usize) -> UserRequestTable {
         UserRequestTable {
             requests: BTreeMap::new(),
             next_number: 1,
@@ -47,13 +47,13 @@
     }
 
     /// Whether another request may begin.
-    pub fn admits(&self) -> bool {
+    pub(super) fn admits(&self) -> bool {
         self.admission.admits(self.requests.len())
     }
 
     /// Adds a request that waits for a watch cache read after the event `after`. Returns its
     /// number.
-    pub fn insert(
+    pub(super) fn insert(
         &mut self,
         caller: Caller,
         job: String,
@@ -78,19 +78,19 @@
         number
     }
 
-    pub fn get(&self, number: u64) -> Option<&PendingRequest> {
+    pub(super) fn get(&self, number: u64) -> Option<&PendingRequest> {
         self.requests.get(&number)
     }
 
     /// A request waits for something else from now on.
-    pub fn set_stage(&mut self, number: u64, stage: RequestStage) {
+    pub(super) fn set_stage(&mut self, number: u64, stage: RequestStage) {
         if let Some(pending) = self.requests.get_mut(&number) {
             pending.stage = stage;
         }
     }
 
     /// A job that a submission names was found on record.
-    pub fn add_found_dependency(&mut self, number: u64, dependency: String) {
+    pub(super) fn add_found_dependency(&mut self, number: u64, dependency: String) {
         if let Some(pending) = self.requests.get_mut(&number) {
             pending.found_dependencies.push(dependency);
         }
@@ -98,7 +98,7 @@
 
     /// A submission names a job that was never accepted. Whether it was accepted itself is
     /// told by a watch cache read after the event `after`.
-    pub fn mark_unknown_dependency(&mut self, number: u64, after: u64) {
+    pub(super) fn mark_unknown_dependency(&mut self, number: u64, after: u64) {
         if let Some(pending) = self.requests.get_mut(&number) {
             pending.names_unknown_job = true;
             pending.stage = RequestStage::AwaitCache { after, revision: 0 };
@@ -106,7 +106,7 @@
     }
 
     /// Removes a request that gets its response; the time that it took counts.
-    pub fn finish(&mut self, number: u64, now: u64) -> Option<PendingRequest> {
+    pub(super) fn finish(&mut self, number: u64, now: u64) -> Option<PendingRequest> {
         let pending = self.requests.remove(&number)?;
         let took_ms = now - pending.since;
         self.admission.record(took_ms, self.requests.len() + 1, now);
@@ -114,12 +114,12 @@
     }
 
     /// Removes a request that nobody can decide now; its time does not count.
-    pub fn remove(&mut self, number: u64) {
+    pub(super) fn remove(&mut self, number: u64) {
         self.requests.remove(&number);
     }
 
     /// Whether a request waits for a watch cache that is newer than this.
-    pub fn is_waiting_for_newer(&self, age: CacheAge) -> bool {
+    pub(super) fn is_waiting_for_newer(&self, age: CacheAge) -> bool {
         let waits = |stage: RequestStage| match stage {
             RequestStage::AwaitCache { after, revision } => !age.satisfies(after, revision),
             _ => false,
@@ -128,12 +128,12 @@
     }
 
     /// The requests that wait for a watch cache, however old.
-    pub fn waiting_for_cache(&self) -> Vec<u64> {
+    pub(super) fn waiting_for_cache(&self) -> Vec<u64> {
         self.numbers_where(|pending| matches!(pending.stage, RequestStage::AwaitCache { .. }))
     }
 
     /// The requests that a watch cache of this age decides.
-    pub fn decidable(&self, age: CacheAge) -> Vec<u64> {
+    pub(super) fn decidable(&self, age: CacheAge) -> Vec<u64> {
         self.numbers_where(|pending| match pending.stage {
             RequestStage::AwaitCache { after, revision } => age.satisfies(after, revision),
             _ => false,
@@ -141,12 +141,12 @@
     }
 
     /// The requests that have taken too long.
-    pub fn overdue(&self, now: u64) -> Vec<u64> {
+    pub(super) fn overdue(&self, now: u64) -> Vec<u64> {
         self.numbers_where(|pending| is_overdue(pending, now))
     }
 
     /// The requests whose pause is over.
-    pub fn resumable(&self, now: u64) -> Vec<u64> {
+    pub(super) fn resumable(&self, now: u64) -> Vec<u64> {
         self.numbers_where(|pending| {
             let is_over = matches!(pending.stage, RequestStage::Pause { until } if now >= until);
             is_over && !is_overdue(pending, now)
@@ -160,12 +160,12 @@
     }
 
     /// The limit on requests in progress.
-    pub fn limit(&self) -> usize {
+    pub(super) fn limit(&self) -> usize {
         self.admission.limit()
     }
 
     /// The statistics of response times since the last call; `None` if there were none.
-    pub fn take_response_times(&mut self) -> Option<ResponseTimes> {
+    pub(super) fn take_response_times(&mut self) -> Option<ResponseTimes> {
         self.admission.take_response_times()
     }
 }
--- a/src/controller/user_requests.rs
+++ b/src/controller/user_requests.rs
@@ -181,7 +181,7 @@
                 let id = pending.job.clone();
                 match self.record_final_reply(&id, body) {
                     Some(state) => {
-                        self.finish_status(user, status::OK, JobStatus::new(state.status()))
+                        self.finish_status(user, status::OK, JobStatus::new(state.status()));
                     }
                     None => self.finish_user(user, HttpResponse::unavailable()),
                 }
@@ -199,7 +199,7 @@
             CommitResult::Committed { .. } => {
                 return match pending.request {
                     UserRequest::Cancel => {
-                        self.finish_status(user, status::OK, JobStatus::new(wire::WITHDRAWN))
+                        self.finish_status(user, status::OK, JobStatus::new(wire::WITHDRAWN));
                     }
                     _ => self.finish_status(user, status::CREATED, JobStatus::new(wire::PENDING)),
                 };
--- a/src/controller/user_types.rs
+++ b/src/controller/user_types.rs
@@ -62,7 +62,7 @@
 
 impl JobStatus {
     /// The state of a live job that is not cancelled.
-    pub fn of_live(record: &JobRecord) -> JobStatus {
+    pub(super) fn of_live(record: &JobRecord) -> JobStatus {
         let tasks = TaskCounts {
             done: record.done.len(),
             running: record.placed_tasks(),
@@ -79,7 +79,7 @@
     }
 
     /// A state that says nothing of tasks.
-    pub fn new(status: &'static str) -> JobStatus {
+    pub(super) fn new(status: &'static str) -> JobStatus {
         JobStatus {
             status,
             tasks: None,
@@ -134,7 +134,7 @@
     }
 
     /// The response to the user, who is asked to try again if that may help.
-    pub fn response(self) -> HttpResponse {
+    pub(super) fn response(self) -> HttpResponse {
         let response = HttpResponse::error(self.status(), &self.to_string());
         match self {
             Refusal::MachineTypesUnknown => response.with_retry_after(),
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -3,8 +3,6 @@
 //! The core modules take events and the time and return actions; [`net`] and
 //! [`serve`] alone know sockets, threads and clocks.
 
-#![warn(missing_docs)]
-
 pub mod admission;
 pub mod cloud;
 pub mod controller;
--- a/src/machine/answers.rs
+++ b/src/machine/answers.rs
@@ -110,12 +110,12 @@
 }
 
 impl AnswerTracker {
-    pub fn on_answered(&mut self, now: u64) {
+    pub(super) fn on_answered(&mut self, now: u64) {
         self.answered_at = Some(now);
     }
 
     /// Any of the `expected` effects shows that the answer to this status was received.
-    pub fn expect(&mut self, status: &AgentStatus, expected: Vec<ExpectedEffect>) {
+    pub(super) fn expect(&mut self, status: &AgentStatus, expected: Vec<ExpectedEffect>) {
         self.sent_answer = Some(SentAnswer {
             incarnation: status.incarnation,
             serial: status.serial,
@@ -123,19 +123,19 @@
         });
     }
 
-    pub fn forget_answer(&mut self) {
+    pub(super) fn forget_answer(&mut self) {
         self.sent_answer = None;
     }
 
     /// Whether a heartbeat was answered so recently that the agent must still have its lease.
-    pub fn is_answered_within_lease(&self, lease_ms: u64, now: u64) -> bool {
+    pub(super) fn is_answered_within_lease(&self, lease_ms: u64, now: u64) -> bool {
         let (numerator, denominator) = ANSWERED_LEASE_SHARE;
         self.answered_at
             .is_some_and(|at| now < at + lease_ms * numerator / denominator)
     }
 
     /// Whether a heartbeat shows any effect of the last answer.
-    pub fn check_effect(
+    pub(super) fn check_effect(
         &mut self,
         status: &AgentStatus,
         reported_tasks: &[ReportedTask],
@@ -155,13 +155,18 @@
         }
     }
 
-    pub fn clear_suspicion(&mut self) {
+    pub(super) fn clear_suspicion(&mut self) {
         self.suspicion = None;
     }
 
     /// Whether the same incarnation has outlasted the suspicion for `lasts_ms`: then answers do
     /// reach the agent. The suspicion begins with the first call.
-    pub fn has_outlasted_suspicion(&mut self, incarnation: u64, lasts_ms: u64, now: u64) -> bool {
+    pub(super) fn has_outlasted_suspicion(
+        &mut self,
+        incarnation: u64,
+        lasts_ms: u64,
+        now: u64,
+    ) -> bool {
         let current = Suspicion {
             since: now,
             incarnation,
--- a/src/net/buffered_stream.rs
+++ b/src/net/buffered_stream.rs
@@ -37,7 +37,7 @@
 
 impl BufferedStream {
     /// An accepted connection, registered as readable.
-    pub fn accepted(socket: TcpStream) -> BufferedStream {
+    pub(super) fn accepted(socket: TcpStream) -> BufferedStream {
         BufferedStream {
             socket,
             input: Vec::new(),
@@ -50,7 +50,7 @@
     }
 
     /// A connection that is being opened to send `output`, registered as readable and writable.
-    pub fn connecting(socket: TcpStream, output: Vec<u8>) -> BufferedStream {
+    pub(super) fn connecting(socket: TcpStream, output: Vec<u8>) -> BufferedStream {
         BufferedStream {
             output,
             is_established: false,
@@ -59,34 +59,34 @@
         }
     }
 
-    pub fn is_established(&self) -> bool {
+    pub(super) fn is_established(&self) -> bool {
         self.is_established
     }
 
-    pub fn is_read_closed(&self) -> bool {
+    pub(super) fn is_read_closed(&self) -> bool {
         self.is_read_closed
     }
 
-    pub fn input(&self) -> &[u8] {
+    pub(super) fn input(&self) -> &[u8] {
         &self.input
     }
 
     /// The received bytes, from which the caller removes what it has parsed.
-    pub fn input_mut(&mut self) -> &mut Vec<u8> {
+    pub(super) fn input_mut(&mut self) -> &mut Vec<u8> {
         &mut self.input
     }
 
-    pub fn has_output(&self) -> bool {
+    pub(super) fn has_output(&self) -> bool {
         !self.output.is_empty()
     }
 
     /// Appends to the output.
-    pub fn push_output(&mut self, bytes: &[u8]) {
+    pub(super) fn push_output(&mut self, bytes: &[u8]) {
         self.output.extend_from_slice(bytes);
     }
 
     /// Replaces the output.
-    pub fn set_output(&mut self, output: Vec<u8>) {
+    pub(super) fn set_output(&mut self, output: Vec<u8>) {
         self.output = output;
         self.sent = 0;
     }
@@ -97,7 +97,11 @@
     /// # Errors
     ///
     /// If the connection is broken.
-    pub fn read_available(&mut self, buffer: &mut [u8], input_max: usize) -> io::Result<usize> {
+    pub(super) fn read_available(
+        &mut self,
+        buffer: &mut [u8],
+        input_max: usize,
+    ) -> io::Result<usize> {
         let mut total = 0;
         while self.input.len() <= input_max {
             match self.socket.read(buffer) {
@@ -123,7 +127,7 @@
     }
 
     /// Writes the pending output as far as the socket accepts it.
-    pub fn write_pending(&mut self) -> WriteProgress {
+    pub(super) fn write_pending(&mut self) -> WriteProgress {
         while self.sent < self.output.len() {
             match self.socket.write(&self.output[self.sent..]) {
                 Ok(0) => return WriteProgress::Broken,
@@ -152,7 +156,11 @@
     /// # Errors
     ///
     /// If the poll refuses the registration.
-    pub fn watch_writable(&mut self, id: ConnectionId, registry: &Registry) -> io::Result<()> {
+    pub(super) fn watch_writable(
+        &mut self,
+        id: ConnectionId,
+        registry: &Registry,
+    ) -> io::Result<()> {
         if self.watches_writable {
             return Ok(());
         }
@@ -166,7 +174,11 @@
     /// # Errors
     ///
     /// If the poll refuses the registration.
-    pub fn unwatch_writable(&mut self, id: ConnectionId, registry: &Registry) -> io::Result<()> {
+    pub(super) fn unwatch_writable(
+        &mut self,
+        id: ConnectionId,
+        registry: &Registry,
+    ) -> io::Result<()> {
         if !self.watches_writable {
             return Ok(());
         }
--- a/src/net/client_pool.rs
+++ b/src/net/client_pool.rs
@@ -19,27 +19,27 @@
 
 impl ClientPool {
     /// Removes an idle connection to `address` from the pool, to be used for a call.
-    pub fn take_idle(&mut self, address: SocketAddr) -> Option<ConnectionId> {
+    pub(super) fn take_idle(&mut self, address: SocketAddr) -> Option<ConnectionId> {
         self.idle.get_mut(&address).and_then(Vec::pop)
     }
 
     /// Returns an idle connection to the pool.
-    pub fn put_idle(&mut self, address: SocketAddr, id: ConnectionId) {
+    pub(super) fn put_idle(&mut self, address: SocketAddr, id: ConnectionId) {
         self.idle.entry(address).or_default().push(id);
     }
 
     /// Records that a call is in progress on a connection.
-    pub fn begin_call(&mut self, id: ConnectionId, deadline: Instant) {
+    pub(super) fn begin_call(&mut self, id: ConnectionId, deadline: Instant) {
         self.deadlines.insert(id, deadline);
     }
 
     /// Records that no call is in progress any more on a connection.
-    pub fn end_call(&mut self, id: ConnectionId) {
+    pub(super) fn end_call(&mut self, id: ConnectionId) {
         self.deadlines.remove(&id);
     }
 
     /// Removes a connection that is closed.
-    pub fn remove(&mut self, address: SocketAddr, id: ConnectionId) {
+    pub(super) fn remove(&mut self, address: SocketAddr, id: ConnectionId) {
         self.end_call(id);
         if let Some(idle) = self.idle.get_mut(&address) {
             idle.retain(|other| *other != id);
@@ -47,7 +47,7 @@
     }
 
     /// Connections whose call has reached its deadline, by ascending id.
-    pub fn overdue(&self, now: Instant) -> Vec<ConnectionId> {
+    pub(super) fn overdue(&self, now: Instant) -> Vec<ConnectionId> {
         let calls = self.deadlines.iter();
         let overdue = calls.filter(|(_, deadline)| now >= **deadline);
         overdue.map(|(id, _)| *id).collect()
--- a/src/net/client_state.rs
+++ b/src/net/client_state.rs
@@ -57,7 +57,7 @@
 
 impl ClientState {
     /// A connection that is opened for the call `tag`.
-    pub fn new(address: SocketAddr, callee: Callee, tag: u64) -> ClientState {
+    pub(super) fn new(address: SocketAddr, callee: Callee, tag: u64) -> ClientState {
         ClientState {
             address,
             callee,
@@ -65,26 +65,26 @@
         }
     }
 
-    pub fn address(&self) -> SocketAddr {
+    pub(super) fn address(&self) -> SocketAddr {
         self.address
     }
 
-    pub fn callee(&self) -> Callee {
+    pub(super) fn callee(&self) -> Callee {
         self.callee
     }
 
     /// Tag of the call in progress.
-    pub fn call(&self) -> Option<u64> {
+    pub(super) fn call(&self) -> Option<u64> {
         self.call
     }
 
     /// Begins the call `tag` on an idle connection.
-    pub fn begin_call(&mut self, tag: u64) {
+    pub(super) fn begin_call(&mut self, tag: u64) {
         self.call = Some(tag);
     }
 
     /// Removes a complete reply of at most `reply_max` bytes from `input`.
-    pub fn next_reply(
+    pub(super) fn next_reply(
         &mut self,
         input: &mut Vec<u8>,
         is_read_closed: bool,
--- a/src/net/connection.rs
+++ b/src/net/connection.rs
@@ -76,7 +76,7 @@
 
 impl Connection {
     /// A connection that was accepted by `listener`.
-    pub fn accepted(socket: TcpStream, listener: Listener, now: Instant) -> Connection {
+    pub(super) fn accepted(socket: TcpStream, listener: Listener, now: Instant) -> Connection {
         Connection {
             stream: BufferedStream::accepted(socket),
             role: Role::Server(ServerState::new(listener)),
@@ -86,7 +86,7 @@
     }
 
     /// A connection that is being opened to send `message`.
-    pub fn connecting(
+    pub(super) fn connecting(
         socket: TcpStream,
         state: ClientState,
         message: Vec<u8>,
@@ -100,22 +100,22 @@
         }
     }
 
-    pub fn role(&self) -> &Role {
+    pub(super) fn role(&self) -> &Role {
         &self.role
     }
 
-    pub fn last_used(&self) -> Instant {
+    pub(super) fn last_used(&self) -> Instant {
         self.last_used
     }
 
     /// Whether the last request on a server connection was a heartbeat.
-    pub fn is_agent(&self) -> bool {
+    pub(super) fn is_agent(&self) -> bool {
         matches!(&self.role, Role::Server(state) if state.is_agent())
     }
 
     /// Whether input is read at once: replies of vital callees, and requests of other
     /// controllers.
-    pub fn is_urgent(&self) -> bool {
+    pub(super) fn is_urgent(&self) -> bool {
         match &self.role {
             Role::Server(state) => state.listener() == Listener::Peers,
             Role::Client(state) => state.callee() == Callee::Vital,
@@ -124,7 +124,7 @@
 
     /// Marks the connection as queued for reading. Returns its class, or `None` if it is queued
     /// already.
-    pub fn enqueue(&mut self) -> Option<ReadClass> {
+    pub(super) fn enqueue(&mut self) -> Option<ReadClass> {
         if self.is_queued {
             return None;
         }
@@ -136,7 +136,7 @@
     }
 
     /// Marks the connection as no longer queued for reading.
-    pub fn dequeue(&mut self) {
+    pub(super) fn dequeue(&mut self) {
         self.is_queued = false;
     }
 
@@ -146,7 +146,7 @@
     /// # Errors
     ///
     /// If the connection is broken.
-    pub fn read_available(
+    pub(super) fn read_available(
         &mut self,
         buffer: &mut [u8],
         reply_max: usize,
@@ -163,19 +163,19 @@
     }
 
     /// Whether input remains that has not been parsed.
-    pub fn has_input(&self) -> bool {
+    pub(super) fn has_input(&self) -> bool {
         !self.stream.input().is_empty()
     }
 
     /// Whether the other side has closed its sending direction, so that this side closes, too. A
     /// request that awaits its answer behind earlier output still keeps the connection open.
-    pub fn is_finished(&self) -> bool {
+    pub(super) fn is_finished(&self) -> bool {
         let awaits_answer = matches!(&self.role, Role::Server(state) if state.awaits_answer());
         self.stream.is_read_closed() && (!awaits_answer || !self.stream.has_output())
     }
 
     /// Writes pending output, and lets the poll report writability while output is pending.
-    pub fn flush(&mut self, id: ConnectionId, registry: &Registry) -> Disposition {
+    pub(super) fn flush(&mut self, id: ConnectionId, registry: &Registry) -> Disposition {
         let registered = match self.stream.write_pending() {
             WriteProgress::Broken => return Disposition::Close,
             WriteProgress::Connecting => return Disposition::Keep,
@@ -211,7 +211,7 @@
     /// # Errors
     ///
     /// If the request has to be refused.
-    pub fn next_request(&mut self) -> Result<Option<ReceivedRequest>, RequestError> {
+    pub(super) fn next_request(&mut self) -> Result<Option<ReceivedRequest>, RequestError> {
         let Role::Server(state) = &mut self.role else {
             return Ok(None);
         };
@@ -221,7 +221,7 @@
     }
 
     /// Discards the input after an invalid request, whose answer is the last on this connection.
-    pub fn reject_request(&mut self) {
+    pub(super) fn reject_request(&mut self) {
         self.stream.input_mut().clear();
         if let Role::Server(state) = &mut self.role {
             state.reject_request();
@@ -230,7 +230,12 @@
 
     /// Appends the answer of the request in progress to the output. Returns false if there is no
     /// such request.
-    pub fn push_answer(&mut self, answer: &Answer, crowding: Crowding, now: Instant) -> bool {
+    pub(super) fn push_answer(
+        &mut self,
+        answer: &Answer,
+        crowding: Crowding,
+        now: Instant,
+    ) -> bool {
         let Role::Server(state) = &mut self.role else {
             return false;
         };
@@ -253,7 +258,7 @@
     }
 
     /// Begins the call `tag` with `message` on an idle client connection.
-    pub fn begin_call(&mut self, tag: u64, message: Vec<u8>, now: Instant) {
+    pub(super) fn begin_call(&mut self, tag: u64, message: Vec<u8>, now: Instant) {
         if let Role::Client(state) = &mut self.role {
             state.begin_call(tag);
         }
@@ -262,7 +267,7 @@
     }
 
     /// Removes the reply of the call in progress from the input.
-    pub fn next_reply(&mut self, reply_max: usize, now: Instant) -> ParsedReply {
+    pub(super) fn next_reply(&mut self, reply_max: usize, now: Instant) -> ParsedReply {
         let Role::Client(state) = &mut self.role else {
             return ParsedReply::Incomplete;
         };
@@ -275,7 +280,7 @@
     }
 
     /// The outcome of a call whose connection is closed before its reply.
-    pub fn outcome_of_closing(&self) -> Outcome {
+    pub(super) fn outcome_of_closing(&self) -> Outcome {
         if self.stream.is_established() {
             Outcome::NoAnswer
         } else {
@@ -286,7 +291,7 @@
     /// Whether a server connection may be evicted, and in which order. A user whose connection
     /// is closed opens another one with the next request, whereas an agent tries other
     /// controllers first.
-    pub fn server_eviction_tier(&self) -> Option<EvictionTier> {
+    pub(super) fn server_eviction_tier(&self) -> Option<EvictionTier> {
         let Role::Server(state) = &self.role else {
             return None;
         };
@@ -302,7 +307,7 @@
     }
 
     /// Whether a connection to an agent may be evicted.
-    pub fn client_eviction_tier(&self) -> Option<EvictionTier> {
+    pub(super) fn client_eviction_tier(&self) -> Option<EvictionTier> {
         match &self.role {
             Role::Client(state) if state.callee() == Callee::Agent && state.call().is_none() => {
                 Some(EvictionTier::Preferred)
@@ -312,7 +317,7 @@
     }
 
     /// What the connection is doing.
-    pub fn activity(&self) -> Activity {
+    pub(super) fn activity(&self) -> Activity {
         let state = match &self.role {
             Role::Client(state) if state.call().is_some() => return Activity::InUse,
             Role::Client(_) => return Activity::ClientIdle,
--- a/src/net/connection_table.rs
+++ b/src/net/connection_table.rs
@@ -27,7 +27,7 @@
 
 impl ConnectionTable {
     /// An empty table whose ids begin with `first_id`.
-    pub fn new(first_id: ConnectionId, limits: &ConnectionLimits) -> ConnectionTable {
+    pub(super) fn new(first_id: ConnectionId, limits: &ConnectionLimits) -> ConnectionTable {
         ConnectionTable {
             connections: HashMap::new(),
             next_id: first_id,
@@ -40,13 +40,13 @@
     }
 
     /// An id for a connection that is about to be registered.
-    pub fn allocate_id(&mut self) -> ConnectionId {
+    pub(super) fn allocate_id(&mut self) -> ConnectionId {
         let id = self.next_id;
         self.next_id += 1;
         id
     }
 
-    pub fn insert(&mut self, id: ConnectionId, connection: Connection) {
+    pub(super) fn insert(&mut self, id: ConnectionId, connection: Connection) {
         match connection.role() {
             Role::Server(_) => self.servers += 1,
             Role::Client(state) if state.callee() == Callee::Agent => self.clients += 1,
@@ -55,7 +55,7 @@
         self.connections.insert(id, connection);
     }
 
-    pub fn remove(&mut self, id: ConnectionId) -> Option<Connection> {
+    pub(super) fn remove(&mut self, id: ConnectionId) -> Option<Connection> {
         let connection = self.connections.remove(&id)?;
         match connection.role() {
             Role::Server(state) => {
@@ -68,21 +68,21 @@
         Some(connection)
     }
 
-    pub fn contains(&self, id: ConnectionId) -> bool {
+    pub(super) fn contains(&self, id: ConnectionId) -> bool {
         self.connections.contains_key(&id)
     }
 
-    pub fn get(&self, id: ConnectionId) -> Option<&Connection> {
+    pub(super) fn get(&self, id: ConnectionId) -> Option<&Connection> {
         self.connections.get(&id)
     }
 
     /// The connection; its requests are received by [`ConnectionTable::next_request`] alone.
-    pub fn get_mut(&mut self, id: ConnectionId) -> Option<&mut Connection> {
+    pub(super) fn get_mut(&mut self, id: ConnectionId) -> Option<&mut Connection> {
         self.connections.get_mut(&id)
     }
 
     /// All connections, in no particular order.
-    pub fn iter(&self) -> impl Iterator<Item = (ConnectionId, &Connection)> {
+    pub(super) fn iter(&self) -> impl Iterator<Item = (ConnectionId, &Connection)> {
         let connections = self.connections.iter();
         connections.map(|(id, connection)| (*id, connection))
     }
@@ -93,7 +93,7 @@
     /// # Errors
     ///
     /// If the request has to be refused.
-    pub fn next_request(
+    pub(super) fn next_request(
         &mut self,
         id: ConnectionId,
     ) -> Result<Option<ReceivedRequest>, RequestError> {
@@ -108,12 +108,12 @@
     }
 
     /// Whether no more server connections are allowed.
-    pub fn is_server_full(&self) -> bool {
+    pub(super) fn is_server_full(&self) -> bool {
         self.servers >= self.servers_max
     }
 
     /// Whether no more connections to agents may be opened.
-    pub fn is_client_full(&self) -> bool {
+    pub(super) fn is_client_full(&self) -> bool {
         self.clients >= self.clients_max
     }
 
@@ -122,7 +122,7 @@
     /// An agent that connects then is served on a connection of one request. Were it to replace
     /// the least recently used connection, with more machines than places each agent would lose
     /// its connection just before its next heartbeat, and none would keep one.
-    pub fn crowding(&self) -> Crowding {
+    pub(super) fn crowding(&self) -> Crowding {
         if is_crowded(self.agents, self.servers_max) {
             Crowding::Crowded
         } else {
--- a/src/net/eviction.rs
+++ b/src/net/eviction.rs
@@ -107,7 +107,7 @@
 
 impl Evictions {
     /// The server connection to evict next; one of an agent only if there is no other.
-    pub fn next_server(
+    pub(super) fn next_server(
         &mut self,
         connections: &ConnectionTable,
         now: Instant,
@@ -117,7 +117,7 @@
     }
 
     /// The idle connection to an agent to evict next.
-    pub fn next_client(
+    pub(super) fn next_client(
         &mut self,
         connections: &ConnectionTable,
         now: Instant,
--- a/src/net/http/request.rs
+++ b/src/net/http/request.rs
@@ -34,7 +34,7 @@
 
 impl RequestError {
     /// The HTTP status of the response.
-    pub fn status(self) -> u16 {
+    pub(crate) fn status(self) -> u16 {
         match self {
             RequestError::Malformed => status::BAD_REQUEST,
             RequestError::HeadTooLarge => status::HEAD_TOO_LARGE,
@@ -50,7 +50,7 @@
     /// # Errors
     ///
     /// If the request has to be refused.
-    pub fn parse(input: &[u8]) -> Result<Option<RequestHead>, RequestError> {
+    pub(crate) fn parse(input: &[u8]) -> Result<Option<RequestHead>, RequestError> {
         let mut headers = [httparse::EMPTY_HEADER; HEADERS_MAX];
         let mut request = httparse::Request::new(&mut headers);
         let length = match request.parse(input) {
--- a/src/net/http/response.rs
+++ b/src/net/http/response.rs
@@ -38,7 +38,7 @@
     /// # Errors
     ///
     /// If the head is malformed or too large.
-    pub fn parse(input: &[u8]) -> Result<Option<ResponseHead>, MalformedResponse> {
+    pub(crate) fn parse(input: &[u8]) -> Result<Option<ResponseHead>, MalformedResponse> {
         let mut headers = [httparse::EMPTY_HEADER; HEADERS_MAX];
         let mut response = httparse::Response::new(&mut headers);
         let length = match response.parse(input) {
@@ -66,7 +66,7 @@
     }
 
     /// Whether the status excludes a body.
-    pub fn has_no_body(&self) -> bool {
+    pub(crate) fn has_no_body(&self) -> bool {
         STATUSES_WITHOUT_BODY.contains(&self.status)
     }
 }
--- a/src/net/idle_timeouts.rs
+++ b/src/net/idle_timeouts.rs
@@ -23,7 +23,7 @@
 }
 
 impl IdleTimeouts {
-    pub fn new(agent_idle_max: Duration, now: Instant) -> IdleTimeouts {
+    pub(super) fn new(agent_idle_max: Duration, now: Instant) -> IdleTimeouts {
         IdleTimeouts {
             review: Interval::new(REVIEW_INTERVAL, now),
             agent_idle_max,
@@ -31,7 +31,11 @@
     }
 
     /// The connections to close, in no particular order. Empty between two reviews.
-    pub fn expired(&mut self, connections: &ConnectionTable, now: Instant) -> Vec<ConnectionId> {
+    pub(super) fn expired(
+        &mut self,
+        connections: &ConnectionTable,
+        now: Instant,
+    ) -> Vec<ConnectionId> {
         if !self.review.is_due(now) {
             return vec![];
         }
--- a/src/net/interval.rs
+++ b/src/net/interval.rs
@@ -10,12 +10,12 @@
 
 impl Interval {
     /// Due for the first time one interval after `now`.
-    pub fn new(length: Duration, now: Instant) -> Interval {
+    pub(super) fn new(length: Duration, now: Instant) -> Interval {
         Interval { length, last: now }
     }
 
     /// Whether the work is due; if so, the next interval begins.
-    pub fn is_due(&mut self, now: Instant) -> bool {
+    pub(super) fn is_due(&mut self, now: Instant) -> bool {
         let is_due = now.duration_since(self.last) >= self.length;
         if is_due {
             self.last = now;
--- a/src/net/listeners.rs
+++ b/src/net/listeners.rs
@@ -53,7 +53,7 @@
     /// # Errors
     ///
     /// If an address cannot be used, or if there are no free sockets.
-    pub fn bind(
+    pub(super) fn bind(
         front: SocketAddr,
         peers: SocketAddr,
         registry: &Registry,
@@ -78,12 +78,12 @@
     }
 
     /// Notes that connections may wait to be accepted.
-    pub fn mark_pending(&mut self, listener: Listener) {
+    pub(super) fn mark_pending(&mut self, listener: Listener) {
         self.socket_mut(listener).is_pending = true;
     }
 
     /// Whether connections may wait to be accepted.
-    pub fn is_pending(&self, listener: Listener) -> bool {
+    pub(super) fn is_pending(&self, listener: Listener) -> bool {
         match listener {
             Listener::Front => self.front.is_pending,
             Listener::Peers => self.peers.is_pending,
@@ -91,13 +91,13 @@
     }
 
     /// Whether connections may wait to be accepted by either listener.
-    pub fn is_any_pending(&self) -> bool {
+    pub(super) fn is_any_pending(&self) -> bool {
         self.front.is_pending || self.peers.is_pending
     }
 
     /// Accepts a connection. `None` if this was not possible; the listener remains pending only
     /// if another attempt may succeed at once.
-    pub fn accept(&mut self, listener: Listener) -> Option<TcpStream> {
+    pub(super) fn accept(&mut self, listener: Listener) -> Option<TcpStream> {
         let listening = self.socket_mut(listener);
         let error = match listening.socket.accept() {
             Ok((socket, _)) => return Some(socket),
@@ -116,7 +116,7 @@
     }
 
     /// Lets accepting be tried again if it has failed.
-    pub fn retry_failed(&mut self) {
+    pub(super) fn retry_failed(&mut self) {
         if std::mem::take(&mut self.has_failed) {
             self.front.is_pending = true;
             self.peers.is_pending = true;
--- a/src/net/read_queue.rs
+++ b/src/net/read_queue.rs
@@ -63,17 +63,17 @@
 }
 
 impl ReadQueue {
-    pub fn is_empty(&self) -> bool {
+    pub(super) fn is_empty(&self) -> bool {
         self.served.is_empty() && self.newcomers.is_empty()
     }
 
     /// Whether more connections wait than are read in one turn.
-    pub fn is_backlogged(&self) -> bool {
+    pub(super) fn is_backlogged(&self) -> bool {
         self.served.len() + self.newcomers.len() > TURN_BATCH
     }
 
     /// Appends a connection, which must not be in the queue.
-    pub fn push(&mut self, id: ConnectionId, class: ReadClass, now: Instant) {
+    pub(super) fn push(&mut self, id: ConnectionId, class: ReadClass, now: Instant) {
         let queued = QueuedRead { id, since: now };
         match class {
             ReadClass::Served => self.served.push_back(queued),
@@ -82,7 +82,7 @@
     }
 
     /// Removes the next connection of a class. `is_open` tells which connections are still open.
-    pub fn next(
+    pub(super) fn next(
         &mut self,
         class: ReadClass,
         now: Instant,
@@ -111,7 +111,7 @@
     }
 
     /// The longest wait that was observed since the last call, in milliseconds.
-    pub fn take_longest_wait_ms(&mut self) -> u64 {
+    pub(super) fn take_longest_wait_ms(&mut self) -> u64 {
         std::mem::take(&mut self.longest_wait_ms)
     }
 }
--- a/src/net/server_state.rs
+++ b/src/net/server_state.rs
@@ -16,6 +16,10 @@
 }
 
 /// The server's side of a connection.
+#[expect(
+    clippy::struct_excessive_bools,
+    reason = "independent facts about a connection, of which any combination occurs"
+)]
 pub(super) struct ServerState {
     listener: Listener,
     /// The last request was a heartbeat.
@@ -30,7 +34,7 @@
 }
 
 impl ServerState {
-    pub fn new(listener: Listener) -> ServerState {
+    pub(super) fn new(listener: Listener) -> ServerState {
         ServerState {
             listener,
             is_agent: false,
@@ -41,32 +45,32 @@
         }
     }
 
-    pub fn listener(&self) -> Listener {
+    pub(super) fn listener(&self) -> Listener {
         self.listener
     }
 
     /// Whether the last request was a heartbeat.
-    pub fn is_agent(&self) -> bool {
+    pub(super) fn is_agent(&self) -> bool {
         self.is_agent
     }
 
     /// Whether a request was passed on and is not answered yet.
-    pub fn awaits_answer(&self) -> bool {
+    pub(super) fn awaits_answer(&self) -> bool {
         self.awaits_answer
     }
 
     /// Whether a request has been answered on this connection.
-    pub fn was_served(&self) -> bool {
+    pub(super) fn was_served(&self) -> bool {
         self.was_served
     }
 
     /// When the first byte of an incomplete request was received.
-    pub fn request_began(&self) -> Option<Instant> {
+    pub(super) fn request_began(&self) -> Option<Instant> {
         self.request_began
     }
 
     /// Whether the last answer of this connection has been given.
-    pub fn is_complete(&self) -> bool {
+    pub(super) fn is_complete(&self) -> bool {
         self.closes_after_answer && !self.awaits_answer
     }
 
@@ -76,7 +80,10 @@
     /// # Errors
     ///
     /// If the request has to be refused.
-    pub fn next_request(&mut self, input: &mut Vec<u8>) -> Result<Option<Request>, RequestError> {
+    pub(super) fn next_request(
+        &mut self,
+        input: &mut Vec<u8>,
+    ) -> Result<Option<Request>, RequestError> {
         if self.awaits_answer || input.is_empty() {
             return Ok(None);
         }
@@ -102,14 +109,14 @@
     }
 
     /// Prepares the refusal of an invalid request: its answer is the last on this connection.
-    pub fn reject_request(&mut self) {
+    pub(super) fn reject_request(&mut self) {
         self.awaits_answer = true;
         self.closes_after_answer = true;
     }
 
     /// Marks the request as answered with `answer_status`. Returns whether the connection is kept,
     /// or `None` if no request awaits an answer.
-    pub fn finish_request(
+    pub(super) fn finish_request(
         &mut self,
         answer_status: u16,
         is_read_closed: bool,
--- a/src/packed_record/unpack.rs
+++ b/src/packed_record/unpack.rs
@@ -29,7 +29,7 @@
         .map_err(|_| UnpackError::InvalidNumber(word.to_string()))
 }
 
-/// Unpacks what [`super::pack`] packed. `tasks` is the number of the job's tasks.
+/// Unpacks what [`super::pack()`] packed. `tasks` is the number of the job's tasks.
 ///
 /// # Errors
 ///
--- a/src/plan/cost.rs
+++ b/src/plan/cost.rs
@@ -19,7 +19,12 @@
 
 impl CostModel {
     /// The cost of a placement on a machine with this free capacity, fetches aside.
-    pub fn placement_cost_s(&self, machine: &MachineView, spec: &JobSpec, free: Resources) -> f64 {
+    pub(super) fn placement_cost_s(
+        &self,
+        machine: &MachineView,
+        spec: &JobSpec,
+        free: Resources,
+    ) -> f64 {
         let penalty_s = if spec.spot && !machine.spot {
             self.on_demand_penalty_s
         } else {
@@ -32,7 +37,7 @@
     }
 
     /// What preempting a task wastes, in seconds of work and saving.
-    pub fn preemption_waste_s(&self, task: &TaskView) -> f64 {
+    pub(super) fn preemption_waste_s(&self, task: &TaskView) -> f64 {
         let ran_s = |since_s: f64| (self.now_s - since_s).max(0.0);
         task.stop_cost_s + task.running_since_s.map_or(0.0, ran_s)
     }
--- a/src/plan/cycle/decision_builder.rs
+++ b/src/plan/cycle/decision_builder.rs
@@ -16,7 +16,7 @@
 
 impl DecisionBuilder {
     /// The decision, with what the cycle cost.
-    pub fn finish(self, machines_examined: u64) -> Decision {
+    pub(super) fn finish(self, machines_examined: u64) -> Decision {
         Decision {
             machines_examined,
             ..self.decision
@@ -24,19 +24,19 @@
     }
 
     /// Adds a gang without a placement, which backs off.
-    pub fn add_failed(&mut self, job: &JobView) {
+    pub(super) fn add_failed(&mut self, job: &JobView) {
         self.decision.failed.push(job.id.clone());
     }
 
     /// Adds an array that skipped machines without its image.
-    pub fn add_skipped(&mut self, job: &JobView) {
+    pub(super) fn add_skipped(&mut self, job: &JobView) {
         let skipped = &mut self.decision.arrays_skipping_uncached;
         skipped.push(job.id.clone());
     }
 
     /// Adds the placements of an assignment. A job has one entry for all its placements, as
     /// one record holds them.
-    pub fn add_placements(&mut self, job: &JobView, assignment: &Assignment, fleet: &Fleet) {
+    pub(super) fn add_placements(&mut self, job: &JobView, assignment: &Assignment, fleet: &Fleet) {
         let tasks = assignment.tasks.iter();
         let tasks = tasks.map(|assigned| TaskBinding {
             task: assigned.task,
@@ -53,7 +53,7 @@
     }
 
     /// Adds the victims of an assignment, and the reservations for its tasks.
-    pub fn add_preemption(&mut self, job: &JobView, assignment: &Assignment, fleet: &Fleet) {
+    pub(super) fn add_preemption(&mut self, job: &JobView, assignment: &Assignment, fleet: &Fleet) {
         for victim in &assignment.victims {
             let view = &fleet.machine(victim.machine).tasks[victim.task];
             self.decision.stops.push(PlannedStop {
@@ -73,7 +73,7 @@
     }
 
     /// Adds the unmet demand of a job of which the tasks of an assignment could have capacity.
-    pub fn add_unmet(&mut self, job: &JobView, assignment: &Assignment, fleet: &Fleet) {
+    pub(super) fn add_unmet(&mut self, job: &JobView, assignment: &Assignment, fleet: &Fleet) {
         let mut unmet = UnmetDemand {
             job: job.id.clone(),
             count: (job.pending.len() - assignment.tasks.len()) as u32,
@@ -89,7 +89,7 @@
     }
 
     /// Adds the unmet demand of tasks of an array, each for itself, if there are any.
-    pub fn add_unmet_array(&mut self, job: &JobView, count: usize) {
+    pub(super) fn add_unmet_array(&mut self, job: &JobView, count: usize) {
         if count == 0 {
             return;
         }
--- a/src/plan/cycle/state.rs
+++ b/src/plan/cycle/state.rs
@@ -25,7 +25,7 @@
 impl CycleState {
     /// The state at the beginning of a cycle. `smallest_demand`: no job of the queue asks for
     /// less of anything.
-    pub fn new(snapshot: Snapshot, smallest_demand: Resources) -> CycleState {
+    pub(super) fn new(snapshot: Snapshot, smallest_demand: Resources) -> CycleState {
         let costs = CostModel {
             now_s: snapshot.now_s,
             on_demand_penalty_s: snapshot.on_demand_penalty_s,
@@ -40,22 +40,22 @@
     }
 
     /// The fleet.
-    pub fn fleet(&self) -> &Fleet {
+    pub(super) fn fleet(&self) -> &Fleet {
         &self.fleet
     }
 
     /// Whether capacity is reserved for a job.
-    pub fn has_reservation(&self, job: &JobView) -> bool {
+    pub(super) fn has_reservation(&self, job: &JobView) -> bool {
         self.fleet.reservations.is_holder(&job.id)
     }
 
     /// Counts tasks of a job as in use by its team.
-    pub fn charge_team(&mut self, job: &JobView, count: usize) {
+    pub(super) fn charge_team(&mut self, job: &JobView, count: usize) {
         self.fleet.quotas.charge(job, count);
     }
 
     /// Searches for machines for a job's tasks.
-    pub fn search(&mut self, request: SearchRequest) -> Option<Assignment> {
+    pub(super) fn search(&mut self, request: SearchRequest) -> Option<Assignment> {
         prepare_and_search(&mut self.fleet, None, &mut self.indexes, request)
     }
 
@@ -69,7 +69,7 @@
     }
 
     /// Places the tasks of an assignment. It releases what was reserved for the job.
-    pub fn place(&mut self, job: &JobView, assignment: &Assignment) {
+    pub(super) fn place(&mut self, job: &JobView, assignment: &Assignment) {
         let demand = Resources::of(&job.spec);
         let mut changed = BTreeSet::new();
         for assigned in &assignment.tasks {
@@ -83,7 +83,7 @@
 
     /// Marks the victims of an assignment, and reserves capacity for its tasks until
     /// these are stopped.
-    pub fn preempt(&mut self, job: &JobView, assignment: &Assignment) {
+    pub(super) fn preempt(&mut self, job: &JobView, assignment: &Assignment) {
         let mut changed = BTreeSet::new();
         for victim in &assignment.victims {
             self.fleet.mark_victim(*victim);
@@ -103,7 +103,7 @@
 
     /// Earmarks the capacity that a job without a placement could use, so that no later job's
     /// unmet demand counts on it. Returns what was earmarked.
-    pub fn earmark(&mut self, job: &JobView) -> Option<Assignment> {
+    pub(super) fn earmark(&mut self, job: &JobView) -> Option<Assignment> {
         let assignment = self.search_to_earmark(job)?;
         let mut changed = BTreeSet::new();
         for victim in &assignment.victims {
--- a/src/plan/fleet/earmarks.rs
+++ b/src/plan/fleet/earmarks.rs
@@ -16,7 +16,7 @@
 
 impl Earmarks {
     /// No earmarks on any machine.
-    pub fn new(machine_count: usize) -> Earmarks {
+    pub(crate) fn new(machine_count: usize) -> Earmarks {
         Earmarks {
             capacity: vec![Resources::default(); machine_count],
             prospective_victims: vec![vec![]; machine_count],
@@ -24,22 +24,22 @@
     }
 
     /// The capacity that is earmarked on a machine.
-    pub fn capacity_on(&self, machine: usize) -> Resources {
+    pub(crate) fn capacity_on(&self, machine: usize) -> Resources {
         self.capacity[machine]
     }
 
     /// Whether a task would be preempted for one of the gangs.
-    pub fn is_prospective_victim(&self, task: TaskIndex) -> bool {
+    pub(crate) fn is_prospective_victim(&self, task: TaskIndex) -> bool {
         self.prospective_victims[task.machine].contains(&task.task)
     }
 
     /// Earmarks capacity for a task.
-    pub fn add_task(&mut self, machine: usize, demand: Resources) {
+    pub(crate) fn add_task(&mut self, machine: usize, demand: Resources) {
         self.capacity[machine].add(demand);
     }
 
     /// Notes a prospective victim and the capacity that it would free.
-    pub fn add_victim(&mut self, victim: TaskIndex, freed: Resources) {
+    pub(crate) fn add_victim(&mut self, victim: TaskIndex, freed: Resources) {
         self.capacity[victim.machine].sub(freed);
         self.prospective_victims[victim.machine].push(victim.task);
     }
--- a/src/plan/fleet/images.rs
+++ b/src/plan/fleet/images.rs
@@ -27,7 +27,7 @@
     }
 
     /// Whether a machine is one of them.
-    pub fn contains(&self, machine: usize) -> bool {
+    pub(crate) fn contains(&self, machine: usize) -> bool {
         self.has_image[machine]
     }
 }
@@ -38,7 +38,7 @@
 
 impl ImageMap {
     /// Makes sure that the machines of an image are known.
-    pub fn prepare(&mut self, image: &str, machines: &[Arc<MachineView>]) {
+    pub(crate) fn prepare(&mut self, image: &str, machines: &[Arc<MachineView>]) {
         if !self.0.contains_key(image) {
             let known = ImageMachines::new(image, machines);
             self.0.insert(image.into(), known);
@@ -46,12 +46,12 @@
     }
 
     /// The machines of an image, once prepared.
-    pub fn get(&self, image: &str) -> Option<&ImageMachines> {
+    pub(crate) fn get(&self, image: &str) -> Option<&ImageMachines> {
         self.0.get(image)
     }
 
     /// The machines of an image in rising order, once prepared.
-    pub fn machines_with(&self, image: &str) -> &[usize] {
+    pub(crate) fn machines_with(&self, image: &str) -> &[usize] {
         self.get(image).map_or(&[], |known| &known.machines)
     }
 }
--- a/src/plan/fleet/kinds.rs
+++ b/src/plan/fleet/kinds.rs
@@ -20,7 +20,7 @@
 
 impl MachineKinds {
     /// Groups machines by kind.
-    pub fn new(machines: &[Arc<MachineView>]) -> MachineKinds {
+    pub(crate) fn new(machines: &[Arc<MachineView>]) -> MachineKinds {
         let mut representatives: Vec<usize> = Vec::new();
         let mut kind_of = Vec::with_capacity(machines.len());
         for (index, machine) in machines.iter().enumerate() {
@@ -40,22 +40,22 @@
     }
 
     /// The kind of a machine.
-    pub fn of(&self, machine: usize) -> usize {
+    pub(crate) fn of(&self, machine: usize) -> usize {
         self.kind_of[machine]
     }
 
     /// One machine of each kind.
-    pub fn representatives(&self) -> &[usize] {
+    pub(crate) fn representatives(&self) -> &[usize] {
         &self.representatives
     }
 
     /// The total capacity of a machine of each kind.
-    pub fn totals(&self) -> &[Resources] {
+    pub(crate) fn totals(&self) -> &[Resources] {
         &self.totals
     }
 
     /// For each kind, whether a job may use its machines; only those of `zone`, if given.
-    pub fn allowed_for(
+    pub(crate) fn allowed_for(
         &self,
         spec: &JobSpec,
         zone: Option<&str>,
--- a/src/plan/fleet/mod.rs
+++ b/src/plan/fleet/mod.rs
@@ -63,7 +63,7 @@
 
 impl Fleet {
     /// The fleet at the beginning of a cycle.
-    pub fn new(
+    pub(super) fn new(
         machines: Vec<Arc<MachineView>>,
         teams: HashMap<String, TeamView>,
         costs: CostModel,
@@ -82,47 +82,47 @@
     }
 
     /// The number of machines.
-    pub fn len(&self) -> usize {
+    pub(super) fn len(&self) -> usize {
         self.machines.len()
     }
 
     /// A machine as it was when the snapshot was taken.
-    pub fn machine(&self, machine: usize) -> &MachineView {
+    pub(super) fn machine(&self, machine: usize) -> &MachineView {
         &self.machines[machine]
     }
 
     /// A machine's name.
-    pub fn machine_name(&self, machine: usize) -> Arc<str> {
+    pub(super) fn machine_name(&self, machine: usize) -> Arc<str> {
         self.machines[machine].name.clone()
     }
 
     /// For each kind, whether a job may use its machines; only those of `zone`, if given.
-    pub fn allowed_kinds(&self, spec: &JobSpec, zone: Option<&str>) -> Vec<bool> {
+    pub(super) fn allowed_kinds(&self, spec: &JobSpec, zone: Option<&str>) -> Vec<bool> {
         self.kinds.allowed_for(spec, zone, &self.machines)
     }
 
     /// Makes sure that the machines with an image are known.
-    pub fn prepare_image(&mut self, image: &str) {
+    pub(super) fn prepare_image(&mut self, image: &str) {
         self.images.prepare(image, &self.machines);
     }
 
     /// Takes capacity of a machine for a task.
-    pub fn take_capacity(&mut self, machine: usize, demand: Resources) {
+    pub(super) fn take_capacity(&mut self, machine: usize, demand: Resources) {
         self.free[machine].sub(demand);
     }
 
     /// Marks a task as a victim of this cycle.
-    pub fn mark_victim(&mut self, victim: TaskIndex) {
+    pub(super) fn mark_victim(&mut self, victim: TaskIndex) {
         self.victims[victim.machine].push(victim.task);
     }
 
     /// Counts that a machine was examined for a job: the measure of what a cycle costs.
-    pub fn note_examined(&self) {
+    pub(super) fn note_examined(&self) {
         self.machines_examined.set(self.machines_examined.get() + 1);
     }
 
     /// How often a machine was examined for a job.
-    pub fn machines_examined(&self) -> u64 {
+    pub(super) fn machines_examined(&self) -> u64 {
         self.machines_examined.get()
     }
 }
--- a/src/plan/fleet/reservations.rs
+++ b/src/plan/fleet/reservations.rs
@@ -14,7 +14,7 @@
 
 impl Reservations {
     /// The reservations at the beginning of a cycle.
-    pub fn new(machines: &[Arc<MachineView>]) -> Reservations {
+    pub(crate) fn new(machines: &[Arc<MachineView>]) -> Reservations {
         let mut holders: HashMap<Arc<str>, Vec<usize>> = HashMap::new();
         for (index, machine) in machines.iter().enumerate() {
             for reservation in &machine.reservations {
@@ -30,28 +30,28 @@
     }
 
     /// The reservations on a machine.
-    pub fn on(&self, machine: usize) -> &[Reservation] {
+    pub(crate) fn on(&self, machine: usize) -> &[Reservation] {
         &self.by_machine[machine]
     }
 
     /// Whether a job had a reservation when the cycle began, and still has it.
-    pub fn is_holder(&self, job: &str) -> bool {
+    pub(crate) fn is_holder(&self, job: &str) -> bool {
         self.holders.contains_key(job)
     }
 
     /// The machines that a job had reservations on when the cycle began, and still has.
-    pub fn machines_of(&self, job: &str) -> &[usize] {
+    pub(crate) fn machines_of(&self, job: &str) -> &[usize] {
         self.holders.get(job).map_or(&[], Vec::as_slice)
     }
 
     /// Adds a reservation on a machine. Its job does not become a holder in this cycle: a job
     /// that preempts is not searched for again before the next.
-    pub fn add(&mut self, machine: usize, reservation: Reservation) {
+    pub(crate) fn add(&mut self, machine: usize, reservation: Reservation) {
         self.by_machine[machine].push(reservation);
     }
 
     /// Releases what a holder has reserved, and returns the machines.
-    pub fn release(&mut self, job: &str) -> Vec<usize> {
+    pub(crate) fn release(&mut self, job: &str) -> Vec<usize> {
         let machines = self.holders.remove(job).unwrap_or_default();
         for machine in &machines {
             self.by_machine[*machine].retain(|reservation| *reservation.job != *job);
--- a/src/plan/fleet/view.rs
+++ b/src/plan/fleet/view.rs
@@ -21,35 +21,35 @@
 
 impl<'a> FleetView<'a> {
     /// The fleet without the capacity of the earmarks, if any.
-    pub fn new(fleet: &'a Fleet, earmarks: Option<&'a Earmarks>) -> FleetView<'a> {
+    pub(crate) fn new(fleet: &'a Fleet, earmarks: Option<&'a Earmarks>) -> FleetView<'a> {
         FleetView { fleet, earmarks }
     }
 
     /// The fleet as it is, for placements and preemptions.
-    pub fn actual(fleet: &'a Fleet) -> FleetView<'a> {
+    pub(crate) fn actual(fleet: &'a Fleet) -> FleetView<'a> {
         FleetView::new(fleet, None)
     }
 
     /// The fleet without earmarked capacity, for unmet demand.
-    pub fn without_earmarks(fleet: &'a Fleet, earmarks: &'a Earmarks) -> FleetView<'a> {
+    pub(crate) fn without_earmarks(fleet: &'a Fleet, earmarks: &'a Earmarks) -> FleetView<'a> {
         FleetView::new(fleet, Some(earmarks))
     }
 
     /// The free capacity for a job: reservations of others count as used, unless the job has
     /// a higher priority.
-    pub fn free_for(&self, machine: usize, job: &Arc<str>, priority: Priority) -> Resources {
+    pub(crate) fn free_for(&self, machine: usize, job: &Arc<str>, priority: Priority) -> Resources {
         self.free_beside(machine, |reservation| {
             reservation.job != *job && reservation.priority >= priority
         })
     }
 
     /// The free capacity for a job of a priority without a reservation on the machine.
-    pub fn free_for_priority(&self, machine: usize, priority: Priority) -> Resources {
+    pub(crate) fn free_for_priority(&self, machine: usize, priority: Priority) -> Resources {
         self.free_beside(machine, |reservation| reservation.priority >= priority)
     }
 
     /// The free capacity beside all reservations.
-    pub fn unreserved_capacity(&self, machine: usize) -> Resources {
+    pub(crate) fn unreserved_capacity(&self, machine: usize) -> Resources {
         self.free_beside(machine, |_| true)
     }
 
@@ -67,7 +67,7 @@
     }
 
     /// Whether a task is a victim of another job already.
-    pub fn is_victim(&self, task: TaskIndex) -> bool {
+    pub(crate) fn is_victim(&self, task: TaskIndex) -> bool {
         let is_prospective = |earmarks: &Earmarks| earmarks.is_prospective_victim(task);
         self.fleet.victims[task.machine].contains(&task.task)
             || self.earmarks.is_some_and(is_prospective)
--- a/src/plan/indexes/capacity_index.rs
+++ b/src/plan/indexes/capacity_index.rs
@@ -62,7 +62,13 @@
 
 impl CapacityIndex {
     /// Sets the free capacity of a machine; `None` removes it from the index.
-    pub fn set(&mut self, machine: usize, kind: usize, total: Resources, free: Option<Resources>) {
+    pub(crate) fn set(
+        &mut self,
+        machine: usize,
+        kind: usize,
+        total: Resources,
+        free: Option<Resources>,
+    ) {
         let position = free.map(|free| IndexPosition {
             bucket: CapacityBucket::new(kind, total, free),
             entry: RankedMachine {
@@ -96,13 +102,13 @@
     }
 
     /// Whether no machine has capacity.
-    pub fn is_empty(&self) -> bool {
+    pub(crate) fn is_empty(&self) -> bool {
         self.positions.is_empty()
     }
 
     /// The machines that may have capacity for `demand`, one iterator for each bucket of the
     /// allowed kinds, the least capacity first. `totals`: what a machine of each kind has.
-    pub fn buckets_for(
+    pub(crate) fn buckets_for(
         &self,
         demand: Resources,
         kind_allowed: &[bool],
--- a/src/plan/indexes/mod.rs
+++ b/src/plan/indexes/mod.rs
@@ -40,7 +40,7 @@
 impl FleetIndexes {
     /// Indexes of all machines in a view. `smallest_demand`: no job of the queue asks for less
     /// of anything.
-    pub fn new(view: FleetView, smallest_demand: Resources) -> FleetIndexes {
+    pub(super) fn new(view: FleetView, smallest_demand: Resources) -> FleetIndexes {
         let mut indexes = FleetIndexes {
             smallest_demand,
             all: CapacityIndex::default(),
@@ -55,12 +55,12 @@
     }
 
     /// No job of the queue asks for less of anything.
-    pub fn smallest_demand(&self) -> Resources {
+    pub(super) fn smallest_demand(&self) -> Resources {
         self.smallest_demand
     }
 
     /// Updates the indexes after a change of a machine.
-    pub fn update(&mut self, view: FleetView, machine: usize) {
+    pub(super) fn update(&mut self, view: FleetView, machine: usize) {
         update_capacity(&mut self.all, view, machine, self.smallest_demand);
         self.update_reserved(view, machine);
         if !self.by_image.is_empty() {
@@ -86,24 +86,24 @@
     }
 
     /// Whether no machine has capacity for any job of the queue, nor a reservation.
-    pub fn is_full(&self) -> bool {
+    pub(super) fn is_full(&self) -> bool {
         self.all.is_empty() && self.reserved.values().all(BTreeSet::is_empty)
     }
 
     /// The machines with unreserved capacity.
-    pub fn all(&self) -> &CapacityIndex {
+    pub(super) fn all(&self) -> &CapacityIndex {
         &self.all
     }
 
     /// Machines with reservations of jobs of lower priorities.
-    pub fn reserved_below(&self, priority: Priority) -> impl Iterator<Item = usize> + '_ {
+    pub(super) fn reserved_below(&self, priority: Priority) -> impl Iterator<Item = usize> + '_ {
         let lower = self.reserved.range(..priority);
         lower.flat_map(|(_, machines)| machines.iter().copied())
     }
 
     /// Makes sure that there is an index of the machines that have an image. The image has to
     /// be prepared in the fleet before.
-    pub fn prepare_image(&mut self, view: FleetView, image: &str) {
+    pub(super) fn prepare_image(&mut self, view: FleetView, image: &str) {
         if self.by_image.contains_key(image) {
             return;
         }
@@ -115,12 +115,12 @@
     }
 
     /// The machines with unreserved capacity that have an image, once prepared.
-    pub fn with_image(&self, image: &str) -> Option<&CapacityIndex> {
+    pub(super) fn with_image(&self, image: &str) -> Option<&CapacityIndex> {
         self.by_image.get(image)
     }
 
     /// Makes sure that there is a list of preemption candidates for a job, also by its image.
-    pub fn prepare_candidates(&mut self, view: FleetView, preemptor: &Preemptor) {
+    pub(super) fn prepare_candidates(&mut self, view: FleetView, preemptor: &Preemptor) {
         self.prepare_candidate_list(view, preemptor);
         let image = preemptor.spec.image.as_str();
         let lists = self.candidates.iter_mut();
@@ -145,7 +145,7 @@
     }
 
     /// The preemption candidates for a job, once prepared.
-    pub fn candidates_for(&self, preemptor: &Preemptor) -> Option<&PreemptionCandidates> {
+    pub(super) fn candidates_for(&self, preemptor: &Preemptor) -> Option<&PreemptionCandidates> {
         self.candidates
             .iter()
             .find(|candidates| candidates.is_for(preemptor))
--- a/src/plan/indexes/preemption_candidates.rs
+++ b/src/plan/indexes/preemption_candidates.rs
@@ -23,7 +23,7 @@
 
 impl PreemptionCandidates {
     /// The candidates among all machines in a view.
-    pub fn new(view: FleetView, preemptor: Preemptor) -> PreemptionCandidates {
+    pub(crate) fn new(view: FleetView, preemptor: Preemptor) -> PreemptionCandidates {
         let mut candidates = PreemptionCandidates {
             preemptor,
             ordered: CostOrder::new(),
@@ -37,13 +37,13 @@
     }
 
     /// Whether they hold for this preemptor, too.
-    pub fn is_for(&self, preemptor: &Preemptor) -> bool {
+    pub(crate) fn is_for(&self, preemptor: &Preemptor) -> bool {
         self.preemptor.is_like(preemptor)
     }
 
     /// Makes sure that the candidates that have an image are known separately. The image has
     /// to be prepared in the fleet before.
-    pub fn prepare_image(&mut self, view: FleetView, image: &str) {
+    pub(crate) fn prepare_image(&mut self, view: FleetView, image: &str) {
         if self.by_image.contains_key(image) {
             return;
         }
@@ -58,7 +58,7 @@
     }
 
     /// Updates the candidates after a change of a machine.
-    pub fn update(&mut self, view: FleetView, machine: usize) {
+    pub(crate) fn update(&mut self, view: FleetView, machine: usize) {
         let cost = self.cost_on(view, machine);
         let known = match cost {
             Some(cost) => self.cost_of.insert(machine, cost),
@@ -83,12 +83,12 @@
     }
 
     /// The candidates, the cheapest first.
-    pub fn iter(&self) -> CandidateIter<'_> {
+    pub(crate) fn iter(&self) -> CandidateIter<'_> {
         CandidateIter(self.ordered.iter())
     }
 
     /// The candidates that have an image, the cheapest first, once prepared.
-    pub fn iter_with_image(&self, image: &str) -> Option<CandidateIter<'_>> {
+    pub(crate) fn iter_with_image(&self, image: &str) -> Option<CandidateIter<'_>> {
         let ordered = self.by_image.get(image)?;
         Some(CandidateIter(ordered.iter()))
     }
--- a/src/plan/preemption/preemptor.rs
+++ b/src/plan/preemption/preemptor.rs
@@ -19,7 +19,7 @@
 
 impl Preemptor {
     /// A job as a preemptor, given how its team's unfinished work compares to its nominal quota.
-    pub fn new(job: &JobView, is_within_nominal_quota: bool) -> Preemptor {
+    pub(crate) fn new(job: &JobView, is_within_nominal_quota: bool) -> Preemptor {
         Preemptor {
             job: job.id.clone(),
             spec: job.spec.clone(),
@@ -28,7 +28,7 @@
     }
 
     /// Whether both have the same preemption candidates at the same costs.
-    pub fn is_like(&self, other: &Preemptor) -> bool {
+    pub(crate) fn is_like(&self, other: &Preemptor) -> bool {
         let alike = Resources::of(&self.spec) == Resources::of(&other.spec)
             && self.spec.priority == other.spec.priority
             && self.spec.spot == other.spec.spot;
--- a/src/plan/preemption/victims.rs
+++ b/src/plan/preemption/victims.rs
@@ -32,7 +32,7 @@
 
 impl<'a> VictimSelector<'a> {
     /// A selector for a preemptor in a view of the fleet.
-    pub fn new(view: FleetView<'a>, preemptor: &'a Preemptor) -> VictimSelector<'a> {
+    pub(crate) fn new(view: FleetView<'a>, preemptor: &'a Preemptor) -> VictimSelector<'a> {
         VictimSelector {
             view,
             fleet: view.fleet,
@@ -42,7 +42,7 @@
 
     /// How many tasks of the preemptor a machine would hold if all that it may preempt there
     /// were stopped.
-    pub fn tasks_if_preempted(&self, machine: usize) -> u32 {
+    pub(crate) fn tasks_if_preempted(&self, machine: usize) -> u32 {
         self.fleet.note_examined();
         let preemptor = self.preemptor;
         let mut capacity = self
@@ -62,7 +62,7 @@
     /// The victims that make capacity for one more task on a machine with this free capacity,
     /// and what that costs; `None` if no victims make enough. `already_chosen`: victims
     /// that the same search has chosen for other tasks.
-    pub fn choose(
+    pub(crate) fn choose(
         &self,
         machine: usize,
         free: Resources,
--- a/src/plan/queue_order.rs
+++ b/src/plan/queue_order.rs
@@ -25,7 +25,8 @@
         let work_s = job.pending.len() as f64 * job.spec.expected_s;
         let start_by_s = job.start_by_s.unwrap_or(job.ready_at_s);
         OrderKey {
-            exceeds_nominal_quota: !team.is_some_and(|team| team.is_within_nominal_quota()),
+            exceeds_nominal_quota: !team
+                .is_some_and(super::snapshot::TeamView::is_within_nominal_quota),
             priority: Reverse(job.spec.priority),
             has_missed_objectives: job.start_by_s.is_none() && !job.overdue,
             slack_s: if job.overdue {
--- a/src/plan/ranked_machine.rs
+++ b/src/plan/ranked_machine.rs
@@ -9,12 +9,12 @@
 
 impl Rank {
     /// The rank of a value; negative values, which come from rounding, rank as 0.
-    pub fn new(value: f64) -> Rank {
+    pub(super) fn new(value: f64) -> Rank {
         Rank(value.max(0.0).to_bits())
     }
 
     /// The value that the rank was made from.
-    pub fn value(self) -> f64 {
+    pub(super) fn value(self) -> f64 {
         f64::from_bits(self.0)
     }
 }
--- a/src/plan/search/candidate.rs
+++ b/src/plan/search/candidate.rs
@@ -34,7 +34,7 @@
 
 impl Candidate {
     /// The order in which candidates are used: by cost, then by the machine's index.
-    pub fn compare(cost_s: f64, machine: usize, other: &Candidate) -> Ordering {
+    pub(super) fn compare(cost_s: f64, machine: usize, other: &Candidate) -> Ordering {
         let by_cost = cost_s.total_cmp(&other.cost_s);
         by_cost.then(machine.cmp(&other.machine))
     }
--- a/src/plan/search/free_machines.rs
+++ b/src/plan/search/free_machines.rs
@@ -26,7 +26,7 @@
 
 impl<'s, 'a> FreeMachines<'s, 'a> {
     /// The machines in a scope with capacity for a task.
-    pub fn new(scope: &'s SearchScope<'a>) -> FreeMachines<'s, 'a> {
+    pub(super) fn new(scope: &'s SearchScope<'a>) -> FreeMachines<'s, 'a> {
         let mut free = FreeMachines {
             scope,
             sources: sources(scope),
@@ -56,7 +56,7 @@
 
     /// Adds a machine back that was just assigned a task and has this capacity left. The image
     /// is fetched for that task already.
-    pub fn push_assigned(&mut self, machine: usize, free: Resources) {
+    pub(super) fn push_assigned(&mut self, machine: usize, free: Resources) {
         self.push(machine, free, true);
     }
 
@@ -95,7 +95,7 @@
     }
 
     /// The cheapest machine with capacity for one more task.
-    pub fn next(&mut self, progress: &SearchProgress) -> Option<Candidate> {
+    pub(super) fn next(&mut self, progress: &SearchProgress) -> Option<Candidate> {
         while let Some(candidate) = self.heap.pop() {
             let machine = candidate.machine;
             let mut has_image = true;
--- a/src/plan/search/preemptable_machines.rs
+++ b/src/plan/search/preemptable_machines.rs
@@ -24,7 +24,7 @@
 
 impl<'s, 'a> PreemptableMachines<'s, 'a> {
     /// The machines in a scope, after what the search has assigned so far.
-    pub fn new(scope: &'s SearchScope<'a>, progress: &SearchProgress) -> Self {
+    pub(super) fn new(scope: &'s SearchScope<'a>, progress: &SearchProgress) -> Self {
         let candidates = scope.preemption_candidates();
         let with_image =
             candidates.and_then(|candidates| candidates.iter_with_image(&scope.job.spec.image));
@@ -54,13 +54,18 @@
     }
 
     /// Adds a machine with this free capacity, if victims make enough capacity for a task.
-    pub fn push_examined(&mut self, machine: usize, free: Resources, progress: &SearchProgress) {
+    pub(super) fn push_examined(
+        &mut self,
+        machine: usize,
+        free: Resources,
+        progress: &SearchProgress,
+    ) {
         self.heap
             .extend(examine(self.scope, machine, free, progress));
     }
 
     /// The cheapest machine on which victims make capacity for one more task.
-    pub fn next(&mut self, progress: &SearchProgress) -> Option<Candidate> {
+    pub(super) fn next(&mut self, progress: &SearchProgress) -> Option<Candidate> {
         loop {
             self.admit_candidates(progress);
             let mut candidate = self.heap.pop()?;
--- a/src/plan/search/progress.rs
+++ b/src/plan/search/progress.rs
@@ -23,7 +23,7 @@
 
 impl SearchProgress {
     /// A search that has assigned nothing.
-    pub fn new(job: &JobView) -> SearchProgress {
+    pub(super) fn new(job: &JobView) -> SearchProgress {
         SearchProgress {
             assignment: Assignment::default(),
             free: HashMap::new(),
@@ -34,33 +34,33 @@
     }
 
     /// The free capacity of a machine with assigned tasks; `None` for others.
-    pub fn free_on(&self, machine: usize) -> Option<Resources> {
+    pub(super) fn free_on(&self, machine: usize) -> Option<Resources> {
         self.free.get(&machine).copied()
     }
 
     /// The machines with assigned tasks, in no order.
-    pub fn machines(&self) -> impl Iterator<Item = usize> + '_ {
+    pub(super) fn machines(&self) -> impl Iterator<Item = usize> + '_ {
         self.free.keys().copied()
     }
 
     /// The victims chosen so far.
-    pub fn chosen_victims(&self) -> &HashSet<TaskIndex> {
+    pub(super) fn chosen_victims(&self) -> &HashSet<TaskIndex> {
         &self.chosen_victims
     }
 
     /// Whether one more task may be in a zone.
-    pub fn zone_has_capacity(&self, zone: &Arc<str>) -> bool {
+    pub(super) fn zone_has_capacity(&self, zone: &Arc<str>) -> bool {
         self.zone_max == u32::MAX || self.zones.get(zone).copied().unwrap_or(0) < self.zone_max
     }
 
     /// Whether a candidate's machine was assigned no task since its cost was calculated.
-    pub fn is_current(&self, candidate: &Candidate) -> bool {
+    pub(super) fn is_current(&self, candidate: &Candidate) -> bool {
         let free = self.free.get(&candidate.machine);
         free.is_none_or(|free| *free == candidate.free)
     }
 
     /// Assigns a task to a candidate's machine, and returns the capacity that is left there.
-    pub fn assign(
+    pub(super) fn assign(
         &mut self,
         task: u32,
         demand: Resources,
--- a/src/plan/search/scope.rs
+++ b/src/plan/search/scope.rs
@@ -36,7 +36,7 @@
 
 impl<'a> SearchScope<'a> {
     /// The scope of a search on the machines of a zone, or of all.
-    pub fn new(context: &SearchContext<'a>, zone: Option<&str>) -> SearchScope<'a> {
+    pub(super) fn new(context: &SearchContext<'a>, zone: Option<&str>) -> SearchScope<'a> {
         let job = context.request.job;
         let fleet = context.view.fleet;
         let kind_allowed = fleet.allowed_kinds(&job.spec, zone);
@@ -61,35 +61,35 @@
     }
 
     /// Whether the job may use a machine.
-    pub fn is_allowed(&self, machine: usize) -> bool {
+    pub(super) fn is_allowed(&self, machine: usize) -> bool {
         self.kind_allowed[self.fleet.kinds.of(machine)] && !self.is_avoided(machine)
     }
 
     /// Whether the job failed on a machine before.
-    pub fn is_avoided(&self, machine: usize) -> bool {
+    pub(super) fn is_avoided(&self, machine: usize) -> bool {
         let name = &self.fleet.machine(machine).name;
         self.job.avoided_machines.contains(name)
     }
 
     /// Whether a machine has or fetches the job's image.
-    pub fn has_image(&self, machine: usize) -> bool {
+    pub(super) fn has_image(&self, machine: usize) -> bool {
         let known = self.image_machines;
         known.is_some_and(|known| known.contains(machine))
     }
 
     /// The free capacity of a machine for the job.
-    pub fn free_for(&self, machine: usize) -> Resources {
+    pub(super) fn free_for(&self, machine: usize) -> Resources {
         let job = self.job;
         self.view.free_for(machine, &job.id, job.spec.priority)
     }
 
     /// The cost of fetching the image on a machine.
-    pub fn fetch_cost_s(&self, machine: usize, has_image: bool) -> f64 {
+    pub(super) fn fetch_cost_s(&self, machine: usize, has_image: bool) -> f64 {
         fetch_cost_s(self.fleet.machine(machine), &self.job.spec, has_image)
     }
 
     /// The cost of a placement on a machine with this free capacity.
-    pub fn placement_cost_s(&self, machine: usize, free: Resources, has_image: bool) -> f64 {
+    pub(super) fn placement_cost_s(&self, machine: usize, free: Resources, has_image: bool) -> f64 {
         let view = self.fleet.machine(machine);
         let costs = &self.fleet.costs;
         let placement_cost_s = costs.placement_cost_s(view, &self.job.spec, free);
@@ -97,19 +97,19 @@
     }
 
     /// The preemption candidates for the job.
-    pub fn preemption_candidates(&self) -> Option<&'a PreemptionCandidates> {
+    pub(super) fn preemption_candidates(&self) -> Option<&'a PreemptionCandidates> {
         self.indexes.candidates_for(self.preemptor)
     }
 
     /// The allowed machines of an index that may have capacity for a task, by bucket.
-    pub fn buckets(&self, index: &'a CapacityIndex) -> Vec<BucketIter<'a>> {
+    pub(super) fn buckets(&self, index: &'a CapacityIndex) -> Vec<BucketIter<'a>> {
         let totals = self.fleet.kinds.totals();
         index.buckets_for(self.demand, &self.kind_allowed, totals)
     }
 
     /// Whether all machines together hold `count` tasks, if all that the job may preempt were
     /// stopped.
-    pub fn can_hold(&self, count: usize) -> bool {
+    pub(super) fn can_hold(&self, count: usize) -> bool {
         let candidates = self.preemption_candidates();
         let preemptable = candidates
             .into_iter()
@@ -129,7 +129,7 @@
     }
 
     /// Whether a machine without the image has capacity for a task.
-    pub fn has_uncached_capacity(&self) -> bool {
+    pub(super) fn has_uncached_capacity(&self) -> bool {
         let machines = self.buckets(self.indexes.all()).into_iter().flatten();
         let mut machines = machines.chain(self.extra_capacity.iter().copied());
         machines.any(|machine| {
--- a/src/plan/search/zone_search.rs
+++ b/src/plan/search/zone_search.rs
@@ -19,7 +19,7 @@
 
 impl<'s, 'a> ZoneSearch<'s, 'a> {
     /// A search that has assigned nothing yet.
-    pub fn new(scope: &'s SearchScope<'a>) -> ZoneSearch<'s, 'a> {
+    pub(super) fn new(scope: &'s SearchScope<'a>) -> ZoneSearch<'s, 'a> {
         ZoneSearch {
             scope,
             progress: SearchProgress::new(scope.job),
@@ -29,7 +29,7 @@
     }
 
     /// Assigns machines to the pending tasks, at least `min_count` of them or none.
-    pub fn run(mut self, pending: &[u32], min_count: usize) -> Option<Assignment> {
+    pub(super) fn run(mut self, pending: &[u32], min_count: usize) -> Option<Assignment> {
         for (index, task) in pending.iter().enumerate() {
             // The cycle ends once the minimum count is out of reach.
             if self.progress.assignment.tasks.len() + (pending.len() - index) < min_count {
--- a/src/plan/snapshot.rs
+++ b/src/plan/snapshot.rs
@@ -77,6 +77,10 @@
 
 /// A job with tasks to be placed.
 #[derive(Debug, Clone)]
+#[expect(
+    clippy::struct_excessive_bools,
+    reason = "independent facts about a job, of which any combination occurs"
+)]
 pub struct JobView {
     /// Its id.
     pub id: Arc<str>,
--- a/src/scheduler/arrivals.rs
+++ b/src/scheduler/arrivals.rs
@@ -19,7 +19,7 @@
 
 impl ArrivalRates {
     /// Records that a job arrived at `at`, which may be earlier than the last one.
-    pub fn record(&mut self, spec: &Arc<JobSpec>, at: i64, boot_s: f64) {
+    pub(super) fn record(&mut self, spec: &Arc<JobSpec>, at: i64, boot_s: f64) {
         self.by_class
             .entry(spec.class.clone())
             .or_insert_with(|| ArrivalRate::new(spec.clone(), at))
@@ -27,7 +27,7 @@
     }
 
     /// The rates in the order of the class names.
-    pub fn iter(&self) -> impl Iterator<Item = &ArrivalRate> {
+    pub(super) fn iter(&self) -> impl Iterator<Item = &ArrivalRate> {
         self.by_class.values()
     }
 }
@@ -74,7 +74,7 @@
     }
 
     /// Tasks per second.
-    pub fn per_second(&self, now: u64, boot_s: f64) -> f64 {
+    pub(super) fn per_second(&self, now: u64, boot_s: f64) -> f64 {
         let now = now as i64;
         let decay_s = DECAY_BOOTS * boot_s;
         let age_s = (now - self.updated_at).max(0) as f64 / 1000.0;
--- a/src/scheduler/dependency_links.rs
+++ b/src/scheduler/dependency_links.rs
@@ -26,7 +26,7 @@
     }
 
     /// Removes a job that is no longer live from its dependencies.
-    pub fn remove(&mut self, job: &Job) {
+    pub(super) fn remove(&mut self, job: &Job) {
         for dependency in &job.spec.dependencies {
             if let Some(dependents) = self.dependents.get_mut(dependency) {
                 dependents.retain(|id| *id != job.id);
--- a/src/scheduler/direct_commands.rs
+++ b/src/scheduler/direct_commands.rs
@@ -12,23 +12,23 @@
 }
 
 impl DirectCommands {
-    pub fn push(&mut self, machine: Arc<str>, command: Command) {
+    pub(super) fn push(&mut self, machine: Arc<str>, command: Command) {
         self.by_machine.entry(machine).or_default().push(command);
     }
 
-    pub fn extend(&mut self, machine: Arc<str>, commands: Vec<Command>) {
+    pub(super) fn extend(&mut self, machine: Arc<str>, commands: Vec<Command>) {
         if !commands.is_empty() {
             self.by_machine.entry(machine).or_default().extend(commands);
         }
     }
 
     /// Removes and returns the commands of one machine.
-    pub fn take(&mut self, machine: &str) -> Vec<Command> {
+    pub(super) fn take(&mut self, machine: &str) -> Vec<Command> {
         self.by_machine.remove(machine).unwrap_or_default()
     }
 
     /// Removes and returns the commands of all machines.
-    pub fn take_all(&mut self) -> BTreeMap<Arc<str>, Vec<Command>> {
+    pub(super) fn take_all(&mut self) -> BTreeMap<Arc<str>, Vec<Command>> {
         std::mem::take(&mut self.by_machine)
     }
 }
--- a/src/scheduler/dirty_jobs.rs
+++ b/src/scheduler/dirty_jobs.rs
@@ -23,7 +23,7 @@
 impl DirtyJobs {
     /// Brings the index up to date with a job whose changes, or their being recorded, have
     /// changed.
-    pub fn update(&mut self, job: &mut Job) {
+    pub(super) fn update(&mut self, job: &mut Job) {
         let required = job.required_write_state();
         if required != job.write_state {
             self.remove(job);
@@ -33,7 +33,7 @@
     }
 
     /// Removes a job that is no longer live.
-    pub fn remove(&mut self, job: &Job) {
+    pub(super) fn remove(&mut self, job: &Job) {
         match job.write_state {
             WriteState::None => false,
             WriteState::Urgent => self.urgent.remove(&job.id),
@@ -52,7 +52,7 @@
     /// The jobs to write now: all urgent ones, and up to `spare_writes` of those that have
     /// waited for `max_wait_ms`, longest first. `may_write` tells whether a job's record may
     /// be written now.
-    pub fn due(
+    pub(super) fn due(
         &mut self,
         may_write: impl Fn(&str) -> bool,
         spare_writes: usize,
@@ -74,7 +74,7 @@
         due
     }
 
-    pub fn considered(&self) -> u64 {
+    pub(super) fn considered(&self) -> u64 {
         self.considered
     }
 }
--- a/src/scheduler/machine_catalog.rs
+++ b/src/scheduler/machine_catalog.rs
@@ -15,7 +15,7 @@
 }
 
 impl MachineCatalog {
-    pub fn new(machine_types: Arc<Vec<MachineType>>) -> MachineCatalog {
+    pub(super) fn new(machine_types: Arc<Vec<MachineType>>) -> MachineCatalog {
         MachineCatalog {
             interned_names: interned_names(&machine_types),
             machine_types,
@@ -23,22 +23,22 @@
     }
 
     /// Whether the cloud's machine types have not been read yet.
-    pub fn is_empty(&self) -> bool {
+    pub(super) fn is_empty(&self) -> bool {
         self.machine_types.is_empty()
     }
 
-    pub fn machine_types(&self) -> &[MachineType] {
+    pub(super) fn machine_types(&self) -> &[MachineType] {
         &self.machine_types
     }
 
-    pub fn machine_type(&self, name: &str) -> Option<&MachineType> {
+    pub(super) fn machine_type(&self, name: &str) -> Option<&MachineType> {
         self.machine_types
             .iter()
             .find(|machine_type| machine_type.name == name)
     }
 
     /// Every kind of spot machine that may be provisioned.
-    pub fn spot_kinds(&self) -> impl Iterator<Item = MachineKind> + '_ {
+    pub(super) fn spot_kinds(&self) -> impl Iterator<Item = MachineKind> + '_ {
         self.machine_types.iter().flat_map(|machine_type| {
             machine_type.zones.iter().map(|zone| MachineKind {
                 machine_type: machine_type.name.clone(),
@@ -49,7 +49,7 @@
     }
 
     /// The longest nominal boot time of any machine type, at least a second.
-    pub fn longest_boot_s(&self) -> f64 {
+    pub(super) fn longest_boot_s(&self) -> f64 {
         self.machine_types
             .iter()
             .map(|machine_type| machine_type.boot_s)
@@ -57,7 +57,7 @@
     }
 
     /// The longest time that any machine type should take to fetch an image.
-    pub fn longest_fetch_s(&self, image_gb: f64) -> f64 {
+    pub(super) fn longest_fetch_s(&self, image_gb: f64) -> f64 {
         self.machine_types
             .iter()
             .map(|machine_type| fetch_s(image_gb, machine_type.fetch_gb_per_s))
@@ -66,7 +66,7 @@
 
     /// The shared copy of the name of a machine type or zone, or `name` itself if the
     /// catalog does not have it.
-    pub fn interned_name(&self, name: &Arc<str>) -> Arc<str> {
+    pub(super) fn interned_name(&self, name: &Arc<str>) -> Arc<str> {
         let known = self.interned_names.iter().find(|known| *known == name);
         known.unwrap_or(name).clone()
     }
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -154,6 +154,10 @@
 ///
 /// Unless stated otherwise, `now` is the steady clock in milliseconds.
 #[derive(Debug)]
+#[expect(
+    clippy::struct_excessive_bools,
+    reason = "independent facts about the term, of which any combination occurs"
+)]
 pub struct Scheduler {
     term: Term,
     /// When the term began, on the steady clock.
--- a/src/scheduler/partition.rs
+++ b/src/scheduler/partition.rs
@@ -21,12 +21,12 @@
 
 impl PartitionDetector {
     /// Records that a machine sent a new status.
-    pub fn on_status(&mut self, now: u64) {
+    pub(super) fn on_status(&mut self, now: u64) {
         self.last_status_at = now;
     }
 
     /// Records how many agents the other controllers recently redirected.
-    pub fn set_redirected_elsewhere(&mut self, redirected: Option<u32>) {
+    pub(super) fn set_redirected_elsewhere(&mut self, redirected: Option<u32>) {
         self.redirected_elsewhere = redirected;
     }
 
@@ -34,7 +34,7 @@
     /// that is cut off. It certainly is if they went to other controllers; it is not if some
     /// machines are still heard, or if the other controllers hear nothing either. Then the
     /// machines are gone, or a whole zone of them is, and waiting for them has no use.
-    pub fn is_partitioned(
+    pub(super) fn is_partitioned(
         &self,
         reachability: Reachability,
         heartbeat_interval_s: f64,
--- a/src/scheduler/placement.rs
+++ b/src/scheduler/placement.rs
@@ -15,7 +15,7 @@
 }
 
 impl TaskKey {
-    pub fn new(job: &Arc<str>, task: u32) -> TaskKey {
+    pub(super) fn new(job: &Arc<str>, task: u32) -> TaskKey {
         TaskKey {
             job: job.clone(),
             task,
--- a/src/scheduler/provisioning.rs
+++ b/src/scheduler/provisioning.rs
@@ -69,12 +69,12 @@
 
 impl ProvisioningRequests {
     /// The open requests, oldest first.
-    pub fn open(&self) -> &[ProvisioningRequest] {
+    pub(super) fn open(&self) -> &[ProvisioningRequest] {
         &self.open
     }
 
     /// Adds a request to be sent. `prefix` makes its name unique among all terms.
-    pub fn add(&mut self, prefix: &str, kind: MachineKind, count: u64, now: u64) {
+    pub(super) fn add(&mut self, prefix: &str, kind: MachineKind, count: u64, now: u64) {
         self.last_number += 1;
         self.open.push(ProvisioningRequest {
             idempotency_key: format!("{prefix}-{}", self.last_number),
@@ -157,12 +157,12 @@
     }
 
     /// Whether a kind was refused recently.
-    pub fn is_sold_out(&self, kind: &MachineKind, now: u64) -> bool {
+    pub(super) fn is_sold_out(&self, kind: &MachineKind, now: u64) -> bool {
         self.sold_out_until.get(kind).is_some_and(|at| now < *at)
     }
 
     /// Whether a kind has ever been refused.
-    pub fn has_been_sold_out(&self, kind: &MachineKind) -> bool {
+    pub(super) fn has_been_sold_out(&self, kind: &MachineKind) -> bool {
         self.sold_out_until.contains_key(kind)
     }
 }
--- a/src/scheduler/quota_cache.rs
+++ b/src/scheduler/quota_cache.rs
@@ -13,17 +13,17 @@
 
 impl QuotaCache {
     /// Drops all results, as the usage of a team may have changed.
-    pub fn invalidate(&mut self) {
+    pub(super) fn invalidate(&mut self) {
         self.is_within_limit.clear();
     }
 
     /// The cached result for a team.
-    pub fn get(&self, team: &str) -> Option<bool> {
+    pub(super) fn get(&self, team: &str) -> Option<bool> {
         self.is_within_limit.get(team).copied()
     }
 
     /// Stores the results for all teams.
-    pub fn store(&mut self, teams: HashMap<String, TeamView>) {
+    pub(super) fn store(&mut self, teams: HashMap<String, TeamView>) {
         self.is_within_limit = teams
             .into_iter()
             .map(|(team, view)| (team, view.is_within_limit()))
--- a/src/scheduler/read_delay.rs
+++ b/src/scheduler/read_delay.rs
@@ -25,7 +25,7 @@
 
 impl ReadDelay {
     /// Records that a message waited `delay_ms` before it was read.
-    pub fn record(&mut self, delay_ms: u64, now: u64) {
+    pub(super) fn record(&mut self, delay_ms: u64, now: u64) {
         if delay_ms > LAGGING_MS {
             self.lagging_at = Some(now);
         }
@@ -35,13 +35,13 @@
     }
 
     /// Whether this controller was seconds behind within the last heartbeat intervals.
-    pub fn is_lagging(&self, heartbeat_interval_s: f64, now: u64) -> bool {
+    pub(super) fn is_lagging(&self, heartbeat_interval_s: f64, now: u64) -> bool {
         let counts_ms = to_ms(heartbeat_interval_s * LAGGING_INTERVALS);
         self.lagging_at.is_some_and(|at| now < at + counts_ms)
     }
 
     /// Whether more is currently waiting to be read than can be read.
-    pub fn is_overloaded(&self, now: u64) -> bool {
+    pub(super) fn is_overloaded(&self, now: u64) -> bool {
         self.overloaded_at
             .is_some_and(|at| now < at + 2 * OVERLOADED_MS)
     }
--- a/src/scheduler/reconcile.rs
+++ b/src/scheduler/reconcile.rs
@@ -38,7 +38,7 @@
         for task in self.tasks_to_interrupt(now) {
             let job = self.jobs.get(&*task.job);
             let placement = job.and_then(|job| job.placement(task.task));
-            if placement.is_some_and(|placement| placement.is_start_pending()) {
+            if placement.is_some_and(super::placement::Placement::is_start_pending) {
                 self.remove_placement(&task, now);
             } else {
                 self.stop_gracefully(&task, now);
--- a/src/scheduler/record_capacity.rs
+++ b/src/scheduler/record_capacity.rs
@@ -33,7 +33,7 @@
 }
 
 impl RecordCapacity {
-    pub fn new(format: u64, limits: &StoreLimits) -> RecordCapacity {
+    pub(super) fn new(format: u64, limits: &StoreLimits) -> RecordCapacity {
         RecordCapacity {
             format,
             limits: limits.clone(),
@@ -41,14 +41,14 @@
     }
 
     /// The format in which records are written.
-    pub fn format(&self) -> u64 {
+    pub(super) fn format(&self) -> u64 {
         self.format
     }
 
     /// At most how many runs a record may hold: a run in JSON takes the name of its machine,
     /// three numbers and their separators. The length of packed runs varies; whether they fit
     /// is computed when a task is placed.
-    pub fn runs_max<'a>(&self, machine_names: impl Iterator<Item = &'a String>) -> usize {
+    pub(super) fn runs_max<'a>(&self, machine_names: impl Iterator<Item = &'a String>) -> usize {
         let value_bytes = self.limits.value_kb * 1024.0;
         if self.format >= PACKED_FORMAT {
             return (value_bytes / PACKED_RUN_BYTES) as usize;
@@ -62,7 +62,7 @@
     /// end first. The length is not computed where there is capacity for the worst case beside
     /// the longest lists that a submission may have, or where [`RecordCapacity::runs_max`]
     /// allows for it in advance.
-    pub fn fits(&self, job: &Job, bindings: &[TaskBinding], epoch: u64) -> bool {
+    pub(super) fn fits(&self, job: &Job, bindings: &[TaskBinding], epoch: u64) -> bool {
         // Before the limits fall, too: a record stored by then has to be written again, if
         // only because its job is cancelled.
         let value_bytes = (self.limits.lowered().value_kb * 1024.0) as usize;
--- a/src/scheduler/record_state.rs
+++ b/src/scheduler/record_state.rs
@@ -55,7 +55,7 @@
 
 impl RecordState {
     /// The state of a record that was read at `key_version`.
-    pub fn new(key_version: u64, done: &TaskSet, now: u64) -> RecordState {
+    pub(super) fn new(key_version: u64, done: &TaskSet, now: u64) -> RecordState {
         RecordState {
             key_version,
             change: 0,
@@ -69,27 +69,27 @@
         }
     }
 
-    pub fn key_version(&self) -> u64 {
+    pub(super) fn key_version(&self) -> u64 {
         self.key_version
     }
 
     /// The number of the last change.
-    pub fn change(&self) -> u64 {
+    pub(super) fn change(&self) -> u64 {
         self.change
     }
 
     /// Whether a change of this term is recorded; 0 is any change of an earlier term.
-    pub fn is_committed(&self, change: u64) -> bool {
+    pub(super) fn is_committed(&self, change: u64) -> bool {
         change <= self.committed_change
     }
 
     /// The tasks that are recorded as done.
-    pub fn committed_done(&self) -> &TaskSet {
+    pub(super) fn committed_done(&self) -> &TaskSet {
         &self.committed_done
     }
 
     /// Counts a change, which is to be written. Returns its number.
-    pub fn add_change(&mut self, now: u64) -> u64 {
+    pub(super) fn add_change(&mut self, now: u64) -> u64 {
         if self.change <= self.committed_change {
             self.changed_at = now;
         }
@@ -98,13 +98,13 @@
     }
 
     /// Counts a change that is to be written at once. Returns its number.
-    pub fn add_urgent_change(&mut self, now: u64) -> u64 {
+    pub(super) fn add_urgent_change(&mut self, now: u64) -> u64 {
         self.urgent_change = self.add_change(now);
         self.urgent_change
     }
 
     /// Whether, and how soon, the record has to be written for its changes.
-    pub fn required_write(&self) -> WriteState {
+    pub(super) fn required_write(&self) -> WriteState {
         if self.change <= self.committed_change || self.writing.is_some() {
             WriteState::None
         } else if self.urgent_change > self.committed_change {
@@ -115,12 +115,12 @@
     }
 
     /// Whether the record may be written now, with the watch cache at `revision`.
-    pub fn may_write(&self, now: u64, revision: u64) -> bool {
+    pub(super) fn may_write(&self, now: u64, revision: u64) -> bool {
         now >= self.write_after && revision >= self.write_after_revision
     }
 
     /// The last change is being written; `done` are the tasks done as of it.
-    pub fn begin_write(&mut self, done: &TaskSet) {
+    pub(super) fn begin_write(&mut self, done: &TaskSet) {
         self.writing = Some(WritingChange {
             change: self.change,
             done: done.clone(),
@@ -128,13 +128,13 @@
     }
 
     /// The watch cache shows the record at a version of its key.
-    pub fn on_version(&mut self, version: u64) {
+    pub(super) fn on_version(&mut self, version: u64) {
         self.key_version = self.key_version.max(version);
     }
 
     /// The watch cache shows the record as this leader has written it. Returns whether a change
     /// is newly recorded.
-    pub fn on_own_record(&mut self, change: u64, done: &TaskSet) -> bool {
+    pub(super) fn on_own_record(&mut self, change: u64, done: &TaskSet) -> bool {
         let is_newer = change > self.committed_change;
         if is_newer {
             self.committed_change = change;
@@ -145,7 +145,7 @@
     }
 
     /// The store has answered the write of a change.
-    pub fn on_write_result(&mut self, change: u64, result: &CommitResult, now: u64) {
+    pub(super) fn on_write_result(&mut self, change: u64, result: &CommitResult, now: u64) {
         let written = self.take_writing(change);
         match result {
             CommitResult::Committed { revision } => {
--- a/src/scheduler/retry_state.rs
+++ b/src/scheduler/retry_state.rs
@@ -36,17 +36,17 @@
 
 impl RetryState {
     /// Whether the job rests, or backs off for lack of capacity.
-    pub fn is_backing_off(&self, now: u64) -> bool {
+    pub(super) fn is_backing_off(&self, now: u64) -> bool {
         now < self.retry_after.max(self.backoff_until)
     }
 
     /// A task of the job is done.
-    pub fn on_task_done(&mut self) {
+    pub(super) fn on_task_done(&mut self) {
         self.failures = 0;
     }
 
     /// A task of the job failed on a machine. Returns whether this is the first such machine.
-    pub fn avoid_machine(&mut self, machine: &str) -> bool {
+    pub(super) fn avoid_machine(&mut self, machine: &str) -> bool {
         self.avoided_machines.insert(machine.into());
         self.avoided_machines.len() == 1
     }
@@ -54,7 +54,7 @@
     /// Machines that the job avoids, as it failed there. Faulty machines are terminated
     /// meanwhile, and for its own faults the job rests; a lease after that it must not wait
     /// beside machines with capacity.
-    pub fn avoided_machines(&self, lease_s: f64, now: u64) -> HashSet<Arc<str>> {
+    pub(super) fn avoided_machines(&self, lease_s: f64, now: u64) -> HashSet<Arc<str>> {
         if now > self.retry_after + to_ms(lease_s) {
             return HashSet::new();
         }
@@ -63,7 +63,7 @@
 
     /// The job rests after an error of its own, twice as long each time, at most for a lease.
     /// Tasks that fail while it rests count once.
-    pub fn rest_after_error(&mut self, heartbeat_interval_s: f64, lease_s: f64, now: u64) {
+    pub(super) fn rest_after_error(&mut self, heartbeat_interval_s: f64, lease_s: f64, now: u64) {
         if now < self.retry_after {
             return;
         }
@@ -74,7 +74,7 @@
     }
 
     /// The job rests after a refused start, twice as long each time.
-    pub fn rest_after_refusal(&mut self, rest: &RefusalRest, now: u64) {
+    pub(super) fn rest_after_refusal(&mut self, rest: &RefusalRest, now: u64) {
         self.failures += 1;
         let doublings = self.failures.min(REFUSED_DOUBLINGS_MAX);
         let rest_s = (rest.unit_s * f64::from(1u32 << doublings)).min(rest.max_s);
@@ -83,19 +83,19 @@
 
     /// A planning cycle found no capacity. The KEP's standard backoff: it starts at a second
     /// and doubles up to `max_s`.
-    pub fn back_off(&mut self, max_s: f64, now: u64) {
+    pub(super) fn back_off(&mut self, max_s: f64, now: u64) {
         self.failed_cycles = (self.failed_cycles + 1).min(FAILED_CYCLES_MAX);
         let backoff_s = f64::from(1u32 << (self.failed_cycles - 1));
         self.backoff_until = now + to_ms(backoff_s.min(max_s));
     }
 
     /// Capacity became free: the backoff ends.
-    pub fn end_backoff(&mut self) {
+    pub(super) fn end_backoff(&mut self) {
         self.backoff_until = 0;
     }
 
     /// The job has got capacity.
-    pub fn on_placed(&mut self) {
+    pub(super) fn on_placed(&mut self) {
         self.failed_cycles = 0;
     }
 }
--- a/src/scheduler/snapshots.rs
+++ b/src/scheduler/snapshots.rs
@@ -17,12 +17,12 @@
 
 impl PlanTime {
     /// The time of day in seconds, as the planner has it.
-    pub fn now_s(self) -> f64 {
+    pub(super) fn now_s(self) -> f64 {
         self.wall_ms as f64 / 1000.0
     }
 
     /// A time of the steady clock as a time of day, in seconds.
-    pub fn wall_s_of(self, at: u64) -> f64 {
+    pub(super) fn wall_s_of(self, at: u64) -> f64 {
         self.now_s() - self.now.saturating_sub(at) as f64 / 1000.0
     }
 }
--- a/src/scheduler/start_queue.rs
+++ b/src/scheduler/start_queue.rs
@@ -22,7 +22,7 @@
 }
 
 impl StartQueue {
-    pub fn new(cpu_share: f64) -> StartQueue {
+    pub(super) fn new(cpu_share: f64) -> StartQueue {
         let rate = (cpu_share * DIRECT_STARTS_PER_CORE).max(1.0);
         StartQueue {
             machines: BTreeSet::new(),
@@ -33,27 +33,27 @@
     }
 
     /// A machine has recorded starts that may not be on their way.
-    pub fn insert(&mut self, machine: Arc<str>) {
+    pub(super) fn insert(&mut self, machine: Arc<str>) {
         self.new_machines.push(machine.clone());
         self.machines.insert(machine);
     }
 
-    pub fn remove(&mut self, machine: &str) {
+    pub(super) fn remove(&mut self, machine: &str) {
         self.machines.remove(machine);
     }
 
-    pub fn contains(&self, machine: &str) -> bool {
+    pub(super) fn contains(&self, machine: &str) -> bool {
         self.machines.contains(machine)
     }
 
     /// The machines that were added since the last call.
-    pub fn take_new(&mut self) -> Vec<Arc<str>> {
+    pub(super) fn take_new(&mut self) -> Vec<Arc<str>> {
         std::mem::take(&mut self.new_machines)
     }
 
     /// Removes the next machine to consider for direct starts. `None` if there is none or the
     /// rate limit is reached: the machines that are left may send a heartbeat first.
-    pub fn pop_within_limit(&mut self, now: u64) -> Option<Arc<str>> {
+    pub(super) fn pop_within_limit(&mut self, now: u64) -> Option<Arc<str>> {
         if self.direct_limit.available(now, 0.0) == 0 {
             return None;
         }
@@ -63,11 +63,11 @@
     }
 
     /// Counts a machine's direct starts against the rate limit.
-    pub fn charge(&mut self, now: u64) {
+    pub(super) fn charge(&mut self, now: u64) {
         let _ = self.direct_limit.try_take(now, 1.0, 0.0);
     }
 
-    pub fn considered(&self) -> u64 {
+    pub(super) fn considered(&self) -> u64 {
         self.considered
     }
 }
--- a/src/scheduler/task_observation.rs
+++ b/src/scheduler/task_observation.rs
@@ -30,7 +30,7 @@
 
 impl TaskObservation {
     /// What a received status shows of a placement; `reported` is the task in that status.
-    pub fn new(
+    pub(super) fn new(
         placement: &Placement,
         reported: Option<&ReportedTask>,
         received: ReceivedStatus,
--- a/src/scheduler/termination_review.rs
+++ b/src/scheduler/termination_review.rs
@@ -45,7 +45,7 @@
 
 impl TerminationReview<'_> {
     /// Why a machine is to be terminated, if it is.
-    pub fn find_reason(&self, machine: &Machine) -> Option<TerminationReason> {
+    pub(super) fn find_reason(&self, machine: &Machine) -> Option<TerminationReason> {
         let silent_ms = machine.silent_ms(self.began_at, self.now);
         let not_listed_ms = to_ms(self.agents.report_s * UNLISTED_INTERVALS);
         if machine.cloud_status == CloudStatus::Failed {
--- a/src/scheduler/terminations.rs
+++ b/src/scheduler/terminations.rs
@@ -29,47 +29,47 @@
 
 impl Terminations {
     /// The store records that these machines are to be terminated.
-    pub fn record(&mut self, machines: &[String]) {
+    pub(super) fn record(&mut self, machines: &[String]) {
         self.recorded.extend(machines.iter().cloned());
     }
 
     /// A recorded termination was rejected.
-    pub fn reject(&mut self, machine: &str) {
+    pub(super) fn reject(&mut self, machine: &str) {
         self.recorded.remove(machine);
     }
 
-    pub fn is_recorded(&self, machine: &str) -> bool {
+    pub(super) fn is_recorded(&self, machine: &str) -> bool {
         self.recorded.contains(machine)
     }
 
     /// The machines whose termination is recorded, by name.
-    pub fn recorded(&self) -> impl Iterator<Item = &String> {
+    pub(super) fn recorded(&self) -> impl Iterator<Item = &String> {
         self.recorded.iter()
     }
 
     /// The cloud has confirmed that a machine is permanently deleted.
-    pub fn confirm(&mut self, machine: &str, now: u64) {
+    pub(super) fn confirm(&mut self, machine: &str, now: u64) {
         self.confirmed_at.insert(machine.to_string(), now);
         self.recorded.remove(machine);
     }
 
     /// Whether a machine is permanently deleted: what still arrives from or about it is late.
-    pub fn is_confirmed(&self, machine: &str) -> bool {
+    pub(super) fn is_confirmed(&self, machine: &str) -> bool {
         self.confirmed_at.contains_key(machine)
     }
 
     /// Forgets machines that neither the cloud's list nor a late status can show any more.
-    pub fn forget_old(&mut self, list_lag_ms: u64, now: u64) {
+    pub(super) fn forget_old(&mut self, list_lag_ms: u64, now: u64) {
         let memory_ms = 4 * list_lag_ms + TERMINATED_MEMORY_MS;
         self.confirmed_at.retain(|_, at| now < *at + memory_ms);
     }
 
     /// A machine is terminated because it could not be reached.
-    pub fn note_unreachable(&mut self) {
+    pub(super) fn note_unreachable(&mut self) {
         self.has_terminated_unreachable = true;
     }
 
-    pub fn has_terminated_unreachable(&self) -> bool {
+    pub(super) fn has_terminated_unreachable(&self) -> bool {
         self.has_terminated_unreachable
     }
 }
--- a/src/wire/mod.rs
+++ b/src/wire/mod.rs
@@ -49,7 +49,7 @@
 pub fn encode<T: Serialize>(message: &T) -> Vec<u8> {
     let mut out = Vec::with_capacity(128);
     if let Err(e) = ciborium::into_writer(message, &mut out) {
-        tracing::error!("a message could not be encoded: {e}");
+        tracing::error!(error = %e, "message not encoded");
     }
     out
 }
@@ -112,6 +112,10 @@
 }
 
 /// Reads a decimal number that the sender may have written as a whole one.
+///
+/// # Errors
+///
+/// If the value is not a number.
 pub fn number<'de, D: Deserializer<'de>>(deserializer: D) -> Result<f64, D::Error> {
     deserializer.deserialize_any(NumberVisitor)
 }
--- a/tests/common/agent.rs
+++ b/tests/common/agent.rs
@@ -11,7 +11,7 @@
 
 /// A task on a machine.
 #[derive(Clone, Debug)]
-pub struct AgentTask {
+pub(crate) struct AgentTask {
     pub name: String,
     pub attempt: u64,
     pub state: TaskState,
@@ -32,7 +32,7 @@
     }
 
     /// Whether it has not exited.
-    pub fn is_live(&self) -> bool {
+    pub(crate) fn is_live(&self) -> bool {
         self.state != TaskState::Exited
     }
 
@@ -68,7 +68,7 @@
 }
 
 /// The agent of a machine.
-pub struct Agent {
+pub(crate) struct Agent {
     pub machine: String,
     pub incarnation: u64,
     pub serial: u64,
@@ -105,7 +105,7 @@
     }
 
     /// The tasks that have not exited.
-    pub fn live_tasks(&self) -> impl Iterator<Item = &AgentTask> {
+    pub(crate) fn live_tasks(&self) -> impl Iterator<Item = &AgentTask> {
         self.tasks.iter().filter(|task| task.is_live())
     }
 
--- a/tests/common/checks.rs
+++ b/tests/common/checks.rs
@@ -4,7 +4,7 @@
 
 impl Sim {
     /// Fails unless every accepted job is known on every controller.
-    pub fn assert_known(&mut self) {
+    pub(crate) fn assert_known(&mut self) {
         let ids: Vec<String> = self.jobs.keys().cloned().collect();
         for id in ids {
             for controller in 0..self.controllers.len() {
@@ -18,13 +18,13 @@
     }
 
     /// Whether every job is done or cancelled.
-    pub fn all_done(&self) -> bool {
+    pub(crate) fn all_done(&self) -> bool {
         let mut jobs = self.jobs.iter();
         jobs.all(|(id, job)| job.is_done() || self.is_cancelled(id))
     }
 
     /// Fails unless all jobs are done, and all job records closed, within this time.
-    pub fn finish(&mut self, most_ms: u64) {
+    pub(crate) fn finish(&mut self, most_ms: u64) {
         assert!(
             self.until(most_ms, |sim| sim.all_done() && sim.settled()),
             "not done in {most_ms} ms:\n{}",
@@ -34,19 +34,19 @@
 
     /// [`Sim::finish`], and nothing went wrong on the way: no rule was broken, and every job
     /// is known everywhere.
-    pub fn finish_and_check(&mut self, most_ms: u64) {
+    pub(crate) fn finish_and_check(&mut self, most_ms: u64) {
         self.finish(most_ms);
         self.assert_sound();
         self.assert_known();
     }
 
     /// Whether every job record is closed.
-    pub fn settled(&self) -> bool {
+    pub(crate) fn settled(&self) -> bool {
         !self.store.keys.keys().any(|key| key.starts_with("g/j/"))
     }
 
     /// Fails if a rule of the protocol was broken.
-    pub fn assert_sound(&self) {
+    pub(crate) fn assert_sound(&self) {
         assert!(
             self.log.violations.is_empty(),
             "{:?}\n{}",
@@ -57,7 +57,7 @@
 }
 
 /// Compares with a kept trace; `UPDATE_TRACES=1` writes it anew.
-pub fn assert_kept_trace(name: &str, trace: &[String]) {
+pub(crate) fn assert_kept_trace(name: &str, trace: &[String]) {
     let path = format!("{}/tests/traces/{name}.txt", env!("CARGO_MANIFEST_DIR"));
     let text = trace.join("\n") + "\n";
     if std::env::var_os("UPDATE_TRACES").is_some() {
--- a/tests/common/cloud.rs
+++ b/tests/common/cloud.rs
@@ -14,7 +14,7 @@
 const PAGE_SIZE: usize = 500;
 
 /// A rented machine.
-pub struct Rented {
+pub(crate) struct Rented {
     pub up_at: u64,
     pub spot: bool,
     pub machine_type: String,
@@ -23,7 +23,7 @@
 
 /// The machines that are rented, and the state of the cloud's interface.
 #[derive(Default)]
-pub struct Cloud {
+pub(crate) struct Cloud {
     pub machines: BTreeMap<String, Rented>,
     /// The machines that each idempotency key has brought.
     pub idempotency_keys: HashMap<String, Vec<String>>,
@@ -45,7 +45,7 @@
 
 /// What can be wrong with a list of several pages.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ListFault {
+pub(crate) enum ListFault {
     /// The first page is returned whatever is requested.
     Repeats,
     /// A page is empty although the list goes on.
@@ -58,7 +58,7 @@
 
 /// An order's duty and token.
 #[derive(Clone, Debug)]
-pub struct TokenCheck {
+pub(crate) struct TokenCheck {
     pub duty: &'static str,
     pub token: Option<u64>,
     /// Whether a higher token was seen.
@@ -66,7 +66,7 @@
 }
 
 impl Cloud {
-    pub fn with_capacity(machines: usize, boot_ms: u64) -> Cloud {
+    pub(crate) fn with_capacity(machines: usize, boot_ms: u64) -> Cloud {
         Cloud {
             capacity: machines,
             boot_ms,
@@ -75,13 +75,13 @@
     }
 
     /// The fencing token in an order.
-    pub fn token_of(body: &[u8]) -> Option<u64> {
+    pub(crate) fn token_of(body: &[u8]) -> Option<u64> {
         let order: Value = ciborium::from_reader(body).ok()?;
         number(field(field(&order, "fencing")?, "token")?)
     }
 
     /// Compares an order's token with the highest one, and remembers it.
-    pub fn check_token(&mut self, path: &str, body: &[u8]) -> TokenCheck {
+    pub(crate) fn check_token(&mut self, path: &str, body: &[u8]) -> TokenCheck {
         let duty = duty_of(path);
         let token = Cloud::token_of(body);
         let highest = self.highest_tokens.entry(duty.into()).or_insert(0);
@@ -95,7 +95,13 @@
     }
 
     /// Status and body of the answer to a request.
-    pub fn handle(&mut self, method: &str, path: &str, body: &[u8], now: u64) -> (u16, Vec<u8>) {
+    pub(crate) fn handle(
+        &mut self,
+        method: &str,
+        path: &str,
+        body: &[u8],
+        now: u64,
+    ) -> (u16, Vec<u8>) {
         match (method, path.split('?').next().unwrap_or("")) {
             ("GET", "/flavors") => (200, wire::encode(&machine_types())),
             ("GET", "/machines") => self.list(path, now),
--- a/tests/common/cloud_orders.rs
+++ b/tests/common/cloud_orders.rs
@@ -17,7 +17,7 @@
 
 /// How the cloud treats orders.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub enum CloudOrders {
+pub(crate) enum CloudOrders {
     #[default]
     Answered,
     /// Executed, and the answer is lost.
@@ -30,7 +30,7 @@
 
 /// A step in the life of an order to the cloud.
 #[derive(Clone, Debug)]
-pub enum DutyEvent {
+pub(crate) enum DutyEvent {
     /// A controller decided on an order.
     Decided {
         at: u64,
@@ -72,7 +72,7 @@
 
 impl Sim {
     /// How many orders of a duty the cloud has received.
-    pub fn orders_received(&self, duty: &str) -> usize {
+    pub(crate) fn orders_received(&self, duty: &str) -> usize {
         let is_of_duty = |event: &&DutyEvent| matches!(event, DutyEvent::Received { duty: of, .. } if *of == duty);
         self.duty_history.iter().filter(is_of_duty).count()
     }
@@ -170,11 +170,11 @@
         let records = keys.filter(|(key, _)| key.starts_with("g/j/"));
         let records = records.filter_map(|(_, stored)| JobRecord::from_value(&stored.value).ok());
         let runs = records.flat_map(|record| record.runs);
-        runs.map(|run| run.machine.to_string()).collect()
+        runs.map(|run| run.machine.clone()).collect()
     }
 }
 
 fn matching(names: &[&String], is_wanted: impl Fn(&str) -> bool) -> Vec<String> {
     let wanted = names.iter().filter(|name| is_wanted(name));
-    wanted.map(|name| name.to_string()).collect()
+    wanted.map(|name| (*name).clone()).collect()
 }
--- a/tests/common/controller_processes.rs
+++ b/tests/common/controller_processes.rs
@@ -54,7 +54,7 @@
 
 /// The controllers' clocks and their faults.
 #[derive(Default)]
-pub struct Clocks {
+pub(crate) struct Clocks {
     /// Parts in ten thousand by which a controller's steady clock runs fast.
     pub drift_per_10_000: HashMap<usize, u64>,
     /// By how much a controller's steady clock has leapt, in milliseconds.
@@ -98,7 +98,7 @@
 
 /// Controllers that are paused or will be, and what they hold back meanwhile.
 #[derive(Default)]
-pub struct Pauses {
+pub(crate) struct Pauses {
     /// Controllers that pause, for how many ms, as soon as they have decided on anything.
     pub on_next_action: HashMap<usize, u64>,
     /// Controllers that pause, for how many ms, as soon as they have decided on an order to
--- a/tests/common/deployment.rs
+++ b/tests/common/deployment.rs
@@ -7,7 +7,7 @@
 use super::settings::{settings_with, PlatformLimits};
 
 /// Settings and versions of controllers that start from now on.
-pub struct Deployment {
+pub(crate) struct Deployment {
     /// The teams of the settings, as JSON.
     teams: String,
     /// The team's limit that the simulation checks; 0 if there is none.
--- a/tests/common/digest.rs
+++ b/tests/common/digest.rs
@@ -8,7 +8,7 @@
 
 /// Digest of the messages of a run so far, byte by byte and in order.
 #[derive(Default)]
-pub struct MessageDigest(Sha256);
+pub(super) struct MessageDigest(Sha256);
 
 impl MessageDigest {
     pub(super) fn add_action(&mut self, at_ms: u64, controller: usize, action: &Action) {
@@ -59,7 +59,7 @@
 
 impl Sim {
     /// The digest of all messages and of all changes of the key-value store, in hexadecimal.
-    pub fn message_digest(&mut self) -> String {
+    pub(crate) fn message_digest(&mut self) -> String {
         let mut digest = std::mem::take(&mut self.digest);
         for change in &self.store.log {
             digest.add_bytes(&wire::encode(change));
