--- a/crates/duty-lease/tests/simulation/store/lease_requests.rs
+++ b/crates/duty-lease/tests/simulation/store/lease_requests.rs
@@ -16,14 +16,20 @@
             LeaseRequest::CreateGrant { ttl_ms } => {
                 LeaseResponse::Granted(self.create_grant(ttl_ms, now))
             }
-            LeaseRequest::Renew { grant } => match self.renew(grant, now) {
-                true => LeaseResponse::Renewed,
-                false => LeaseResponse::GrantEnded,
-            },
-            LeaseRequest::Release { grant } => match self.end_grant(grant) {
-                true => LeaseResponse::Released,
-                false => LeaseResponse::GrantEnded,
-            },
+            LeaseRequest::Renew { grant } => {
+                if self.renew(grant, now) {
+                    LeaseResponse::Renewed
+                } else {
+                    LeaseResponse::GrantEnded
+                }
+            }
+            LeaseRequest::Release { grant } => {
+                if self.end_grant(grant) {
+                    LeaseResponse::Released
+                } else {
+                    LeaseResponse::GrantEnded
+                }
+            }
             LeaseRequest::Acquire {
                 grant,
                 holder,
--- a/src/controller/cache_updates.rs
+++ b/src/controller/cache_updates.rs
@@ -15,9 +15,10 @@
     /// Whether tasks may be started: leadership is certain and the watch cache recent.
     pub(super) fn start_permission(&self) -> StartPermission {
         let now = self.clock.steady_ms();
-        match self.store_sync.is_recent(now) && self.leadership.is_certain(now) {
-            true => StartPermission::Granted,
-            false => StartPermission::Withheld,
+        if self.store_sync.is_recent(now) && self.leadership.is_certain(now) {
+            StartPermission::Granted
+        } else {
+            StartPermission::Withheld
         }
     }
 
--- a/src/machine/answers.rs
+++ b/src/machine/answers.rs
@@ -9,9 +9,8 @@
 use super::tasks::ReportedTask;
 use crate::wire::AgentStatus;
 
-/// A machine whose heartbeat was answered within this share of a lease (numerator and
-/// denominator) cannot have lost the lease.
-const ANSWERED_LEASE_SHARE: (u64, u64) = (3, 4);
+/// A machine whose heartbeat was answered within this share of a lease cannot have lost the lease.
+const ANSWERED_LEASE_PERCENT: u64 = 75;
 
 /// What a machine's next heartbeat shows if the last answer reached it.
 #[derive(Debug, Clone, PartialEq)]
@@ -129,9 +128,8 @@
 
     /// Whether a heartbeat was answered so recently that the agent must still have its lease.
     pub(super) fn is_answered_within_lease(&self, lease_ms: u64, now: u64) -> bool {
-        let (numerator, denominator) = ANSWERED_LEASE_SHARE;
         self.answered_at
-            .is_some_and(|at| now < at + lease_ms * numerator / denominator)
+            .is_some_and(|at| now < at + lease_ms * ANSWERED_LEASE_PERCENT / 100)
     }
 
     /// Whether a heartbeat shows any effect of the last answer.
@@ -149,9 +147,10 @@
         let mut expected = answer.expected.iter();
         let is_shown = expected.any(|effect| effect.is_shown(status, reported_tasks));
         self.sent_answer = None;
-        match is_shown {
-            true => AnswerEffect::Shown,
-            false => AnswerEffect::Missing,
+        if is_shown {
+            AnswerEffect::Shown
+        } else {
+            AnswerEffect::Missing
         }
     }
 
--- a/src/scheduler/agent_status.rs
+++ b/src/scheduler/agent_status.rs
@@ -79,9 +79,10 @@
         if schedulability == Schedulability::BecameSchedulable {
             self.retry_backed_off();
         }
-        match effects.freed_capacity && effects.may_start && self.has_pending_jobs {
-            true => FreedCapacity::UsableByPendingTasks,
-            false => FreedCapacity::Unused,
+        if effects.freed_capacity && effects.may_start && self.has_pending_jobs {
+            FreedCapacity::UsableByPendingTasks
+        } else {
+            FreedCapacity::Unused
         }
     }
 
@@ -123,9 +124,10 @@
             }
         };
         let became_schedulable = !was_heard || old_epoch != machine.epoch || was_verified;
-        Some(match became_schedulable {
-            true => Schedulability::BecameSchedulable,
-            false => Schedulability::Unchanged,
+        Some(if became_schedulable {
+            Schedulability::BecameSchedulable
+        } else {
+            Schedulability::Unchanged
         })
     }
 
--- a/src/scheduler/decisions.rs
+++ b/src/scheduler/decisions.rs
@@ -14,9 +14,8 @@
     TaskBinding, TeamView,
 };
 
-/// The share (numerator and denominator) of an array's new placements that is tried next if
-/// they do not fit into its record.
-const FITTING_SHARE: (usize, usize) = (3, 4);
+/// The share of an array's new placements that is tried next if they do not fit into its record.
+const FITTING_PERCENT: usize = 75;
 
 impl Scheduler {
     /// Applies a decision of the planner, as far as it still holds: the state may have changed
@@ -146,8 +145,7 @@
             if job.is_gang() {
                 return vec![];
             }
-            let (numerator, denominator) = FITTING_SHARE;
-            bindings.truncate(bindings.len() * numerator / denominator);
+            bindings.truncate(bindings.len() * FITTING_PERCENT / 100);
         }
         bindings
     }
--- a/src/scheduler/probes.rs
+++ b/src/scheduler/probes.rs
@@ -40,18 +40,19 @@
         let address = machine.address?;
         let name = machine.name.clone();
         let raises_epoch = machine.incarnation > 0 && machine.epoch < self.epoch;
-        Some(match raises_epoch {
-            true => Effect::Commands {
+        Some(if raises_epoch {
+            Effect::Commands {
                 machine: name,
                 address,
                 incarnation: machine.incarnation,
                 commands: vec![],
                 starts: vec![],
-            },
-            false => Effect::Inspect {
+            }
+        } else {
+            Effect::Inspect {
                 machine: name,
                 address,
-            },
+            }
         })
     }
 }
