--- a/examples/scheduling_cost.rs
+++ b/examples/scheduling_cost.rs
@@ -12,6 +12,7 @@
 use std::sync::Arc;
 use std::time::Instant;
 
+use gaugesill::epoch::Epoch;
 use gaugesill::job::{JobRecord, JobSpec, Priority, Shape};
 use gaugesill::plan::{self, Snapshot};
 use gaugesill::scheduler::{Effect, Scheduler, StartPermission, StatusOrigin, TerminationOutcome};
@@ -234,7 +235,7 @@
                     if let Ok(report) = wire::decode::<AgentStatus>(body) {
                         let commands = self.heartbeat(&report);
                         black_box(wire::encode(&wire::CommandBatch {
-                            epoch: 1,
+                            epoch: Epoch::new(1),
                             incarnation: None,
                             commands,
                         }));
--- a/src/controller/calls.rs
+++ b/src/controller/calls.rs
@@ -5,6 +5,7 @@
 use super::dependencies::DependencyRecord;
 use super::duties::{DutyLeaseCall, SentOrder};
 use super::store_sync::{ChangesCall, KeyRange};
+use crate::epoch::Epoch;
 use crate::leader_lease::LeaseRequest;
 use crate::scheduler::DirectStart;
 
@@ -38,11 +39,14 @@
     /// The cloud's machine types.
     MachineTypes,
     /// A page of the cloud's list.
-    MachineList { started_at: u64, epoch: u64 },
+    MachineList { started_at: u64, epoch: Epoch },
     /// A provisioning request.
-    Provision { idempotency_key: String, epoch: u64 },
+    Provision {
+        idempotency_key: String,
+        epoch: Epoch,
+    },
     /// A termination.
-    Terminate { machines: Vec<String>, epoch: u64 },
+    Terminate { machines: Vec<String>, epoch: Epoch },
     /// Commands to an agent, or a request for its status.
     Agent(AgentCall),
     /// Another controller's status.
@@ -56,7 +60,7 @@
 pub(super) struct AgentCall {
     pub machine: Arc<str>,
     /// The epoch of the leader that made it.
-    pub epoch: u64,
+    pub epoch: Epoch,
     /// The starts among its commands.
     pub starts: Vec<DirectStart>,
 }
--- a/src/controller/commits.rs
+++ b/src/controller/commits.rs
@@ -2,6 +2,7 @@
 
 use super::duties::DutyWrite;
 use super::{Controller, StepDownReason};
+use crate::epoch::Epoch;
 use crate::job::FinalState;
 use crate::leadership_keys::{LEADER_KEY, LEASE_KEY};
 use crate::net::Outcome;
@@ -40,7 +41,7 @@
     /// How the job ended, if it did.
     pub final_state: Option<FinalState>,
     /// The epoch of the leader that wrote it.
-    pub epoch: u64,
+    pub epoch: Epoch,
 }
 
 impl Controller {
--- a/src/controller/duties/scaling_requests.rs
+++ b/src/controller/duties/scaling_requests.rs
@@ -8,6 +8,7 @@
 use super::Controller;
 use crate::controller::provider_client::MachineRequest;
 use crate::duties::{OrderKey, OrderPhase, OrderRecord};
+use crate::epoch::Epoch;
 use crate::machine::{TerminationClass, TerminationReason};
 use crate::scheduler::ProvisioningOutcome;
 use crate::write_queue::CommitResult;
@@ -124,7 +125,7 @@
 
     pub(super) fn on_request_written(
         &mut self,
-        epoch: u64,
+        epoch: Epoch,
         changes: &[RecordChange],
         result: &CommitResult,
     ) {
@@ -155,7 +156,7 @@
         }
     }
 
-    fn cancel_provisioning(&mut self, epoch: u64, request: &str) {
+    fn cancel_provisioning(&mut self, epoch: Epoch, request: &str) {
         let now = self.clock.steady_ms();
         if let Some(scheduler) = self.scheduler_of(epoch) {
             scheduler.on_provisioning_outcome(request, ProvisioningOutcome::Cancelled, now);
--- a/src/controller/duties/writes.rs
+++ b/src/controller/duties/writes.rs
@@ -7,6 +7,7 @@
 use super::Controller;
 use crate::controller::commits::WriteOwner;
 use crate::duties::{holder_key, order_key, OrderKey, OrderPhase, OrderRecord};
+use crate::epoch::Epoch;
 use crate::wire::{Condition, Write};
 use crate::write_queue::{CommitResult, WriteClass, WriteRequest};
 
@@ -40,7 +41,7 @@
 #[derive(Debug, Clone)]
 pub(super) enum WritePurpose {
     /// The leader writes a scaling request.
-    ScalingRequest { epoch: u64 },
+    ScalingRequest { epoch: Epoch },
     /// The leader removes a result that it has processed.
     ResultProcessed,
     /// The order book records an order.
--- a/src/controller/leadership.rs
+++ b/src/controller/leadership.rs
@@ -8,6 +8,7 @@
 use super::clock::Timestamp;
 use super::http::HttpCall;
 use super::responses::{self, CallError};
+use crate::epoch::Epoch;
 use crate::leader_lease::{
     Election, LeaderLease, LeadershipTransition, LeaseRequest, LeaseResponse,
 };
@@ -23,7 +24,7 @@
 /// An election that was won.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct WonElection {
-    pub epoch: u64,
+    pub epoch: Epoch,
     /// The version of the leader key.
     pub version: u64,
     pub fence: Fence,
@@ -169,7 +170,7 @@
     }
     let own_key = election.fence.leader_key();
     writes.push(Write::leader(own_key, &key, Some(election.grant)));
-    writes.push(Write::set(EPOCH_KEY.into(), election.epoch.into()));
+    writes.push(Write::set(EPOCH_KEY.into(), election.epoch.get().into()));
     Transaction {
         conditions: vec![
             Condition::new(LEADER_KEY, election.leader_version),
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -54,6 +54,7 @@
 mod user_submissions;
 mod user_types;
 
+use crate::epoch::Epoch;
 use crate::leader_lease::leader_lease_ttl_ms;
 use crate::net::{Action, Event};
 use crate::scheduler::Scheduler;
@@ -145,12 +146,14 @@
     }
 
     /// The epoch under which this controller leads; 0 if it does not.
-    pub fn epoch(&self) -> u64 {
-        self.scheduler.as_ref().map_or(0, Scheduler::epoch)
+    pub fn epoch(&self) -> Epoch {
+        self.scheduler
+            .as_ref()
+            .map_or(Epoch::NONE, Scheduler::epoch)
     }
 
     /// The scheduling state, if this controller leads under this epoch.
-    fn scheduler_of(&mut self, epoch: u64) -> Option<&mut Scheduler> {
+    fn scheduler_of(&mut self, epoch: Epoch) -> Option<&mut Scheduler> {
         self.scheduler.as_mut().filter(|s| s.epoch() == epoch)
     }
 
--- a/src/controller/peers.rs
+++ b/src/controller/peers.rs
@@ -6,6 +6,7 @@
 use super::http::{HttpCall, HttpResponse};
 use super::peer_table::{CancellationSync, StatusReceivers};
 use super::{responses, Controller, StepDownReason};
+use crate::epoch::Epoch;
 use crate::net::Outcome;
 use crate::peer_protocol::{PeerStatus, STATUS_PATH};
 use crate::time_units::to_ms;
@@ -30,7 +31,7 @@
         PeerStatus {
             member: self.settings.member.clone(),
             store_reachable: self.is_store_reachable(),
-            leading_epoch: self.epoch(),
+            leading_epoch: self.epoch().get(),
             redirected_agents: redirected as u32,
             process_age_ms: self.clock.process_age_ms(),
             acknowledged_cancellations: vec![],
@@ -83,7 +84,8 @@
             scheduler.mark_cancelled(id, now);
         }
         // With one that the store answers, or another that leads, work goes on there.
-        let work_goes_on = status.store_reachable || status.leading_epoch > scheduler.epoch();
+        let work_goes_on =
+            status.store_reachable || Epoch::new(status.leading_epoch) > scheduler.epoch();
         if work_goes_on || self.is_store_reachable() {
             return;
         }
@@ -172,5 +174,5 @@
 
 /// Whether a status is of a leader that can't read the store.
 fn is_cut_off_leader(status: &PeerStatus) -> bool {
-    status.leading_epoch > 0 && !status.store_reachable
+    Epoch::new(status.leading_epoch) > Epoch::NONE && !status.store_reachable
 }
--- a/src/controller/planning.rs
+++ b/src/controller/planning.rs
@@ -1,6 +1,7 @@
 //! When to plan, and what becomes of a plan.
 
 use super::{Controller, Timestamp};
+use crate::epoch::Epoch;
 use crate::plan::{Decision, Snapshot};
 
 /// Least time between two plans, if nothing has changed, and if this controller is
@@ -82,7 +83,7 @@
     }
 
     /// Applies what was planned on the last snapshot, which was taken under this epoch.
-    pub fn apply_plan(&mut self, now: Timestamp, epoch: u64, decision: Decision) {
+    pub fn apply_plan(&mut self, now: Timestamp, epoch: Epoch, decision: Decision) {
         self.clock.set(now);
         let took_ms = self.plan_timer.complete(now.steady);
         self.stats.record_plan(took_ms);
--- a/src/controller/provider_client.rs
+++ b/src/controller/provider_client.rs
@@ -12,6 +12,7 @@
 use super::outbox::Outbox;
 use super::responses;
 use crate::cloud::MachineKind;
+use crate::epoch::Epoch;
 use crate::net::Outcome;
 use crate::rate_limit::TokenBucket;
 use crate::settings::ClusterSettings;
@@ -192,7 +193,7 @@
 
     /// Reads the next page of the list, for the leader of an epoch, when it is due and the
     /// limit allows.
-    pub(super) fn read_machine_list_if_due(&mut self, outbox: &mut Outbox, epoch: u64, now: u64) {
+    pub(super) fn read_machine_list_if_due(&mut self, outbox: &mut Outbox, epoch: Epoch, now: u64) {
         if !self.machine_list.is_due(now) || !self.limit.try_take(now, 1.0, LIST_RESERVE) {
             return;
         }
@@ -220,7 +221,7 @@
     pub(super) fn on_machine_list_page(
         &mut self,
         outbox: &mut Outbox,
-        epoch: u64,
+        epoch: Epoch,
         outcome: &Outcome,
         now: u64,
     ) -> Option<Vec<ListedMachine>> {
--- a/src/controller/provider_events.rs
+++ b/src/controller/provider_events.rs
@@ -7,6 +7,7 @@
 use super::provider_client::{MachineRequest, ProviderClient};
 use super::responses::{self, ProviderError};
 use super::Controller;
+use crate::epoch::Epoch;
 use crate::net::Outcome;
 use crate::scheduler::{ProvisioningOutcome, TerminationOutcome};
 
@@ -36,7 +37,12 @@
         }
     }
 
-    pub(super) fn on_machine_list_page(&mut self, started_at: u64, epoch: u64, outcome: &Outcome) {
+    pub(super) fn on_machine_list_page(
+        &mut self,
+        started_at: u64,
+        epoch: Epoch,
+        outcome: &Outcome,
+    ) {
         let now = self.clock.steady_ms();
         if !self.provider.is_reading_list(started_at) {
             return;
@@ -110,7 +116,7 @@
     pub(super) fn on_provisioning_outcome(
         &mut self,
         idempotency_key: &str,
-        epoch: u64,
+        epoch: Epoch,
         outcome: &Outcome,
     ) {
         let now = self.clock.steady_ms();
@@ -134,7 +140,7 @@
     pub(super) fn on_termination_outcome(
         &mut self,
         machines: &[String],
-        epoch: u64,
+        epoch: Epoch,
         outcome: &Outcome,
     ) {
         let now = self.clock.steady_ms();
--- a/src/controller/stats.rs
+++ b/src/controller/stats.rs
@@ -89,7 +89,7 @@
         if let Some(scheduler) = &self.scheduler {
             let summary = scheduler.summary();
             info!(
-                epoch = summary.epoch,
+                epoch = summary.epoch.get(),
                 jobs = summary.jobs,
                 placed_tasks = summary.placed_tasks,
                 machines = summary.machines,
--- a/src/controller/terms.rs
+++ b/src/controller/terms.rs
@@ -85,7 +85,7 @@
         let Some(term) = self.leadership.take_term(self.watch_cache.revision) else {
             return;
         };
-        info!(epoch = term.epoch, "leading");
+        info!(epoch = term.epoch.get(), "leading");
         self.scheduler = Some(Scheduler::new(
             term,
             &self.settings.cluster,
@@ -103,7 +103,7 @@
     pub(super) fn step_down(&mut self, reason: StepDownReason) {
         self.leadership.drop_pending_term();
         if let Some(scheduler) = self.scheduler.take() {
-            warn!(epoch = scheduler.epoch(), %reason, "not leading any more");
+            warn!(epoch = scheduler.epoch().get(), %reason, "not leading any more");
         }
         self.store.cancel_writes(WriteOwner::is_of_leader);
         self.set_store_share(StoreRole::Follower);
--- a/src/job/record.rs
+++ b/src/job/record.rs
@@ -11,6 +11,7 @@
 use thiserror::Error;
 
 use super::{JobSpec, TaskRun, TaskSet};
+use crate::epoch::Epoch;
 use crate::packed_record::{self, UnpackError};
 
 /// The format from which on records are packed. No version that does not know the packed form
@@ -19,21 +20,21 @@
 
 /// The leader that wrote a record last. Stored as a list of two numbers.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
-#[serde(from = "(u64, u64)", into = "(u64, u64)")]
+#[serde(from = "(Epoch, u64)", into = "(Epoch, u64)")]
 pub struct RecordWriter {
-    /// The leader's epoch; 0 if no leader has written the record.
-    pub epoch: u64,
+    /// The leader's epoch; [`Epoch::NONE`] if no leader has written the record.
+    pub epoch: Epoch,
     /// The leader's count of changes of the job.
     pub change: u64,
 }
 
-impl From<(u64, u64)> for RecordWriter {
-    fn from((epoch, change): (u64, u64)) -> RecordWriter {
+impl From<(Epoch, u64)> for RecordWriter {
+    fn from((epoch, change): (Epoch, u64)) -> RecordWriter {
         RecordWriter { epoch, change }
     }
 }
 
-impl From<RecordWriter> for (u64, u64) {
+impl From<RecordWriter> for (Epoch, u64) {
     fn from(writer: RecordWriter) -> Self {
         (writer.epoch, writer.change)
     }
--- a/src/leader_lease.rs
+++ b/src/leader_lease.rs
@@ -17,6 +17,7 @@
 //!
 //! Times are in milliseconds of the controller's steady clock.
 
+use crate::epoch::Epoch;
 use crate::job::PACKED_FORMAT;
 use crate::leadership_keys::Fence;
 use crate::settings::{ClusterSettings, OperatorSettings};
@@ -59,7 +60,7 @@
     /// The grant that the key is attached to.
     pub grant: u64,
     /// The epoch of the new leadership.
-    pub epoch: u64,
+    pub epoch: Epoch,
     /// The version of [`crate::leadership_keys::LEADER_KEY`]; 0 if it does not exist.
     pub leader_version: u64,
     /// The version of [`crate::leadership_keys::LEASE_KEY`]; 0 if it does not exist.
@@ -91,7 +92,7 @@
     /// The election was won.
     Elected {
         /// The epoch of the new leadership.
-        epoch: u64,
+        epoch: Epoch,
         /// The version of the leader key.
         version: u64,
     },
@@ -124,7 +125,7 @@
     /// The controller has the leader key.
     Leading {
         grant: u64,
-        epoch: u64,
+        epoch: Epoch,
         /// The version of the leader key.
         version: u64,
     },
@@ -166,7 +167,7 @@
     }
 
     /// Returns the epoch of this controller's leadership, if it leads.
-    pub fn epoch(&self) -> Option<u64> {
+    pub fn epoch(&self) -> Option<Epoch> {
         match self.state {
             LeaseState::Leading { epoch, .. } => Some(epoch),
             _ => None,
@@ -235,7 +236,7 @@
     fn election(&self, grant: u64, watch_cache: &WatchCache) -> Election {
         Election {
             grant,
-            epoch: watch_cache.epoch + 1,
+            epoch: watch_cache.epoch.next(),
             leader_version: version_of(watch_cache.leader_key.as_ref()),
             lease_version: version_of(watch_cache.lease_key.as_ref()),
             epoch_version: watch_cache.epoch_version,
--- a/src/leadership_keys.rs
+++ b/src/leadership_keys.rs
@@ -1,5 +1,6 @@
 //! The keys of the store that hold the leadership, the epoch and the format version.
 
+use crate::epoch::Epoch;
 use ciborium::Value;
 use serde::{Deserialize, Serialize};
 
@@ -26,7 +27,7 @@
     /// The leader's id in the cluster.
     pub member: String,
     /// The epoch of its leadership.
-    pub epoch: u64,
+    pub epoch: Epoch,
 }
 
 impl LeaderKey {
@@ -34,7 +35,7 @@
     pub fn superseded() -> LeaderKey {
         LeaderKey {
             member: SUPERSEDED.into(),
-            epoch: 0,
+            epoch: Epoch::NONE,
         }
     }
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -8,6 +8,7 @@
 pub mod controller;
 pub mod dependencies;
 pub mod duties;
+pub mod epoch;
 pub mod fleet_capacity;
 pub mod job;
 pub mod leader_lease;
--- a/src/machine/answers.rs
+++ b/src/machine/answers.rs
@@ -7,6 +7,7 @@
 use std::sync::Arc;
 
 use super::tasks::ReportedTask;
+use crate::epoch::Epoch;
 use crate::wire::AgentStatus;
 
 /// A machine whose heartbeat was answered within this share of a lease cannot have lost the lease.
@@ -16,7 +17,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum ExpectedEffect {
     /// The agent has seen this epoch.
-    Epoch(u64),
+    Epoch(Epoch),
     /// A task that it was told to start is present.
     Started {
         /// The id of its job.
--- a/src/machine/mod.rs
+++ b/src/machine/mod.rs
@@ -13,6 +13,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
+use crate::epoch::Epoch;
 use crate::plan::{MachineView, Reservation};
 use crate::time_units::to_ms;
 use crate::wire::{AgentStatus, MachineType};
@@ -56,7 +57,7 @@
     /// The serial of the last status.
     pub serial: u64,
     /// The highest epoch that the agent has seen.
-    pub epoch: u64,
+    pub epoch: Epoch,
     /// When the last status was received.
     pub last_status_at: Option<u64>,
     /// When the last heartbeat was received: a machine that responds to requests, but whose
@@ -121,7 +122,7 @@
             spot: false,
             incarnation: 0,
             serial: 0,
-            epoch: 0,
+            epoch: Epoch::NONE,
             last_status_at: None,
             last_heartbeat_at: None,
             reported_tasks: vec![],
@@ -259,7 +260,7 @@
 
     /// Updates since when it is idle: it could have tasks and has none. A machine that does not
     /// show the leader's epoch yet cannot have any; it is still joining.
-    pub fn update_idle(&mut self, epoch: u64, now: u64) {
+    pub fn update_idle(&mut self, epoch: Epoch, now: u64) {
         if self.is_occupied() || self.epoch < epoch {
             self.idle_since = None;
         } else if self.idle_since.is_none() {
--- a/src/scheduler/job.rs
+++ b/src/scheduler/job.rs
@@ -6,6 +6,7 @@
 use super::placement::{Placement, TaskKey};
 use super::record_state::{RecordState, WriteState};
 use super::retry_state::RetryState;
+use crate::epoch::Epoch;
 use crate::job::{FinalState, JobRecord, JobSpec, Priority, RecordWriter, Shape, TaskRun, TaskSet};
 use crate::watch_cache::LiveJob;
 
@@ -191,7 +192,7 @@
     }
 
     /// Its present state as a record.
-    pub(super) fn to_record(&self, epoch: u64) -> JobRecord {
+    pub(super) fn to_record(&self, epoch: Epoch) -> JobRecord {
         let mut spec = (*self.spec).clone();
         spec.priority = self.own_priority;
         JobRecord {
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -87,6 +87,7 @@
 pub use starts::{StartFailure, StartPermission};
 pub use terminations::TerminationOutcome;
 
+use crate::epoch::Epoch;
 use crate::machine::Machine;
 use crate::settings::{ClusterSettings, OperatorSettings, StoreLimits};
 use crate::time_units::to_ms;
@@ -114,7 +115,7 @@
     /// The leader's member id.
     pub member: String,
     /// Its fencing token.
-    pub epoch: u64,
+    pub epoch: Epoch,
     /// The store's key that belongs to this controller while it leads.
     pub key: &'static str,
     /// The key's version.
@@ -136,7 +137,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct SchedulerSummary {
     /// The fencing token of the term.
-    pub epoch: u64,
+    pub epoch: Epoch,
     /// The number of jobs.
     pub jobs: usize,
     /// The number of tasks with a placement, started or not.
@@ -242,7 +243,7 @@
     }
 
     /// The fencing token of this term.
-    pub fn epoch(&self) -> u64 {
+    pub fn epoch(&self) -> Epoch {
         self.term.epoch
     }
 
--- a/src/scheduler/probes.rs
+++ b/src/scheduler/probes.rs
@@ -2,6 +2,7 @@
 
 use super::reconcile::RECONCILE_SHARE;
 use super::{to_ms, Effect, Scheduler};
+use crate::epoch::Epoch;
 use crate::machine::{CloudStatus, Machine};
 
 /// When a new leader begins to ask machines that have not sent a heartbeat, as a share of the
@@ -15,7 +16,7 @@
 
 /// When machines are to be probed.
 struct ProbeSchedule {
-    epoch: u64,
+    epoch: Epoch,
     began_at: u64,
     /// From then on machines without our epoch are probed.
     first_probe_at: u64,
--- a/src/scheduler/record_capacity.rs
+++ b/src/scheduler/record_capacity.rs
@@ -1,6 +1,7 @@
 //! How many placements fit into a job's record.
 
 use super::Job;
+use crate::epoch::Epoch;
 use crate::job::{json_length, TaskRun, PACKED_FORMAT};
 use crate::plan::TaskBinding;
 use crate::settings::StoreLimits;
@@ -62,7 +63,7 @@
     /// end first. The length is not computed where there is capacity for the worst case beside
     /// the longest lists that a submission may have, or where [`RecordCapacity::runs_max`]
     /// allows for it in advance.
-    pub(super) fn fits(&self, job: &Job, bindings: &[TaskBinding], epoch: u64) -> bool {
+    pub(super) fn fits(&self, job: &Job, bindings: &[TaskBinding], epoch: Epoch) -> bool {
         // Before the limits fall, too: a record stored by then has to be written again, if
         // only because its job is cancelled.
         let value_bytes = (self.limits.lowered().value_kb * 1024.0) as usize;
@@ -81,7 +82,7 @@
 }
 
 /// The length of a job's packed record with further placements.
-fn packed_length(job: &Job, bindings: &[TaskBinding], epoch: u64) -> usize {
+fn packed_length(job: &Job, bindings: &[TaskBinding], epoch: Epoch) -> usize {
     let mut record = job.to_record(epoch);
     let mut bindings: Vec<&TaskBinding> = bindings.iter().collect();
     bindings.sort_unstable();
--- a/src/scheduler/scale_out.rs
+++ b/src/scheduler/scale_out.rs
@@ -7,6 +7,7 @@
 use super::snapshots::PlanTime;
 use super::{to_ms, Scheduler};
 use crate::cloud::{self, Demand, IncomingMachines, MachineKind, MachinesToRent};
+use crate::epoch::Epoch;
 use crate::machine::Machine;
 use crate::plan::UnmetDemand;
 
@@ -36,7 +37,7 @@
     /// before that they would be rented again.
     fn is_settled(&self, now: u64) -> bool {
         let lag_ms = to_ms(self.cluster.cloud.list_lag_s);
-        self.term.epoch <= 1 || now >= self.began_at + lag_ms
+        self.term.epoch <= Epoch::FIRST || now >= self.began_at + lag_ms
     }
 
     fn plan_scale_out(&self, demands: &[Demand], now: u64) -> Vec<MachinesToRent> {
--- a/src/serve.rs
+++ b/src/serve.rs
@@ -11,6 +11,7 @@
 use tracing::{error, info};
 
 use crate::controller::{Controller, Timestamp};
+use crate::epoch::Epoch;
 use crate::fleet_capacity::limit_capacities;
 use crate::net::{Action, ConnectionLimits, Event, EventLoop};
 use crate::plan::{self, Snapshot};
@@ -46,7 +47,7 @@
 
 /// A snapshot, and the epoch that it was taken under.
 struct PlanRequest {
-    epoch: u64,
+    epoch: Epoch,
     snapshot: Snapshot,
 }
 
--- a/src/watch_cache/mod.rs
+++ b/src/watch_cache/mod.rs
@@ -24,6 +24,7 @@
 
 use crate::dependencies::{DependencyEvent, DependencyGraph, DependencyState};
 use crate::duties::DutyRecords;
+use crate::epoch::Epoch;
 use crate::job::{FinalState, JobRecord};
 use crate::leadership_keys::{read_number, Fence, LeaderKey, SUPERSEDED};
 use crate::wire::{KeyChange, Page};
@@ -82,7 +83,7 @@
     /// The value of [`crate::leadership_keys::LEASE_KEY`].
     pub lease_key: Option<VersionedLeaderKey>,
     /// The last epoch that was used.
-    pub epoch: u64,
+    pub epoch: Epoch,
     /// The version of [`crate::leadership_keys::EPOCH_KEY`]; 0 if it does not exist.
     pub epoch_version: u64,
     /// The format that all controllers know.
@@ -108,7 +109,7 @@
         self.jobs.clear();
         self.leader_key = None;
         self.lease_key = None;
-        self.epoch = 0;
+        self.epoch = Epoch::NONE;
         self.epoch_version = 0;
         self.duties.restart();
         self.dependencies = DependencyGraph::default();
@@ -289,7 +290,7 @@
 
     fn apply_epoch(&mut self, value: &Value, version: u64) {
         if version > self.epoch_version {
-            let epoch = read_number(value).unwrap_or(0);
+            let epoch = read_number(value).map_or(Epoch::NONE, Epoch::new);
             self.epoch = epoch.max(self.epoch);
             self.epoch_version = version;
         }
--- a/src/wire/agents.rs
+++ b/src/wire/agents.rs
@@ -4,6 +4,7 @@
 
 use super::optional_number;
 use super::words::{ExitReason, TaskState};
+use crate::epoch::Epoch;
 use crate::machine::{ExitCause, TaskPhase};
 
 /// Where controllers receive heartbeats.
@@ -38,7 +39,7 @@
     pub serial: u64,
     /// The highest epoch that the agent has seen.
     #[serde(default)]
-    pub epoch: u64,
+    pub epoch: Epoch,
     /// Seconds until the cloud takes the spot machine back, if it gave notice.
     #[serde(default, rename = "reclaimInS", deserialize_with = "optional_number")]
     pub interruption_in_s: Option<f64>,
@@ -103,7 +104,7 @@
 #[derive(Debug, Serialize, Deserialize)]
 pub struct CommandBatch {
     /// The leader's fencing token.
-    pub epoch: u64,
+    pub epoch: Epoch,
     /// The incarnation that the commands are for; only in direct requests.
     #[serde(rename = "tenure", skip_serializing_if = "Option::is_none", default)]
     pub incarnation: Option<u64>,
--- a/tests/combined_failures/leader_changes.rs
+++ b/tests/combined_failures/leader_changes.rs
@@ -1,5 +1,6 @@
 //! The leader changes while something else goes wrong.
 
+use gaugesill::epoch::Epoch;
 use gaugesill::wire::{self, AgentStatus};
 
 use crate::common::{submission, Sim, Writes};
@@ -27,7 +28,7 @@
             spot: false,
             incarnation: 1,
             serial: 1,
-            epoch: 9,
+            epoch: Epoch::new(9),
             interruption_in_s: None,
             tasks: vec![],
         });
--- a/tests/common/agent.rs
+++ b/tests/common/agent.rs
@@ -1,5 +1,6 @@
 //! A simulated agent and the tasks on its machine.
 
+use gaugesill::epoch::Epoch;
 use gaugesill::wire::{AgentStatus, CommandBatch, ExitReason, TaskState, TaskStatus};
 
 use super::addresses::agent_address;
@@ -73,7 +74,7 @@
     pub incarnation: u64,
     pub serial: u64,
     /// The highest epoch that it has seen.
-    pub epoch: u64,
+    pub epoch: Epoch,
     pub tasks: Vec<AgentTask>,
     /// The controller that it reports to.
     pub reports_to: usize,
@@ -93,7 +94,7 @@
             machine: machine.to_string(),
             incarnation: 1,
             serial: 0,
-            epoch: 0,
+            epoch: Epoch::NONE,
             tasks: vec![],
             reports_to: 0,
             pending_heartbeat: None,
@@ -140,7 +141,7 @@
         batch.epoch >= self.epoch && batch.incarnation == Some(self.incarnation)
     }
 
-    pub(super) fn see_epoch(&mut self, epoch: u64) {
+    pub(super) fn see_epoch(&mut self, epoch: Epoch) {
         if epoch > self.epoch {
             self.epoch = epoch;
             self.has_changes = true;
--- a/tests/common/faults.rs
+++ b/tests/common/faults.rs
@@ -3,6 +3,7 @@
 use std::collections::{BTreeMap, HashMap, HashSet};
 
 use gaugesill::controller::Controller;
+use gaugesill::epoch::Epoch;
 
 use super::cloud_orders::CloudOrders;
 use super::messages::{Call, Heartbeat, SimMessage};
@@ -143,7 +144,7 @@
     pub(super) late_cloud_orders: Vec<LateCall>,
     heartbeat_copies: Vec<Heartbeat>,
     /// The highest epoch at which kept copies were sent.
-    copies_sent_at_epoch: u64,
+    copies_sent_at_epoch: Epoch,
 }
 
 impl HeldMessages {
@@ -153,7 +154,7 @@
 
     /// The kept copies if `epoch` is new: the latest of each machine, and some from well
     /// before.
-    fn copies_for_epoch(&mut self, epoch: u64) -> Vec<Heartbeat> {
+    fn copies_for_epoch(&mut self, epoch: Epoch) -> Vec<Heartbeat> {
         if epoch <= self.copies_sent_at_epoch {
             return vec![];
         }
@@ -289,7 +290,7 @@
             return;
         };
         let epochs = self.controllers.iter().flatten().map(Controller::epoch);
-        let epoch = epochs.max().unwrap_or(0);
+        let epoch = epochs.max().unwrap_or(Epoch::NONE);
         for heartbeat in self.held.copies_for_epoch(epoch) {
             self.send(after_ms, SimMessage::Heartbeat(heartbeat));
         }
--- a/tests/job_dependencies/scheduling.rs
+++ b/tests/job_dependencies/scheduling.rs
@@ -2,6 +2,7 @@
 
 use std::sync::Arc;
 
+use gaugesill::epoch::Epoch;
 use gaugesill::job::{JobRecord, JobSpec, Priority, TaskRun};
 use gaugesill::leadership_keys::LEADER_KEY;
 use gaugesill::scheduler::{Effect, Scheduler, StatusOrigin, Term};
@@ -21,7 +22,7 @@
     Scheduler::new(
         Term {
             member: "c0".into(),
-            epoch: 2,
+            epoch: Epoch::new(2),
             key: LEADER_KEY,
             key_version: 3,
             began_wall_ms: 1_000_000,
@@ -125,7 +126,7 @@
         spot: false,
         incarnation: 1,
         serial: 1,
-        epoch: 2,
+        epoch: Epoch::new(2),
         interruption_in_s: None,
         tasks: vec![TaskStatus {
             task: "run-1/0".into(),
--- a/tests/processes/world.rs
+++ b/tests/processes/world.rs
@@ -9,6 +9,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
+use gaugesill::epoch::Epoch;
 use gaugesill::wire::{
     self, AgentStatus, CommandBatch, CommandVerb, ExitReason, TaskState, TaskStatus,
 };
@@ -288,7 +289,7 @@
     machine: String,
     fronts: Vec<SocketAddr>,
     serial: u64,
-    epoch: u64,
+    epoch: Epoch,
     /// The controller that it reports to.
     reports_to: usize,
     tasks: Vec<StartedTask>,
@@ -317,7 +318,7 @@
             machine,
             fronts,
             serial: 0,
-            epoch: 0,
+            epoch: Epoch::NONE,
             reports_to: 0,
             tasks: vec![],
         }
--- a/tests/unit/agent_status.rs
+++ b/tests/unit/agent_status.rs
@@ -1,6 +1,7 @@
 //! How the scheduler handles the statuses that agents report.
 
 use crate::support::*;
+use gaugesill::epoch::Epoch;
 use gaugesill::job::{JobRecord, Priority, Shape, TaskRun};
 use gaugesill::machine::TaskPhase;
 use gaugesill::plan;
@@ -22,7 +23,7 @@
         spot: false,
         incarnation: 1,
         serial,
-        epoch: 2,
+        epoch: Epoch::new(2),
         interruption_in_s: None,
         tasks: vec![],
     };
--- a/tests/unit/leader_lease.rs
+++ b/tests/unit/leader_lease.rs
@@ -1,5 +1,6 @@
 //! The lease of the leader.
 
+use gaugesill::epoch::Epoch;
 use gaugesill::leader_lease::{
     leader_lease_ttl_ms, Election, LeaderLease, LeadershipTransition, LeaseRequest, LeaseResponse,
 };
@@ -19,7 +20,7 @@
 fn own_key() -> Option<VersionedLeaderKey> {
     let key = LeaderKey {
         member: "c0".into(),
-        epoch: 1,
+        epoch: Epoch::new(1),
     };
     Some(VersionedLeaderKey { key, version: 3 })
 }
@@ -33,12 +34,12 @@
     assert!(matches!(
         lease.tick(110, &cache, 0.0),
         Some(LeaseRequest::Elect(Election {
-            epoch: 1,
+            epoch: Epoch::FIRST,
             leader_version: 0,
             ..
         }))
     ));
-    let (epoch, version) = (1, 3);
+    let (epoch, version) = (Epoch::FIRST, 3);
     assert_eq!(
         lease.on_response(120, LeaseResponse::Elected { epoch, version }),
         Some(LeadershipTransition::Began)
--- a/tests/unit/support.rs
+++ b/tests/unit/support.rs
@@ -3,6 +3,7 @@
 // Examples use a part of this module.
 #![allow(dead_code, reason = "an example uses a part of it")]
 
+use gaugesill::epoch::Epoch;
 use gaugesill::job::{JobRecord, JobSpec, Priority, Shape, TaskRun};
 use gaugesill::plan::{
     self, JobView, MachineView, Reservation, Resources, Snapshot, TaskView, TeamView,
@@ -177,7 +178,7 @@
 ) -> Scheduler {
     let term = Term {
         member: "c0".into(),
-        epoch,
+        epoch: Epoch::new(epoch),
         key: gaugesill::leadership_keys::LEADER_KEY,
         key_version: 3,
         began_wall_ms: 1_000_000,
@@ -215,7 +216,7 @@
         spot: false,
         incarnation: 1,
         serial,
-        epoch,
+        epoch: Epoch::new(epoch),
         interruption_in_s: None,
         tasks: vec![],
     }
--- a/tests/unit/watch_cache.rs
+++ b/tests/unit/watch_cache.rs
@@ -1,6 +1,7 @@
 //! The watch cache of the store.
 
 use crate::support::*;
+use gaugesill::epoch::Epoch;
 use gaugesill::job::{FinalState, JobRecord, Priority, Shape};
 use gaugesill::leadership_keys::{LeaderKey, LEADER_KEY};
 use gaugesill::watch_cache::{CacheEvent, VersionedLeaderKey, WatchCache};
@@ -15,7 +16,7 @@
     cache.revision = 5;
     let own = LeaderKey {
         member: "c1".into(),
-        epoch: 2,
+        epoch: Epoch::new(2),
     };
     cache.leader_key = Some(VersionedLeaderKey {
         key: own,
--- a/tests/unit/wire.rs
+++ b/tests/unit/wire.rs
@@ -1,6 +1,7 @@
 //! The decoding of messages.
 
 use ciborium::{cbor, Value};
+use gaugesill::epoch::Epoch;
 use gaugesill::wire;
 
 /// A valid submission after a change of its fields.
@@ -101,5 +102,8 @@
         "hall" => "a", "tenure" => 1, "serial" => 2, "reclaimInS" => 5, "pieces" => []});
     let status: wire::AgentStatus =
         wire::decode(&wire::encode(&status.expect("value"))).expect("a status");
-    assert_eq!((status.interruption_in_s, status.epoch), (Some(5.0), 0));
+    assert_eq!(
+        (status.interruption_in_s, status.epoch),
+        (Some(5.0), Epoch::NONE)
+    );
 }
--- a/tests/version_upgrade/production_format.rs
+++ b/tests/version_upgrade/production_format.rs
@@ -1,6 +1,7 @@
 //! What the version in production stores and sends is read and written unchanged.
 
 use ciborium::Value;
+use gaugesill::epoch::Epoch;
 use gaugesill::job::{FinalState, JobRecord};
 use gaugesill::leadership_keys::LeaderKey;
 use gaugesill::peer_protocol::{ForwardedReply, ForwardedRequest, PeerStatus};
@@ -38,7 +39,10 @@
     }
     let Fixture { bytes, .. } = fixture("leader");
     let key: LeaderKey = wire::decode(&bytes).expect("a key");
-    assert_eq!((key.member.as_str(), key.epoch), ("worker-1", 7));
+    assert_eq!(
+        (key.member.as_str(), key.epoch),
+        ("worker-1", Epoch::new(7))
+    );
     assert_eq!(wire::encode(&key), bytes);
 }
 
@@ -100,7 +104,7 @@
         ],
     );
     assert!(events.is_empty());
-    assert_eq!((cache.format, cache.epoch), (1, 7));
+    assert_eq!((cache.format, cache.epoch), (1, Epoch::new(7)));
     assert!(
         cache.members.contains("worker-1") && cache.jobs.is_empty() && cache.leader().is_none()
     );
--- a/tests/version_upgrade/record_limit.rs
+++ b/tests/version_upgrade/record_limit.rs
@@ -2,6 +2,7 @@
 
 use std::sync::Arc;
 
+use gaugesill::epoch::Epoch;
 use gaugesill::job::json_length;
 use gaugesill::leadership_keys::LEADER_KEY;
 use gaugesill::plan::{Decision, PlannedPlacement, TaskBinding};
@@ -58,7 +59,7 @@
 fn new_scheduler(cluster: &ClusterSettings, format: u64) -> Scheduler {
     let term = Term {
         member: "c0".into(),
-        epoch: 2,
+        epoch: Epoch::new(2),
         key: LEADER_KEY,
         key_version: 3,
         began_wall_ms: 1_000_000,
@@ -92,7 +93,7 @@
         spot: true,
         incarnation: 1,
         serial,
-        epoch: 2,
+        epoch: Epoch::new(2),
         interruption_in_s: None,
         tasks,
     }
