--- a/src/controller/effects.rs
+++ b/src/controller/effects.rs
@@ -13,6 +13,7 @@
 use super::{Controller, StepDownReason};
 use crate::net::Outcome;
 use crate::scheduler::{DirectStart, Effect, StatusOrigin};
+use crate::wire::Incarnation;
 use crate::wire::{self, Command, Condition, Write};
 use crate::write_queue::{WriteClass, WriteRequest};
 
@@ -69,7 +70,12 @@
         });
     }
 
-    fn commands_call(&self, machine: &str, incarnation: u64, commands: Vec<Command>) -> HttpCall {
+    fn commands_call(
+        &self,
+        machine: &str,
+        incarnation: Incarnation,
+        commands: Vec<Command>,
+    ) -> HttpCall {
         trace!(machine, ?commands, "sending commands");
         let body = wire::encode(&wire::CommandBatch {
             epoch: self.epoch(),
--- a/src/controller/heartbeats.rs
+++ b/src/controller/heartbeats.rs
@@ -103,7 +103,7 @@
         };
         trace!(
             machine = agent_status.machine,
-            incarnation = agent_status.incarnation,
+            incarnation = agent_status.incarnation.get(),
             serial = agent_status.serial,
             tasks = ?agent_status.tasks,
             commands = ?batch.commands,
--- a/src/machine/answers.rs
+++ b/src/machine/answers.rs
@@ -9,6 +9,7 @@
 use super::tasks::ReportedTask;
 use crate::epoch::Epoch;
 use crate::wire::AgentStatus;
+use crate::wire::Incarnation;
 
 /// A machine whose heartbeat was answered within this share of a lease cannot have lost the lease.
 const ANSWERED_LEASE_PERCENT: u64 = 75;
@@ -57,7 +58,7 @@
 #[derive(Debug, Clone)]
 struct SentAnswer {
     /// The incarnation of the heartbeat that it answered.
-    incarnation: u64,
+    incarnation: Incarnation,
     /// The serial of that heartbeat.
     serial: u64,
     /// Any of these shows that the answer was received.
@@ -96,7 +97,7 @@
 #[derive(Debug, Clone, Copy)]
 struct Suspicion {
     since: u64,
-    incarnation: u64,
+    incarnation: Incarnation,
 }
 
 /// The answers to a machine's heartbeats.
@@ -163,7 +164,7 @@
     /// reach the agent. The suspicion begins with the first call.
     pub(super) fn has_outlasted_suspicion(
         &mut self,
-        incarnation: u64,
+        incarnation: Incarnation,
         lasts_ms: u64,
         now: u64,
     ) -> bool {
--- a/src/machine/mod.rs
+++ b/src/machine/mod.rs
@@ -16,6 +16,7 @@
 use crate::epoch::Epoch;
 use crate::plan::{MachineView, Reservation};
 use crate::time_units::to_ms;
+use crate::wire::Incarnation;
 use crate::wire::{AgentStatus, MachineType};
 use answers::{AnswerEffect, AnswerTracker};
 
@@ -53,7 +54,7 @@
     /// Whether it is a spot machine.
     pub spot: bool,
     /// The incarnation of the last status; 0 before the first.
-    pub incarnation: u64,
+    pub incarnation: Incarnation,
     /// The serial of the last status.
     pub serial: u64,
     /// The highest epoch that the agent has seen.
@@ -120,7 +121,7 @@
             machine_type: "".into(),
             zone: "".into(),
             spot: false,
-            incarnation: 0,
+            incarnation: Incarnation::NONE,
             serial: 0,
             epoch: Epoch::NONE,
             last_status_at: None,
--- a/src/scheduler/effects.rs
+++ b/src/scheduler/effects.rs
@@ -5,6 +5,7 @@
 
 use crate::cloud::MachineKind;
 use crate::job::FinalState;
+use crate::wire::Incarnation;
 use crate::wire::{Command, Condition, Write};
 
 /// A start that was sent straight to an agent.
@@ -41,7 +42,7 @@
         /// The agent's address.
         address: SocketAddr,
         /// The incarnation that the commands are for.
-        incarnation: u64,
+        incarnation: Incarnation,
         /// The commands.
         commands: Vec<Command>,
         /// Which of them are starts.
--- a/src/scheduler/placement.rs
+++ b/src/scheduler/placement.rs
@@ -6,6 +6,7 @@
 use super::DirectStart;
 use crate::job::task_name;
 use crate::machine::TaskPhase;
+use crate::wire::Incarnation;
 
 /// Names a task: its job and its number.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -45,10 +46,13 @@
 pub(super) enum StartDelivery {
     /// In the answer to this heartbeat. Such an answer is accepted at once or never, so a
     /// later heartbeat shows the outcome.
-    Answer { incarnation: u64, serial: u64 },
+    Answer {
+        incarnation: Incarnation,
+        serial: u64,
+    },
     /// Straight to the agent, once only. Unless the agent shows the outcome, it may still be
     /// executed until the agent's incarnation ends.
-    Direct { incarnation: u64, at: u64 },
+    Direct { incarnation: Incarnation, at: u64 },
 }
 
 /// A task that is bound to a machine: it may be there.
--- a/src/scheduler/probes.rs
+++ b/src/scheduler/probes.rs
@@ -4,6 +4,7 @@
 use super::{to_ms, Effect, Scheduler};
 use crate::epoch::Epoch;
 use crate::machine::{CloudStatus, Machine};
+use crate::wire::Incarnation;
 
 /// When a new leader begins to ask machines that have not sent a heartbeat, as a share of the
 /// time within which the tasks of a gang notice that one of them is gone.
@@ -40,7 +41,7 @@
     fn probe(&self, machine: &Machine) -> Option<Effect> {
         let address = machine.address?;
         let name = machine.name.clone();
-        let raises_epoch = machine.incarnation > 0 && machine.epoch < self.epoch;
+        let raises_epoch = machine.incarnation > Incarnation::NONE && machine.epoch < self.epoch;
         Some(if raises_epoch {
             Effect::Commands {
                 machine: name,
--- a/src/scheduler/starts.rs
+++ b/src/scheduler/starts.rs
@@ -8,6 +8,7 @@
 use crate::job::task_name;
 use crate::machine::Machine;
 use crate::wire;
+use crate::wire::Incarnation;
 
 /// Why starts that were sent straight to an agent were certainly not executed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -30,13 +31,15 @@
 /// Where direct commands for an agent are sent.
 struct AgentTarget {
     address: SocketAddr,
-    incarnation: u64,
+    incarnation: Incarnation,
 }
 
 impl AgentTarget {
     /// `None` if the machine's agent has not sent a status yet.
     fn of(machine: &Machine) -> Option<AgentTarget> {
-        let address = machine.address.filter(|_| machine.incarnation > 0)?;
+        let address = machine
+            .address
+            .filter(|_| machine.incarnation > Incarnation::NONE)?;
         Some(AgentTarget {
             address,
             incarnation: machine.incarnation,
--- a/src/wire/agents.rs
+++ b/src/wire/agents.rs
@@ -2,6 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
+use super::incarnation::Incarnation;
 use super::optional_number;
 use super::words::{ExitReason, TaskState};
 use crate::epoch::Epoch;
@@ -33,7 +34,7 @@
     pub spot: bool,
     /// The agent's incarnation, which increases each time its lease expires.
     #[serde(rename = "tenure")]
-    pub incarnation: u64,
+    pub incarnation: Incarnation,
     /// Increases with every status of an incarnation: the one with the larger pair of
     /// incarnation and serial is newer.
     pub serial: u64,
@@ -107,7 +108,7 @@
     pub epoch: Epoch,
     /// The incarnation that the commands are for; only in direct requests.
     #[serde(rename = "tenure", skip_serializing_if = "Option::is_none", default)]
-    pub incarnation: Option<u64>,
+    pub incarnation: Option<Incarnation>,
     /// To be executed in this order.
     #[serde(rename = "orders")]
     pub commands: Vec<Command>,
--- a/src/wire/mod.rs
+++ b/src/wire/mod.rs
@@ -6,6 +6,7 @@
 
 mod agents;
 mod cloud;
+mod incarnation;
 mod paths;
 mod store;
 mod submission;
@@ -20,6 +21,7 @@
     is_no_capacity, FencingToken, ListedMachine, MachineList, MachineNames, MachineType,
     MachineTypes, ProvisionRequest, TerminateRequest, PROVISION_PATH, TERMINATE_PATH,
 };
+pub use incarnation::Incarnation;
 pub use paths::{
     cancellation_path, grant_path, grants_path, job_path, key_path, keys_path, machine_list_path,
     machine_types_path, renewal_path, transaction_path, watch_path, CANCELLATION_SUFFIX,
--- a/tests/combined_failures/leader_changes.rs
+++ b/tests/combined_failures/leader_changes.rs
@@ -1,6 +1,7 @@
 //! The leader changes while something else goes wrong.
 
 use gaugesill::epoch::Epoch;
+use gaugesill::wire::Incarnation;
 use gaugesill::wire::{self, AgentStatus};
 
 use crate::common::{submission, Sim, Writes};
@@ -26,7 +27,7 @@
             machine_type: "f8".into(),
             zone: "a".into(),
             spot: false,
-            incarnation: 1,
+            incarnation: Incarnation::new(1),
             serial: 1,
             epoch: Epoch::new(9),
             interruption_in_s: None,
--- a/tests/common/agent.rs
+++ b/tests/common/agent.rs
@@ -1,6 +1,7 @@
 //! A simulated agent and the tasks on its machine.
 
 use gaugesill::epoch::Epoch;
+use gaugesill::wire::Incarnation;
 use gaugesill::wire::{AgentStatus, CommandBatch, ExitReason, TaskState, TaskStatus};
 
 use super::addresses::agent_address;
@@ -71,7 +72,7 @@
 /// The agent of a machine.
 pub(crate) struct Agent {
     pub machine: String,
-    pub incarnation: u64,
+    pub incarnation: Incarnation,
     pub serial: u64,
     /// The highest epoch that it has seen.
     pub epoch: Epoch,
@@ -92,7 +93,7 @@
     pub(super) fn new(machine: &str, now: u64) -> Agent {
         Agent {
             machine: machine.to_string(),
-            incarnation: 1,
+            incarnation: Incarnation::new(1),
             serial: 0,
             epoch: Epoch::NONE,
             tasks: vec![],
@@ -178,7 +179,7 @@
     /// Begins its next incarnation, without tasks.
     pub(super) fn begin_incarnation(&mut self, now: u64) {
         self.tasks.clear();
-        self.incarnation += 1;
+        self.incarnation = self.incarnation.next();
         self.last_acknowledged_at = now;
         self.has_changes = true;
         self.pending_heartbeat = None;
--- a/tests/job_dependencies/scheduling.rs
+++ b/tests/job_dependencies/scheduling.rs
@@ -8,6 +8,7 @@
 use gaugesill::scheduler::{Effect, Scheduler, StatusOrigin, Term};
 use gaugesill::settings::OperatorSettings;
 use gaugesill::watch_cache::{LiveJob, WatchCache};
+use gaugesill::wire::Incarnation;
 use gaugesill::wire::{AgentStatus, TaskStatus};
 
 use crate::support::spec;
@@ -124,7 +125,7 @@
         machine_type: "f8".into(),
         zone: "a".into(),
         spot: false,
-        incarnation: 1,
+        incarnation: Incarnation::new(1),
         serial: 1,
         epoch: Epoch::new(2),
         interruption_in_s: None,
--- a/tests/processes/world.rs
+++ b/tests/processes/world.rs
@@ -10,6 +10,7 @@
 use std::time::{Duration, Instant};
 
 use gaugesill::epoch::Epoch;
+use gaugesill::wire::Incarnation;
 use gaugesill::wire::{
     self, AgentStatus, CommandBatch, CommandVerb, ExitReason, TaskState, TaskStatus,
 };
@@ -356,7 +357,7 @@
             machine_type: machine.machine_type.clone(),
             zone: machine.zone.clone(),
             spot: machine.spot,
-            incarnation: 1,
+            incarnation: Incarnation::new(1),
             serial: self.serial,
             epoch: self.epoch,
             interruption_in_s: None,
--- a/tests/unit/agent_status.rs
+++ b/tests/unit/agent_status.rs
@@ -7,6 +7,7 @@
 use gaugesill::plan;
 use gaugesill::scheduler::{Effect, Scheduler, StartPermission, StatusOrigin, TerminationOutcome};
 use gaugesill::watch_cache::LiveJob;
+use gaugesill::wire::Incarnation;
 use gaugesill::wire::{AgentStatus, CommandVerb, TaskStatus};
 use std::sync::Arc;
 
@@ -21,7 +22,7 @@
         machine_type: "small".into(),
         zone: "a".into(),
         spot: false,
-        incarnation: 1,
+        incarnation: Incarnation::new(1),
         serial,
         epoch: Epoch::new(2),
         interruption_in_s: None,
--- a/tests/unit/support.rs
+++ b/tests/unit/support.rs
@@ -11,6 +11,7 @@
 use gaugesill::scheduler::{Scheduler, StatusOrigin, Term};
 use gaugesill::settings::{ClusterSettings, OperatorSettings};
 use gaugesill::watch_cache::{LiveJob, WatchCache};
+use gaugesill::wire::Incarnation;
 use gaugesill::wire::{AgentStatus, MachineType, TaskStatus};
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::sync::Arc;
@@ -214,7 +215,7 @@
         machine_type: "large".into(),
         zone: "a".into(),
         spot: false,
-        incarnation: 1,
+        incarnation: Incarnation::new(1),
         serial,
         epoch: Epoch::new(epoch),
         interruption_in_s: None,
--- a/tests/version_upgrade/record_limit.rs
+++ b/tests/version_upgrade/record_limit.rs
@@ -9,6 +9,7 @@
 use gaugesill::scheduler::{Effect, Scheduler, StatusOrigin, Term};
 use gaugesill::settings::{ClusterSettings, OperatorSettings};
 use gaugesill::watch_cache::{LiveJob, WatchCache};
+use gaugesill::wire::Incarnation;
 use gaugesill::wire::{AgentStatus, ExitReason, MachineType, TaskState, TaskStatus};
 use gaugesill::write_queue::CommitResult;
 
@@ -91,7 +92,7 @@
         machine_type: "vidin-32".into(),
         zone: "a".into(),
         spot: true,
-        incarnation: 1,
+        incarnation: Incarnation::new(1),
         serial,
         epoch: Epoch::new(2),
         interruption_in_s: None,
