--- a/tests/combined_failures/machines.rs
+++ b/tests/combined_failures/machines.rs
@@ -98,8 +98,7 @@
 #[test]
 fn zones_are_kept_while_machines_are_lost() {
     for case in 0..12u64 {
-        let mut sim = Sim::new();
-        sim.run(1000);
+        let mut sim = Sim::started();
         let yes = Value::Bool(true);
         let in_one_zone = with_field(array("run-000001", 3), "samePlace", yes.clone());
         sim.submit(0, &in_one_zone, 12_000);
--- a/tests/combined_failures/user_requests.rs
+++ b/tests/combined_failures/user_requests.rs
@@ -150,8 +150,7 @@
 /// job `done`, a job that can never run 422, one that lacks a field 400; never 201.
 #[test]
 fn unusual_requests_get_their_status_codes() {
-    let mut sim = Sim::new();
-    sim.run(1000);
+    let mut sim = Sim::started();
     sim.submit(0, &array("run-000001", 1), 1000);
     sim.submit(0, &array("run-000002", 1), 60_000);
     sim.run(14_000);
--- a/tests/common/sim.rs
+++ b/tests/common/sim.rs
@@ -67,6 +67,13 @@
         Sim::with_team(r#"{"name":"t"}"#, 0.0)
     }
 
+    /// A cluster whose controllers have had a second to elect a leader.
+    pub(crate) fn started() -> Sim {
+        let mut sim = Sim::new();
+        sim.run(1000);
+        sim
+    }
+
     /// `team`: the team's settings; `team_cores`: its limit, which is checked, or 0.
     pub(crate) fn with_team(team: &str, team_cores: f64) -> Sim {
         let mut sim = Sim {
--- a/tests/job_dependencies/submission.rs
+++ b/tests/job_dependencies/submission.rs
@@ -16,15 +16,9 @@
     sim.answer(slot).expect("an answer")
 }
 
-fn started() -> Sim {
-    let mut sim = Sim::new();
-    sim.run(1000);
-    sim
-}
-
 #[test]
 fn malformed_dependencies_are_refused() {
-    let mut sim = started();
+    let mut sim = Sim::started();
     for malformed in [
         Value::Text(SPLIT.into()),
         Value::Integer(3.into()),
@@ -42,7 +36,7 @@
 
 #[test]
 fn null_and_an_empty_list_name_no_dependency() {
-    let mut sim = started();
+    let mut sim = Sim::started();
     let without_dependencies = [
         ("run-000008", Value::Null),
         ("run-000006", Value::Array(vec![])),
@@ -62,7 +56,7 @@
 /// Only accepted jobs may be named: by any controller a moment ago, or long ago and finished.
 #[test]
 fn only_accepted_jobs_may_be_named() {
-    let mut sim = started();
+    let mut sim = Sim::started();
     // A job that was never accepted; the job itself.
     for controller in 0..3 {
         let on_unknown = array("run-000009", 1, &[UNKNOWN]);
--- a/tests/job_lifecycle/basics.rs
+++ b/tests/job_lifecycle/basics.rs
@@ -71,8 +71,7 @@
 /// The largest possible array: its record stays small while it runs.
 #[test]
 fn a_job_of_a_hundred_thousand_tasks_runs() {
-    let mut sim = Sim::new();
-    sim.run(1000);
+    let mut sim = Sim::started();
     let slot = sim.submit(
         0,
         &submission("run-000001", "sweep", 100_000, 1.0, "normal"),
--- a/tests/job_lifecycle/cancellation.rs
+++ b/tests/job_lifecycle/cancellation.rs
@@ -31,8 +31,7 @@
 /// closed the job as done. What the store committed first is final.
 #[test]
 fn cancellation_as_the_last_task_is_done() {
-    let mut sim = Sim::new();
-    sim.run(1000);
+    let mut sim = Sim::started();
     sim.submit(
         0,
         &submission("run-000001", "sweep", 2, 4.0, "normal"),
@@ -42,8 +41,7 @@
     let end = sim.now;
     let mut cancelled = 0;
     for step in 0..40 {
-        let mut sim = Sim::new();
-        sim.run(1000);
+        let mut sim = Sim::started();
         sim.submit(
             0,
             &submission("run-000001", "sweep", 2, 4.0, "normal"),
--- a/tests/job_lifecycle/gangs.rs
+++ b/tests/job_lifecycle/gangs.rs
@@ -33,8 +33,7 @@
 /// again. Now those tasks are started again on their machines.
 #[test]
 fn a_gang_with_one_slow_image_pull_starts() {
-    let mut sim = Sim::new();
-    sim.run(1000);
+    let mut sim = Sim::started();
     let mut job = submission("run-000001", "group", 2, 8.0, "normal");
     for (name, value) in job.as_map_mut().expect("a map") {
         if name.as_text() == Some("imageGb") {
@@ -69,8 +68,7 @@
 /// not yet confirmed gone; then all were rented again.
 #[test]
 fn a_gang_keeps_its_machines_while_a_member_is_lost() {
-    let mut sim = Sim::new();
-    sim.run(1000);
+    let mut sim = Sim::started();
     sim.submit(
         0,
         &submission("run-000001", "group", 3, 6.0, "normal"),
--- a/tests/job_lifecycle/machines.rs
+++ b/tests/job_lifecycle/machines.rs
@@ -7,8 +7,7 @@
 /// and the heartbeats that were held back change nothing.
 #[test]
 fn a_machine_that_is_cut_off_is_replaced() {
-    let mut sim = Sim::new();
-    sim.run(1000);
+    let mut sim = Sim::started();
     sim.submit(
         0,
         &submission("run-000001", "sweep", 3, 4.0, "best_effort"),
@@ -30,8 +29,7 @@
 /// deletion.
 #[test]
 fn a_dead_machine_is_replaced() {
-    let mut sim = Sim::new();
-    sim.run(1000);
+    let mut sim = Sim::started();
     sim.submit(
         0,
         &submission("run-000001", "sweep", 3, 4.0, "best_effort"),
@@ -50,8 +48,7 @@
 #[test]
 fn a_machine_that_receives_nothing_is_replaced() {
     for (busy, unreachable_from) in [(true, 9000), (false, 7200), (true, 6500)] {
-        let mut sim = Sim::new();
-        sim.run(1000);
+        let mut sim = Sim::started();
         let run_ms = if busy { 60_000 } else { 1000 };
         sim.submit(
             0,
--- a/tests/job_lifecycle/partitions.rs
+++ b/tests/job_lifecycle/partitions.rs
@@ -54,8 +54,7 @@
 /// when to come back, and no controller becomes unhealthy for the load balancer.
 #[test]
 fn jobs_survive_an_outage_of_the_store() {
-    let mut sim = Sim::new();
-    sim.run(1000);
+    let mut sim = Sim::started();
     sim.submit(
         0,
         &submission("run-000001", "sweep", 2, 4.0, "normal"),
@@ -114,8 +113,7 @@
 #[test]
 fn a_leader_with_only_its_agents_stops_tasks_in_time() {
     for cut_after in [6000, 7500, 9000, 12_000] {
-        let mut sim = Sim::new();
-        sim.run(1000);
+        let mut sim = Sim::started();
         let array = submission("run-000001", "sweep", 3, 4.0, "best_effort");
         sim.submit(0, &array, 100_000);
         sim.submit(
@@ -167,8 +165,7 @@
 #[test]
 fn a_zone_cut_off_with_a_controller() {
     for case in 0..18u64 {
-        let mut sim = Sim::new();
-        sim.run(1000);
+        let mut sim = Sim::started();
         sim.submit(0, &gang_in_zone("run-000001", "a"), 15_000);
         sim.submit(0, &gang_in_zone("run-000002", "b"), 15_000);
         sim.submit(
--- a/tests/job_lifecycle/support.rs
+++ b/tests/job_lifecycle/support.rs
@@ -4,8 +4,7 @@
 
 /// An array and a gang, submitted to different controllers.
 pub(crate) fn two_jobs() -> Sim {
-    let mut sim = Sim::new();
-    sim.run(1000);
+    let mut sim = Sim::started();
     submit_two_jobs(&mut sim, 0, 1);
     sim
 }
--- a/tests/message_digests.rs
+++ b/tests/message_digests.rs
@@ -123,12 +123,6 @@
     assert_eq!(digests, kept, "messages of {family} differ from {path}");
 }
 
-fn started() -> Sim {
-    let mut sim = Sim::new();
-    sim.run(1000);
-    sim
-}
-
 #[test]
 fn messages_of_quiet_runs() {
     let play = |run: &mut Run| {
@@ -138,7 +132,7 @@
             run.poll(id);
         }
     };
-    check_family("quiet", play, started);
+    check_family("quiet", play, Sim::started);
 }
 
 #[test]
@@ -171,7 +165,7 @@
         run.poll(&ids[0]);
         run.submit_some(2);
     };
-    check_family("crashes", play, started);
+    check_family("crashes", play, Sim::started);
 }
 
 #[test]
@@ -195,7 +189,7 @@
         run.sim.faults.refused_by_store.clear();
         run.sim.heal_zone();
     };
-    check_family("cuts", play, started);
+    check_family("cuts", play, Sim::started);
 }
 
 #[test]
@@ -214,7 +208,7 @@
         run.sim.end_outage();
         run.submit_some(2);
     };
-    check_family("outage", play, started);
+    check_family("outage", play, Sim::started);
 }
 
 #[test]
@@ -228,7 +222,7 @@
         }
         run.crash_leader();
     };
-    check_family("cancellations", play, started);
+    check_family("cancellations", play, Sim::started);
 }
 
 #[test]
@@ -251,7 +245,7 @@
         run.sim.faults.writes = Writes::Answered;
         run.submit_some(1);
     };
-    check_family("late", play, started);
+    check_family("late", play, Sim::started);
 }
 
 #[test]
@@ -273,7 +267,7 @@
         }
         run.pause(5000, 40_000);
     };
-    check_family("machines", play, started);
+    check_family("machines", play, Sim::started);
 }
 
 #[test]
@@ -292,7 +286,7 @@
         run.pause(200, 9000);
         run.poll(&third);
     };
-    check_family("pipelines", play, started);
+    check_family("pipelines", play, Sim::started);
 }
 
 #[test]
--- a/tests/processes/sockets.rs
+++ b/tests/processes/sockets.rs
@@ -9,6 +9,24 @@
 
 use crate::http::{free_port, read_message};
 
+/// Limits with which no idle connection is closed within a test.
+fn limits(fd_limit: usize, vital: HashSet<SocketAddr>) -> ConnectionLimits {
+    ConnectionLimits {
+        fd_limit,
+        vital,
+        agent_idle: Duration::from_secs(3600),
+        reply_max: 1 << 20,
+    }
+}
+
+/// An event loop, and the address at which it takes the requests of users and agents.
+fn listen(limits: ConnectionLimits) -> (EventLoop, SocketAddr) {
+    let front = SocketAddr::from(([127, 0, 0, 1], free_port()));
+    let peers = SocketAddr::from(([127, 0, 0, 1], 0));
+    let event_loop = EventLoop::new(front, peers, limits).expect("it listens");
+    (event_loop, front)
+}
+
 /// Found with a fleet half as large again: after a mass failure the leader's own
 /// calls to agents took every socket that the agents' and users' connections
 /// left. Each has its share: users' connections are closed before agents', and calls to the
@@ -17,17 +35,11 @@
 #[expect(clippy::too_many_lines, reason = "one scenario, told step by step")]
 fn sockets_are_divided() {
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
-    let front = SocketAddr::from(([127, 0, 0, 1], free_port()));
     // They accept no connections: calls to them stay in progress.
     let dead = TcpListener::bind(any).expect("a port");
     let vital = TcpListener::bind(any).expect("a port");
-    let limits = ConnectionLimits {
-        fd_limit: 32,
-        vital: HashSet::from([vital.local_addr().expect("an address")]),
-        agent_idle: Duration::from_secs(3600),
-        reply_max: 1 << 20,
-    };
-    let mut event_loop = EventLoop::new(front, any, limits).expect("it listens");
+    let vital_addresses = HashSet::from([vital.local_addr().expect("an address")]);
+    let (mut event_loop, front) = listen(limits(32, vital_addresses));
     let mut serve = |sockets: &mut [TcpStream], path: &str| {
         for socket in sockets.iter_mut() {
             let text = format!("POST {path} HTTP/1.1\r\nContent-Length: 0\r\n\r\n");
@@ -89,15 +101,7 @@
 /// closed them. A turn is bounded, and 421 ends the connection.
 #[test]
 fn a_turn_is_bounded_and_a_redirect_closes() {
-    let any = SocketAddr::from(([127, 0, 0, 1], 0));
-    let front = SocketAddr::from(([127, 0, 0, 1], free_port()));
-    let limits = ConnectionLimits {
-        fd_limit: 400,
-        vital: HashSet::new(),
-        agent_idle: Duration::from_secs(3600),
-        reply_max: 1 << 20,
-    };
-    let mut event_loop = EventLoop::new(front, any, limits).expect("it listens");
+    let (mut event_loop, front) = listen(limits(400, HashSet::new()));
     let mut sockets: Vec<TcpStream> = (0..60)
         .map(|_| TcpStream::connect(front).expect("a connection"))
         .collect();
@@ -135,15 +139,7 @@
 /// connections are kept, and other machines are served on connections of one request.
 #[test]
 fn more_machines_than_sockets() {
-    let any = SocketAddr::from(([127, 0, 0, 1], 0));
-    let front = SocketAddr::from(([127, 0, 0, 1], free_port()));
-    let limits = ConnectionLimits {
-        fd_limit: 64,
-        vital: HashSet::new(),
-        agent_idle: Duration::from_secs(3600),
-        reply_max: 1 << 20,
-    };
-    let mut event_loop = EventLoop::new(front, any, limits).expect("it listens");
+    let (mut event_loop, front) = listen(limits(64, HashSet::new()));
     let mut machines: Vec<Option<TcpStream>> = (0..90).map(|_| None).collect();
     let mut connections = Vec::new();
     for _ in 0..3 {
@@ -198,14 +194,10 @@
             let _ = socket.write_all(&vec![b'x'; length]);
         }
     });
-    let limits = ConnectionLimits {
-        fd_limit: 64,
-        vital: HashSet::from([to]),
-        agent_idle: Duration::from_secs(3600),
+    let (mut event_loop, _) = listen(ConnectionLimits {
         reply_max: bound,
-    };
-    let front = SocketAddr::from(([127, 0, 0, 1], free_port()));
-    let mut event_loop = EventLoop::new(front, any, limits).expect("it listens");
+        ..limits(64, HashSet::from([to]))
+    });
     let mut outcome_of = |tag: u64| {
         event_loop.call(tag, to, "GET", "/watch", &[], Duration::from_secs(20));
         for _ in 0..8000 {
--- a/tests/version_upgrade/reduced_limits.rs
+++ b/tests/version_upgrade/reduced_limits.rs
@@ -115,8 +115,7 @@
     // As much of an array is placed as fits, and a value of the usual size holds the gang.
     let array = submission("run-000002", "sweep", 100, 1.0, "normal");
     assert_eq!(submit(&mut sim, &array).0, 201);
-    let mut sim = Sim::new();
-    sim.run(1000);
+    let mut sim = Sim::started();
     let gang = submission("run-000003", "group", 100, 1.0, "normal");
     assert_eq!(submit(&mut sim, &gang).0, 201);
 }
