--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -9,6 +9,7 @@
 mod checks;
 mod cloud;
 mod delivery;
+mod digest;
 mod duties;
 mod faults;
 mod fleet;
--- a/tests/common/sim.rs
+++ b/tests/common/sim.rs
@@ -8,6 +8,7 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 
 use super::cloud::*;
+use super::digest::MessageDigest;
 use super::duties::*;
 use super::messages::*;
 use super::meter::*;
@@ -127,6 +128,8 @@
     pub(super) late_orders: Vec<(u64, Msg)>,
     /// What the cloud was asked to do, and what controllers decided on.
     pub duty_history: Vec<DutyEvent>,
+    /// All that controllers have sent.
+    pub(super) messages: MessageDigest,
 }
 
 impl Sim {
@@ -208,6 +211,7 @@
             orders: CloudOrders::Answered,
             late_orders: vec![],
             duty_history: vec![],
+            messages: MessageDigest::default(),
         };
         s.run(1);
         s
@@ -338,6 +342,7 @@
     pub(super) fn act(&mut self, node: usize, a: Action) {
         let life = self.lives[node];
         let a = self.status_as_old(node, a);
+        self.messages.add_action(self.now, node, &a);
         match a {
             Action::Answer {
                 connection,
--- /dev/null
+++ b/tests/message_digests.rs
@@ -0,0 +1,345 @@
+//! Seeded runs of whole controllers, each compared with a kept digest of every message that
+//! a controller sent and of every change of the key-value store: a change to the sources
+//! that is meant to leave behaviour as it is leaves all digests as they are.
+//!
+//! The digests are in `tests/fixtures/message_digests/`, a file for each family of runs.
+//! `UPDATE_DIGESTS=1` writes them anew, which only a change of behaviour calls for.
+
+mod common;
+
+use std::collections::BTreeMap;
+
+use ciborium::Value;
+use common::{submission, CloudOrders, Sim, Writes};
+use gaugesill::settings::DutyFence;
+use rand::rngs::StdRng;
+use rand::{Rng, SeedableRng};
+
+/// Runs of each family.
+const SEEDS: u64 = 14;
+/// Simulated time after the last trouble of a run.
+const SETTLE_MS: u64 = 30_000;
+
+/// A run and the random choices that it is made of.
+struct Run {
+    sim: Sim,
+    rng: StdRng,
+    next_job: usize,
+}
+
+impl Run {
+    fn new(sim: Sim, seed: u64) -> Run {
+        Run {
+            sim,
+            rng: StdRng::seed_from_u64(seed),
+            next_job: 1,
+        }
+    }
+
+    /// Lets a random time pass.
+    fn pause(&mut self, from_ms: u64, to_ms: u64) {
+        let pause_ms = self.rng.random_range(from_ms..to_ms);
+        self.sim.run(pause_ms);
+    }
+
+    fn controller(&mut self) -> usize {
+        self.rng.random_range(0..3)
+    }
+
+    /// A random job that depends on the given ones; its id.
+    fn submit(&mut self, dependencies: &[String]) -> String {
+        let id = format!("run-{:06}", self.next_job);
+        self.next_job += 1;
+        let shape = ["sweep", "group"][self.rng.random_range(0..2)];
+        let priority = ["prod", "high", "normal", "best_effort"][self.rng.random_range(0..4)];
+        let tasks = self.rng.random_range(1..4);
+        let cpus = f64::from(self.rng.random_range(1..8u32));
+        let mut job = submission(&id, shape, tasks, cpus, priority);
+        if let (Value::Map(fields), false) = (&mut job, dependencies.is_empty()) {
+            let names = dependencies.iter().map(|id| Value::Text(id.clone()));
+            fields.push((Value::Text("waitsOn".into()), Value::Array(names.collect())));
+        }
+        let run_ms = self.rng.random_range(1000..9000);
+        let node = self.controller();
+        self.sim.submit(node, &job, run_ms);
+        id
+    }
+
+    fn submit_some(&mut self, jobs: usize) -> Vec<String> {
+        let mut ids = Vec::new();
+        for _ in 0..jobs {
+            ids.push(self.submit(&[]));
+            self.pause(20, 900);
+        }
+        ids
+    }
+
+    fn cancel(&mut self, id: &str) {
+        let node = self.controller();
+        let path = format!("/work/{id}/cancel");
+        self.sim.ask(node, "POST", &path, vec![]);
+    }
+
+    fn poll(&mut self, id: &str) {
+        let node = self.controller();
+        self.sim.ask(node, "GET", &format!("/work/{id}"), vec![]);
+    }
+
+    fn crash_leader(&mut self) {
+        let leader = self.sim.leader().unwrap_or(0);
+        let back_after_ms = self.rng.random_range(50..6000);
+        self.sim.crash(leader, back_after_ms);
+    }
+
+    fn random_machine(&mut self) -> Option<String> {
+        let machines = self.sim.workers.len();
+        if machines == 0 {
+            return None;
+        }
+        let chosen = self.rng.random_range(0..machines);
+        self.sim.workers.keys().nth(chosen).cloned()
+    }
+}
+
+/// Plays each seed of a family and compares the digests.
+fn check_family(family: &str, play: impl Fn(&mut Run), start: impl Fn() -> Sim) {
+    let mut digests = BTreeMap::new();
+    for seed in 0..SEEDS {
+        let mut run = Run::new(start(), seed);
+        play(&mut run);
+        run.sim.run(SETTLE_MS);
+        run.sim.assert_sound();
+        digests.insert(format!("seed-{seed:02}"), run.sim.message_digest());
+    }
+    let root = env!("CARGO_MANIFEST_DIR");
+    let path = format!("{root}/tests/fixtures/message_digests/{family}.toml");
+    if std::env::var_os("UPDATE_DIGESTS").is_some() {
+        let text = toml::to_string(&digests).expect("a table of digests");
+        std::fs::write(&path, text).expect("the digests can be written");
+    }
+    let kept_text = std::fs::read_to_string(&path).expect("kept digests");
+    let kept: BTreeMap<String, String> = toml::from_str(&kept_text).expect("a table of digests");
+    assert_eq!(digests, kept, "messages of {family} differ from {path}");
+}
+
+fn started() -> Sim {
+    let mut sim = Sim::new();
+    sim.run(1000);
+    sim
+}
+
+#[test]
+fn messages_of_quiet_runs() {
+    let play = |run: &mut Run| {
+        let ids = run.submit_some(6);
+        run.pause(2000, 9000);
+        for id in &ids {
+            run.poll(id);
+        }
+    };
+    check_family("quiet", play, started);
+}
+
+#[test]
+fn messages_with_a_quota() {
+    let play = |run: &mut Run| {
+        run.submit_some(6);
+        run.pause(2000, 9000);
+        run.submit_some(2);
+    };
+    let start = || {
+        let team = r#"{"name":"t","cpus":6.0,"cpus_max":12.0}"#;
+        let mut sim = Sim::with_team(team, 12.0);
+        sim.run(1000);
+        sim
+    };
+    check_family("quota", play, start);
+}
+
+#[test]
+fn messages_of_crashing_controllers() {
+    let play = |run: &mut Run| {
+        let ids = run.submit_some(4);
+        for _ in 0..3 {
+            run.pause(500, 6000);
+            run.crash_leader();
+            run.pause(100, 2000);
+            let node = run.controller();
+            run.sim.crash(node, 100);
+        }
+        run.poll(&ids[0]);
+        run.submit_some(2);
+    };
+    check_family("crashes", play, started);
+}
+
+#[test]
+fn messages_behind_cuts() {
+    let play = |run: &mut Run| {
+        let ids = run.submit_some(4);
+        run.pause(3000, 9000);
+        let cut = run.controller();
+        match run.rng.random_range(0..5) {
+            0 => run.sim.no_state.extend([cut]),
+            1 => run.sim.no_workers.extend([cut]),
+            2 => run.sim.no_peers.extend([cut]),
+            3 => run.sim.cut_zone("b", Some(cut)),
+            _ => run.sim.refused.extend([cut]),
+        }
+        run.pause(500, 3000);
+        run.cancel(&ids[0]);
+        run.submit_some(2);
+        run.pause(10_000, 50_000);
+        run.sim.no_workers.clear();
+        run.sim.refused.clear();
+        run.sim.heal_zone();
+    };
+    check_family("cuts", play, started);
+}
+
+#[test]
+fn messages_of_an_outage() {
+    let play = |run: &mut Run| {
+        let ids = run.submit_some(4);
+        run.pause(3000, 9000);
+        run.sim.state_out = true;
+        run.pause(500, 3000);
+        run.cancel(&ids[0]);
+        run.submit_some(1);
+        run.pause(1000, 40_000);
+        if run.rng.random_bool(0.3) {
+            run.crash_leader();
+        }
+        run.sim.end_outage();
+        run.submit_some(2);
+    };
+    check_family("outage", play, started);
+}
+
+#[test]
+fn messages_of_cancellations() {
+    let play = |run: &mut Run| {
+        let ids = run.submit_some(6);
+        for id in &ids {
+            run.pause(10, 2500);
+            run.cancel(id);
+            run.poll(id);
+        }
+        run.crash_leader();
+    };
+    check_family("cancellations", play, started);
+}
+
+#[test]
+fn messages_with_lost_and_late_answers() {
+    let play = |run: &mut Run| {
+        run.sim.writes = if run.rng.random_bool(0.5) {
+            Writes::Unanswered(3)
+        } else {
+            Writes::Late(4, 3000)
+        };
+        run.sim.copies_after = vec![700, 9000];
+        let ids = run.submit_some(5);
+        run.pause(3000, 9000);
+        run.cancel(&ids[1]);
+        run.crash_leader();
+        run.pause(3000, 9000);
+        run.sim.writes = Writes::Answered;
+        run.submit_some(1);
+    };
+    check_family("late", play, started);
+}
+
+#[test]
+fn messages_about_failing_machines() {
+    let play = |run: &mut Run| {
+        run.submit_some(5);
+        for _ in 0..4 {
+            run.pause(1000, 6000);
+            let Some(machine) = run.random_machine() else {
+                continue;
+            };
+            match run.rng.random_range(0..5) {
+                0 => run.sim.restart_worker(&machine),
+                1 => run.sim.hang(&machine, 9000),
+                2 => run.sim.deaf.extend([machine]),
+                3 => run.sim.mute.extend([machine]),
+                _ => run.sim.faulty.extend([machine]),
+            }
+        }
+        run.pause(5000, 40_000);
+    };
+    check_family("machines", play, started);
+}
+
+#[test]
+fn messages_of_pipelines() {
+    let play = |run: &mut Run| {
+        let first = run.submit_some(2);
+        run.pause(200, 4000);
+        let second = run.submit(&first);
+        run.pause(200, 2000);
+        let third = run.submit(&[first[0].clone(), second.clone()]);
+        run.pause(200, 9000);
+        if run.rng.random_bool(0.4) {
+            run.cancel(&second);
+        }
+        run.crash_leader();
+        run.pause(200, 9000);
+        run.poll(&third);
+    };
+    check_family("pipelines", play, started);
+}
+
+#[test]
+fn messages_of_two_versions() {
+    let play = |run: &mut Run| {
+        run.submit_some(3);
+        run.pause(2000, 6000);
+        for node in 0..3 {
+            run.sim.old.remove(&node);
+            run.sim.crash(node, 300);
+            run.pause(3000, 9000);
+            run.submit_some(1);
+        }
+    };
+    let start = || {
+        let mut sim = Sim::new();
+        sim.old.extend([0, 1, 2]);
+        for node in 0..3 {
+            sim.crash(node, 1);
+        }
+        sim.run(2000);
+        sim
+    };
+    check_family("versions", play, start);
+}
+
+fn play_roles(run: &mut Run) {
+    run.submit_some(3);
+    run.pause(500, 5000);
+    run.sim.orders = match run.rng.random_range(0..4) {
+        0 => CloudOrders::Unanswered,
+        1 => CloudOrders::Late(4000),
+        2 => CloudOrders::Trouble,
+        _ => CloudOrders::Answered,
+    };
+    run.pause(500, 5000);
+    run.crash_leader();
+    run.pause(500, 9000);
+    run.sim.orders = CloudOrders::Answered;
+    run.submit_some(1);
+    run.pause(9000, 30_000);
+}
+
+#[test]
+fn messages_of_duties_fenced_by_booking() {
+    let start = || Sim::with_duties(DutyFence::Booking);
+    check_family("duties-booking", play_roles, start);
+}
+
+#[test]
+fn messages_of_duties_fenced_by_token() {
+    let start = || Sim::with_duties(DutyFence::ProviderToken);
+    check_family("duties-token", play_roles, start);
+}
