--- a/crates/duty-lease/src/assignment.rs
+++ b/crates/duty-lease/src/assignment.rs
@@ -31,7 +31,7 @@
 pub fn assign(
     duties: &[Duty],
     live: &[LiveMember],
-    present: &BTreeMap<Duty, String>,
+    current_holders: &BTreeMap<Duty, String>,
     rules: &AssignmentRules,
 ) -> BTreeMap<Duty, String> {
     let mut assigned = BTreeMap::new();
@@ -42,7 +42,7 @@
     // What is pinned, and what stays, is counted before anything is moved.
     for duty in duties {
         let pinned = rules.pinned.get(duty);
-        let wanted = [pinned, present.get(duty)].into_iter().flatten();
+        let wanted = [pinned, current_holders.get(duty)].into_iter().flatten();
         let stays = wanted
             .map(String::as_str)
             .find(|name| loads.contains_key(name));
--- a/crates/duty-lease/src/lease.rs
+++ b/crates/duty-lease/src/lease.rs
@@ -13,7 +13,7 @@
     pub token: Token,
 }
 
-/// What the state service holds for a duty, as of one read.
+/// What the store holds for a duty, as of one read.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct LeaseView {
     /// The lease key; `None` if nobody holds the duty.
@@ -27,7 +27,7 @@
     pub token_version: u64,
 }
 
-/// A request to the state service.
+/// A request to the store.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum LeaseRequest {
     /// Read what it holds for the duty.
@@ -169,13 +169,13 @@
     /// The highest token that was seen. A view with a lower one is out of date.
     highest_token: Token,
     /// It stands for the duty.
-    wanted: bool,
+    is_candidate: bool,
     in_flight: Option<InFlight>,
     next_id: u64,
     next_request_at: u64,
     /// Others are to try first until then.
     standby_until: u64,
-    last_seen: Option<u64>,
+    last_checked_at: Option<u64>,
     events: Vec<LeaseEvent>,
 }
 
@@ -188,12 +188,12 @@
             state: State::Following,
             view: None,
             highest_token: 0,
-            wanted: true,
+            is_candidate: true,
             in_flight: None,
             next_id: 1,
             next_request_at: 0,
             standby_until: 0,
-            last_seen: None,
+            last_checked_at: None,
             events: vec![],
         }
     }
@@ -222,7 +222,7 @@
     /// The token under which an order may be given now. To be asked right before each
     /// order, with the clock read anew.
     pub fn order_token(&mut self, now: u64) -> Option<Token> {
-        self.look_at_clock(now);
+        self.check_clock(now);
         let window_ms = self.timing.order_window_ms();
         let holding = self.holding()?;
         let confirmed = holding.suspended_at.is_none();
@@ -245,25 +245,27 @@
     }
 
     /// Whether this controller stands for the duty. One that holds it releases it if not.
-    pub fn set_wanted(&mut self, wanted: bool) {
-        self.wanted = wanted;
+    pub fn set_candidate(&mut self, is_candidate: bool) {
+        self.is_candidate = is_candidate;
     }
 
     /// After a pause, and after a clock that went back, the lease has to be confirmed
     /// before the next order: the time that has passed is not known.
-    fn look_at_clock(&mut self, now: u64) {
-        let last_seen = self.last_seen.replace(now);
-        let Some(last_seen) = last_seen else { return };
-        if now < last_seen {
-            self.forget_times(now);
+    fn check_clock(&mut self, now: u64) {
+        let last_checked_at = self.last_checked_at.replace(now);
+        let Some(last_checked_at) = last_checked_at else {
+            return;
+        };
+        if now < last_checked_at {
+            self.clamp_timestamps(now);
             self.suspend(now, SuspensionReason::ClockWentBack);
-        } else if now - last_seen > self.timing.pause_ms() {
+        } else if now - last_checked_at > self.timing.pause_ms() {
             self.suspend(now, SuspensionReason::Paused);
         }
     }
 
     /// Times of a clock that went back mean nothing any more.
-    fn forget_times(&mut self, now: u64) {
+    fn clamp_timestamps(&mut self, now: u64) {
         self.next_request_at = self.next_request_at.min(now);
         self.standby_until = self.standby_until.min(now);
         if let Some(in_flight) = &mut self.in_flight {
@@ -285,7 +287,7 @@
     /// Does what has come due. Returns a request with its number, by which the response
     /// comes back.
     pub fn tick(&mut self, now: u64) -> Option<(u64, LeaseRequest)> {
-        self.look_at_clock(now);
+        self.check_clock(now);
         self.expire_request(now);
         if self.in_flight.is_some() || now < self.next_request_at {
             return None;
@@ -326,7 +328,7 @@
                 })
             }
             State::Unknown { .. } => Some(LeaseRequest::Read),
-            State::Holding(holding) if self.wanted => Some(LeaseRequest::Renew {
+            State::Holding(holding) if self.is_candidate => Some(LeaseRequest::Renew {
                 grant: holding.grant,
             }),
             State::Holding(holding) => {
@@ -342,8 +344,8 @@
     /// Looks at the lease again and again, and stands for it when it is free, or of an
     /// earlier process with this name.
     fn next_request_following(&mut self, now: u64) -> Option<LeaseRequest> {
-        let stands = self.wanted && now >= self.standby_until;
-        if stands && self.is_free() {
+        let may_campaign = self.is_candidate && now >= self.standby_until;
+        if may_campaign && self.is_free() {
             self.state = State::Granting;
             return Some(LeaseRequest::CreateGrant {
                 ttl_ms: self.timing.ttl_ms,
@@ -353,7 +355,7 @@
     }
 
     /// Takes in a view. False if it is out of date.
-    fn take_view(&mut self, view: &LeaseView) -> bool {
+    fn accept_view(&mut self, view: &LeaseView) -> bool {
         if view.token < self.highest_token {
             return false;
         }
@@ -380,12 +382,12 @@
 
     /// Takes in the response to a request. One that comes late, or again, changes nothing.
     pub fn on_response(&mut self, id: u64, response: LeaseResponse, now: u64) {
-        self.look_at_clock(now);
+        self.check_clock(now);
         let Some(in_flight) = self.in_flight.take_if(|in_flight| in_flight.id == id) else {
             return;
         };
         let response = match response {
-            LeaseResponse::View(view) if !self.take_view(&view) => LeaseResponse::Refused,
+            LeaseResponse::View(view) if !self.accept_view(&view) => LeaseResponse::Refused,
             response => response,
         };
         let soon = now + self.timing.retry_ms();
@@ -512,11 +514,11 @@
         self.holding().is_some_and(|h| h.suspended_at.is_some())
     }
 
-    /// What the state service holds, as a watch tells. It may be older than what is known.
+    /// What the store holds, as a watch tells. It may be older than what is known.
     pub fn on_view(&mut self, view: &LeaseView, now: u64) {
-        self.look_at_clock(now);
+        self.check_clock(now);
         if let Some(version) = self.holder_version() {
-            if self.take_view(view) && view.holder_version != version {
+            if self.accept_view(view) && view.holder_version != version {
                 self.lose(LossReason::Replaced, now);
             }
             return;
@@ -524,7 +526,7 @@
         // What an election was begun on stays: with a newer view it could take the key from
         // a holder.
         let follows = self.state == State::Following;
-        if follows && self.take_view(view) && self.is_free() {
+        if follows && self.accept_view(view) && self.is_free() {
             self.next_request_at = self.next_request_at.min(now);
         }
     }
--- a/crates/duty-lease/src/lib.rs
+++ b/crates/duty-lease/src/lib.rs
@@ -1,7 +1,7 @@
 //! Duties that exactly one controller has at a time, under fenced leases.
 //!
 //! A *duty* is work on something that all controllers share, such as renting machines or
-//! returning them. Its holder has a lease: a key in the state service that lives as long as
+//! returning them. Its holder has a lease: a key in the store that lives as long as
 //! the holder renews its grant. Each change of hands raises the duty's *fencing token*,
 //! which is kept apart from the lease and never goes back.
 //!
--- a/crates/duty-lease/src/order_book.rs
+++ b/crates/duty-lease/src/order_book.rs
@@ -129,7 +129,7 @@
 }
 
 #[derive(Debug, Clone, Copy)]
-struct Tenure {
+struct HeldLease {
     token: Token,
     guard: WriteGuard,
 }
@@ -139,7 +139,7 @@
 pub struct OrderBook {
     duty: Duty,
     timing: LeaseTiming,
-    tenure: Option<Tenure>,
+    held_lease: Option<HeldLease>,
     next_sequence: u64,
     entries: BTreeMap<OrderId, Entry>,
 }
@@ -150,7 +150,7 @@
         OrderBook {
             duty,
             timing,
-            tenure: None,
+            held_lease: None,
             next_sequence: 1,
             entries: BTreeMap::new(),
         }
@@ -158,14 +158,14 @@
 
     /// The duty is ours under this token.
     pub fn on_gained(&mut self, token: Token, guard: WriteGuard) {
-        self.tenure = Some(Tenure { token, guard });
+        self.held_lease = Some(HeldLease { token, guard });
         self.next_sequence = 1;
         self.entries.clear();
     }
 
     /// The duty is not ours any more. What was begun is on record for the next holder.
     pub fn on_lost(&mut self) {
-        self.tenure = None;
+        self.held_lease = None;
         self.entries.clear();
     }
 
@@ -174,24 +174,26 @@
         self.entries.len()
     }
 
-    /// Takes in what the state service holds for the duty, as of one read: open intents,
+    /// Takes in what the store holds for the duty, as of one read: open intents,
     /// of earlier holders too, and needs.
     pub fn on_view(&mut self, intents: &[Intent], requests: &[ScalingRequest]) {
-        let Some(tenure) = self.tenure else { return };
+        let Some(held_lease) = self.held_lease else {
+            return;
+        };
         for intent in intents {
-            self.take_up(intent);
+            self.resume(intent);
         }
         for request in requests {
             if self.entries.len() >= IN_PROGRESS_MAX {
                 break;
             }
             if !self.is_being_satisfied(request) {
-                self.begin(request, tenure);
+                self.begin(request, held_lease);
             }
         }
     }
 
-    fn take_up(&mut self, intent: &Intent) {
+    fn resume(&mut self, intent: &Intent) {
         let entry = self.entries.entry(intent.id);
         let entry = entry.or_insert_with(|| Entry::new(intent.clone(), Step::Send));
         if matches!(entry.step, Step::Record { .. }) {
@@ -210,10 +212,10 @@
         self.entries.values().any(meets)
     }
 
-    fn begin(&mut self, request: &ScalingRequest, tenure: Tenure) {
+    fn begin(&mut self, request: &ScalingRequest, held_lease: HeldLease) {
         let id = OrderId {
             duty: self.duty,
-            token: tenure.token,
+            token: held_lease.token,
             sequence: self.next_sequence,
         };
         self.next_sequence += 1;
@@ -232,7 +234,7 @@
     /// Requests that have come due. `order_token`: the token under which orders may be
     /// given at this very moment, see [`crate::DutyLease::order_token`].
     pub fn tick(&mut self, order_token: Option<Token>, now: u64) -> Vec<OrderRequest> {
-        let Some(tenure) = self.tenure else {
+        let Some(held_lease) = self.held_lease else {
             return vec![];
         };
         let timeout_ms = self.timing.ttl_ms;
@@ -245,18 +247,18 @@
                 Step::Record { request } => OrderRequest::Record {
                     intent: entry.intent.clone(),
                     request: request.clone(),
-                    guard: tenure.guard,
+                    guard: held_lease.guard,
                 },
-                Step::Send if order_token == Some(tenure.token) => OrderRequest::Send {
+                Step::Send if order_token == Some(held_lease.token) => OrderRequest::Send {
                     id: entry.intent.id,
                     order: entry.intent.order.clone(),
-                    token: tenure.token,
+                    token: held_lease.token,
                 },
                 Step::Send => continue,
                 Step::Complete { result } => OrderRequest::Complete {
                     intent: entry.intent.clone(),
                     result: result.clone(),
-                    guard: tenure.guard,
+                    guard: held_lease.guard,
                 },
             };
             entry.sent_at = Some(now);
--- a/crates/duty-lease/src/timing.rs
+++ b/crates/duty-lease/src/timing.rs
@@ -4,9 +4,9 @@
 
 /// How far two steady clocks may drift apart, as a share of the time that passes.
 pub const DRIFT: f64 = 0.0005;
-/// Shortest life that the state service gives a grant.
+/// Shortest life that the store gives a grant.
 const TTL_MIN_MS: u64 = 100;
-/// Longest life that the state service gives a grant.
+/// Longest life that the store gives a grant.
 const TTL_MAX_MS: u64 = 600_000;
 
 /// The times of a lease.
@@ -25,7 +25,7 @@
 /// Why a timing can't be used.
 #[derive(Debug, Clone, PartialEq, Error)]
 pub enum TimingError {
-    /// The state service gives no grant of such a life.
+    /// The store gives no grant of such a life.
     #[error("life_ms: must be from {TTL_MIN_MS} to {TTL_MAX_MS}, not {0}")]
     Ttl(u64),
     /// Not a share that leaves time for orders.
@@ -67,7 +67,7 @@
 
     /// For how long orders may be given, from the moment in which the last confirmed
     /// renewal was sent, on the holder's own clock. That clock may be slow against the
-    /// state service's.
+    /// store's.
     pub fn order_window_ms(&self) -> u64 {
         let safe_ttl_ms = self.ttl_ms as f64 * (1.0 - DRIFT);
         (safe_ttl_ms - self.ttl_ms as f64 * self.safety_share).max(0.0) as u64
@@ -78,7 +78,7 @@
         self.ttl_ms / 4
     }
 
-    /// How long an answer of the state service is waited for.
+    /// How long an answer of the store is waited for.
     pub fn answer_timeout_ms(&self) -> u64 {
         self.ttl_ms / 4
     }
--- a/crates/duty-lease/tests/simulation/store.rs
+++ b/crates/duty-lease/tests/simulation/store.rs
@@ -1,4 +1,4 @@
-//! A stand-in of the state service.
+//! A stand-in of the store.
 
 use std::collections::BTreeMap;
 
--- a/examples/size.rs
+++ b/examples/size.rs
@@ -14,9 +14,9 @@
 
 use gaugesill::job::{JobRecord, JobSpec, Priority, Shape};
 use gaugesill::plan::{self, Snapshot};
-use gaugesill::replica::{LiveJob, Replica};
 use gaugesill::scheduler::{Effect, Scheduler, StatusOrigin};
 use gaugesill::settings::ClusterSettings;
+use gaugesill::watch_cache::{LiveJob, WatchCache};
 use gaugesill::wire::{self, AgentStatus, ListedMachine, TaskStatus};
 use gaugesill::write_queue::CommitResult;
 
@@ -82,7 +82,7 @@
 impl Fleet {
     fn new(machines: usize) -> Fleet {
         let cluster = support::cluster(r#"[{"name":"t"}]"#, "[]", "8.0");
-        let scheduler = support::control_from(&cluster, 1, &Replica::default(), 1);
+        let scheduler = support::control_from(&cluster, 1, &WatchCache::default(), 1);
         Fleet {
             machines,
             cluster,
@@ -298,10 +298,10 @@
 
     /// A successor has the records, the list and a round of reports.
     fn succeed(&mut self) {
-        let mut replica = Replica::default();
-        replica.jobs.extend(std::mem::take(&mut self.records));
+        let mut watch_cache = WatchCache::default();
+        watch_cache.jobs.extend(std::mem::take(&mut self.records));
         let successor = timed("a successor's state from the records", 1, || {
-            support::control_from(&self.cluster, 2, &replica, self.now)
+            support::control_from(&self.cluster, 2, &watch_cache, self.now)
         });
         let predecessor = std::mem::replace(&mut self.scheduler, successor);
         let listed = self.listed();
--- a/src/node/calls.rs
+++ b/src/controller/calls.rs
@@ -8,15 +8,15 @@
 use tracing::warn;
 
 use super::duties::SentOrder;
-use super::{EventTime, Node};
+use super::{Controller, EventTime};
 use crate::leader_lease::LeaseRequest;
-use crate::mesh::{ForwardedReply, PeerStatus};
 use crate::net::{Action, Outcome};
+use crate::peer_protocol::{ForwardedReply, PeerStatus};
 use crate::scheduler::{DirectStart, ProvisioningOutcome, StatusOrigin};
 use crate::wire;
 
-/// Longest time for a call to the state service that is not told otherwise.
-pub(super) const STATE_TIMEOUT_MS: u64 = 1500;
+/// Longest time for a call to the store that is not told otherwise.
+pub(super) const STORE_TIMEOUT_MS: u64 = 1500;
 /// The same for a read of a single key.
 pub(super) const READ_TIMEOUT_MS: u64 = 1000;
 
@@ -95,12 +95,12 @@
         }
     }
 
-    /// A read of a single key of the state service.
+    /// A read of a single key of the store.
     pub fn get_key(key: &str) -> HttpCall {
         HttpCall::get(format!("/kv/{key}"), READ_TIMEOUT_MS)
     }
 
-    /// Asks the state service for a grant.
+    /// Asks the store for a grant.
     pub fn create_grant(ttl_ms: u64, timeout_ms: u64) -> HttpCall {
         let body = wire::encode(&wire::GrantRequest { ttl_ms });
         HttpCall::post("/grants", body, timeout_ms)
@@ -132,7 +132,7 @@
 }
 
 impl PendingCall {
-    fn is_to_state_service(&self) -> bool {
+    fn is_store_call(&self) -> bool {
         matches!(
             self,
             PendingCall::LoadLeadership
@@ -150,7 +150,7 @@
     }
 }
 
-impl Node {
+impl Controller {
     pub(super) fn call(&mut self, pending: PendingCall, address: SocketAddr, call: HttpCall) {
         self.stats.count_call(&pending);
         let tag = self.next_tag;
@@ -166,7 +166,7 @@
         });
     }
 
-    pub(super) fn call_state_service(&mut self, pending: PendingCall, call: HttpCall) {
+    pub(super) fn call_store(&mut self, pending: PendingCall, call: HttpCall) {
         self.call(pending, self.settings.endpoints.state, call);
     }
 
@@ -179,33 +179,33 @@
         loop {
             let now = self.now.steady;
             let tag = self.next_tag;
-            let next = self.writes.next(now, tag, &mut self.state_requests);
+            let next = self.writes.next(now, tag, &mut self.store_requests);
             let Some(transaction) = next else {
                 break;
             };
             let body = wire::encode(&transaction);
-            let call = HttpCall::post("/txn", body, STATE_TIMEOUT_MS);
-            self.call_state_service(PendingCall::Transaction, call);
+            let call = HttpCall::post("/txn", body, STORE_TIMEOUT_MS);
+            self.call_store(PendingCall::Transaction, call);
         }
     }
 
     pub(super) fn on_reply(&mut self, tag: u64, call: PendingCall, outcome: Outcome) {
-        if call.is_to_state_service() {
-            self.note_state_outcome(&outcome);
+        if call.is_store_call() {
+            self.record_store_outcome(&outcome);
         }
         match call {
             PendingCall::LoadLeadership => self.on_leadership_page(&outcome),
             PendingCall::LoadJobs => self.on_jobs_page(&outcome),
             PendingCall::Watch { from, asked } => {
-                self.replication.watching = false;
+                self.store_sync.watching = false;
                 self.on_changes(&outcome, from, asked, false);
             }
             PendingCall::ReadChanges { from, asked } => {
-                self.replication.reading = false;
+                self.store_sync.reading = false;
                 self.on_changes(&outcome, from, asked, true);
             }
             PendingCall::Transaction => {
-                self.note_refused_write(&outcome);
+                self.on_store_refusal(&outcome);
                 for (owner, result) in self.writes.on_outcome(tag, &outcome) {
                     self.on_commit(owner, result);
                 }
@@ -224,7 +224,7 @@
                 is_final,
             } => self.on_dependency_read(user, dependency, is_final, &outcome),
             PendingCall::LookUpDependency { dependency } => {
-                self.on_dependency_looked_up(&dependency, &outcome);
+                self.on_dependency_lookup(&dependency, &outcome);
             }
             PendingCall::MachineTypes => self.on_machine_types(&outcome),
             PendingCall::MachineList { started_at, epoch } => {
--- a/src/node/cloud_sync.rs
+++ b/src/controller/cloud_inventory.rs
@@ -5,8 +5,8 @@
 use tracing::error;
 
 use super::calls::{HttpCall, PendingCall};
-use super::list_reader::PageResult;
-use super::Node;
+use super::machine_list_reader::PageResult;
+use super::Controller;
 use crate::net::Outcome;
 use crate::time_units::to_ms;
 use crate::wire;
@@ -27,7 +27,7 @@
 const TYPES_RESERVE: f64 = 0.2;
 const LIST_RESERVE: f64 = 0.3;
 
-impl Node {
+impl Controller {
     pub(super) fn machine_types_tick(&mut self) {
         let now = self.now.steady;
         if now < self.next_machine_types_at {
--- a/src/node/dependencies.rs
+++ b/src/controller/dependencies.rs
@@ -5,11 +5,11 @@
 
 use super::calls::{HttpCall, PendingCall};
 use super::user_types::{RequestStage, UserRequest};
-use super::Node;
+use super::Controller;
 use crate::dependencies::{DependencyEvent, DependencyState};
 use crate::job::FinalState;
 use crate::net::Outcome;
-use crate::replica::{final_key, job_key};
+use crate::watch_cache::{final_key, job_key};
 use crate::wire;
 
 /// How many jobs are looked up at a time.
@@ -26,11 +26,11 @@
     next_at: u64,
 }
 
-impl Node {
+impl Controller {
     /// Tells the scheduler what changes of the watch cache mean for jobs with dependencies.
-    pub(super) fn pass_dependency_events(&mut self) {
+    pub(super) fn forward_dependency_events(&mut self) {
         let now = self.now;
-        for event in self.replica.take_dependency_events() {
+        for event in self.watch_cache.take_dependency_events() {
             let Some(scheduler) = &mut self.scheduler else {
                 continue;
             };
@@ -44,7 +44,7 @@
     /// Accepts a new job if all that it names is known to have been accepted; else looks
     /// for the first of the others. Another controller may have accepted it a moment ago,
     /// so its record is read, and then, if it is not alive, how it ended.
-    pub(super) fn create_or_find_dependencies(&mut self, user: u64) {
+    pub(super) fn resolve_dependencies(&mut self, user: u64) {
         let Some(pending) = self.users.get(&user) else {
             return;
         };
@@ -52,7 +52,7 @@
             return;
         };
         let is_unknown = |id: &&String| {
-            self.replica.dependency_state(id) == DependencyState::Unknown
+            self.watch_cache.dependency_state(id) == DependencyState::Unknown
                 && !pending.found_dependencies.contains(id)
         };
         let has_dependencies = !spec.dependencies.is_empty();
@@ -62,7 +62,7 @@
             return self.read_dependency(user, dependency, false);
         }
         if has_dependencies {
-            self.raise_format("a submission names dependencies");
+            self.confirm_packed_format("a submission names dependencies");
         }
         self.create_job(user);
     }
@@ -78,7 +78,7 @@
             dependency,
             is_final,
         };
-        self.call_state_service(pending, HttpCall::get_key(&key));
+        self.call_store(pending, HttpCall::get_key(&key));
     }
 
     pub(super) fn on_dependency_read(
@@ -96,7 +96,7 @@
                 if let Some(pending) = self.users.get_mut(&user) {
                     pending.found_dependencies.push(dependency);
                 }
-                self.create_or_find_dependencies(user);
+                self.resolve_dependencies(user);
             }
             Outcome::Answer { status: 404, .. } if !is_final => {
                 self.read_dependency(user, dependency, true);
@@ -105,7 +105,7 @@
                 let after = self.event_count;
                 if let Some(pending) = self.users.get_mut(&user) {
                     pending.names_unknown_job = true;
-                    pending.stage = RequestStage::Replica { after, revision: 0 };
+                    pending.stage = RequestStage::AwaitCache { after, revision: 0 };
                 }
             }
             _ => self.forward_user(user),
@@ -115,28 +115,28 @@
     /// Looks up how jobs ended that live ones depend on.
     pub(super) fn lookup_tick(&mut self) {
         let now = self.now.steady;
-        if !self.replica.loaded || now < self.lookups.next_at {
+        if !self.watch_cache.loaded || now < self.lookups.next_at {
             return;
         }
         let in_flight = &self.lookups.in_flight;
-        let unresolved = self.replica.dependencies.unresolved().iter();
+        let unresolved = self.watch_cache.dependencies.unresolved().iter();
         let due: Vec<String> = unresolved
             .filter(|id| !in_flight.contains(*id))
             .take(LOOKUPS_MAX.saturating_sub(in_flight.len()))
             .cloned()
             .collect();
         for dependency in due {
-            if !self.state_requests.try_take(now, 1.0, LOOKUP_RESERVE) {
+            if !self.store_requests.try_take(now, 1.0, LOOKUP_RESERVE) {
                 return;
             }
             self.lookups.in_flight.insert(dependency.clone());
             let call = HttpCall::get_key(&final_key(&dependency));
             let pending = PendingCall::LookUpDependency { dependency };
-            self.call_state_service(pending, call);
+            self.call_store(pending, call);
         }
     }
 
-    pub(super) fn on_dependency_looked_up(&mut self, dependency: &str, outcome: &Outcome) {
+    pub(super) fn on_dependency_lookup(&mut self, dependency: &str, outcome: &Outcome) {
         self.lookups.in_flight.remove(dependency);
         match outcome {
             Outcome::Answer { status: 200, body } => {
@@ -150,8 +150,8 @@
     /// Takes in how a job ended. `None` if the answer can't be read.
     pub(super) fn record_final_reply(&mut self, id: &str, body: &[u8]) -> Option<FinalState> {
         let state = wire::final_state_reply(body)?;
-        self.replica.record_final(id, state);
-        self.pass_dependency_events();
+        self.watch_cache.record_final(id, state);
+        self.forward_dependency_events();
         Some(state)
     }
 }
--- a/src/node/duties/placement.rs
+++ b/src/controller/duties/assignment.rs
@@ -5,7 +5,7 @@
 use duty_lease::{assign, AssignmentRules, Duty, LiveMember};
 use tracing::{debug, warn};
 
-use super::Node;
+use super::Controller;
 use crate::duties::DUTIES_FORMAT;
 
 /// How often it is decided anew, as a share of a lease's life.
@@ -16,47 +16,47 @@
 
 /// What is known of the live controllers and of duties that nobody holds.
 #[derive(Debug, Default)]
-pub(super) struct Placement {
+pub(super) struct DutyAssignment {
     next_at: u64,
     /// Since when each live controller has been heard without a gap.
     live_since: BTreeMap<String, u64>,
     /// Since when a duty has had no holder.
-    free_since: BTreeMap<Duty, u64>,
+    unheld_since: BTreeMap<Duty, u64>,
 }
 
-impl Node {
+impl Controller {
     /// Decides which duties this controller stands for.
-    pub(super) fn place_duties(&mut self) {
+    pub(super) fn assign_duties(&mut self) {
         let now = self.now.steady;
         let live = self.duty_candidates();
         let present: BTreeMap<Duty, String> = Duty::ALL
             .into_iter()
-            .filter_map(|duty| Some((duty, self.replica.duties.holder(duty)?.member.clone())))
+            .filter_map(|duty| Some((duty, self.watch_cache.duties.holder(duty)?.member.clone())))
             .collect();
         let member = self.settings.member.clone();
         let Some(control) = &mut self.duties.control else {
             return;
         };
-        if now < control.placement.next_at {
+        if now < control.assignment.next_at {
             return;
         }
         let ttl_ms = control.timing.ttl_ms;
-        control.placement.next_at = now + (ttl_ms as f64 * INTERVAL_SHARE) as u64;
-        let live = control.placement.update_live(live, now);
+        control.assignment.next_at = now + (ttl_ms as f64 * INTERVAL_SHARE) as u64;
+        let live = control.assignment.update_live(live, now);
         let rules = AssignmentRules {
             settle_ms: ttl_ms,
             pinned: control.settings.holders.clone(),
         };
         let assigned = assign(&Duty::ALL, &live, &present, &rules);
         for duty in Duty::ALL {
-            let placement = &mut control.placement;
-            let free_ms = placement.free_for_ms(duty, present.contains_key(&duty), now);
-            let nobody_takes_it = free_ms > UNHELD_TTLS * ttl_ms;
+            let assignment = &mut control.assignment;
+            let unheld_ms = assignment.unheld_for_ms(duty, present.contains_key(&duty), now);
+            let is_unclaimed = unheld_ms > UNHELD_TTLS * ttl_ms;
             let is_assigned = assigned.get(&duty) == Some(&member);
-            let Some(part) = control.parts.get_mut(&duty) else {
+            let Some(runtime) = control.runtimes.get_mut(&duty) else {
                 continue;
             };
-            part.lease.set_wanted(is_assigned || nobody_takes_it);
+            runtime.lease.set_candidate(is_assigned || is_unclaimed);
             if is_assigned && present.get(&duty).is_some_and(|name| *name != member) {
                 debug!(
                     duty = duty.name(),
@@ -67,14 +67,14 @@
     }
 
     /// Controllers that can hold duties as far as is known here. This one is always among
-    /// them: if it can't reach the state service, what it holds ends by itself, and in an
+    /// them: if it can't reach the store, what it holds ends by itself, and in an
     /// outage it must not be given up.
     fn duty_candidates(&self) -> Vec<String> {
         let mut names = vec![self.settings.member.clone()];
         for peer in &self.settings.peers {
             let status = self.recent_status(&peer.member);
             let can_hold =
-                status.is_some_and(|s| s.state_reachable && s.known_format >= DUTIES_FORMAT);
+                status.is_some_and(|s| s.store_reachable && s.known_format >= DUTIES_FORMAT);
             if can_hold {
                 names.push(peer.member.clone());
             }
@@ -93,23 +93,23 @@
         let settings = self.operator.duties.clone().unwrap_or_default();
         let bound_ms = UNHELD_TTLS * settings.timing(lease_s).ttl_ms;
         for duty in Duty::ALL {
-            let is_held = self.replica.duties.holder(duty).is_some();
-            let waiting = self.replica.duties.orders_of(duty).count();
-            if let Some(free_ms) = self
+            let is_held = self.watch_cache.duties.holder(duty).is_some();
+            let waiting = self.watch_cache.duties.orders_of(duty).count();
+            if let Some(unheld_ms) = self
                 .duties
                 .requests
                 .newly_unheld_for(duty, is_held, bound_ms, now)
             {
                 warn!(
                     duty = duty.name(),
-                    "no controller has held the duty for {free_ms} ms: {waiting} orders wait"
+                    "no controller has held the duty for {unheld_ms} ms: {waiting} orders wait"
                 );
             }
         }
     }
 }
 
-impl Placement {
+impl DutyAssignment {
     fn update_live(&mut self, names: Vec<String>, now: u64) -> Vec<LiveMember> {
         self.live_since.retain(|name, _| names.contains(name));
         let members = names.into_iter().map(|name| {
@@ -122,12 +122,12 @@
         members.collect()
     }
 
-    fn free_for_ms(&mut self, duty: Duty, is_held: bool, now: u64) -> u64 {
+    fn unheld_for_ms(&mut self, duty: Duty, is_held: bool, now: u64) -> u64 {
         if is_held {
-            self.free_since.remove(&duty);
+            self.unheld_since.remove(&duty);
             return 0;
         }
-        let since = *self.free_since.entry(duty).or_insert(now);
+        let since = *self.unheld_since.entry(duty).or_insert(now);
         now.saturating_sub(since)
     }
 }
--- a/src/node/duties/cleaning.rs
+++ b/src/controller/duties/cleaning.rs
@@ -7,7 +7,7 @@
 use duty_lease::{Duty, Order};
 use tracing::info;
 
-use super::{DutyWrite, Node, WritePurpose};
+use super::{Controller, DutyWrite, WritePurpose};
 use crate::duties::{OrderKey, OrderPhase, OrderRecord};
 use crate::time_units::to_ms;
 
@@ -61,15 +61,15 @@
     }
 }
 
-impl Node {
+impl Controller {
     /// Removes what is due, one record at a time.
     pub(super) fn clean_records(&mut self) {
         let now = self.now.steady;
-        if !self.may_order(Duty::CleanState) {
+        if !self.may_send_orders(Duty::CleanState) {
             return;
         }
         let unchanged_s = self.settings.cluster.workers.lease_s * UNCHANGED_LEASES;
-        let orders = self.replica.duties.orders();
+        let orders = self.watch_cache.duties.orders();
         let removable = orders.filter(|(_, record, _)| is_removable(record));
         let removable: Vec<(OrderKey, u64)> = removable
             .map(|(key, _, version)| (key.clone(), version))
--- a/src/node/duties/leases.rs
+++ b/src/controller/duties/leases.rs
@@ -1,4 +1,4 @@
-//! The leases of duties: requests to the state service, and changes of hands.
+//! The leases of duties: requests to the store, and changes of hands.
 
 use duty_lease::{
     Duty, HolderKey, LeaseEvent, LeaseRequest, LeaseResponse, LeaseView, SuspensionReason,
@@ -6,48 +6,52 @@
 };
 use tracing::{debug, info, warn};
 
-use super::Node;
+use super::Controller;
+use crate::controller::calls::{HttpCall, PendingCall};
 use crate::duties::{
     holder_key, token_key, DutyRecords, StoredHolder, DUTIES_PREFIX, LEASES_PREFIX,
 };
 use crate::net::Outcome;
-use crate::node::calls::{HttpCall, PendingCall};
 use crate::wire::{self, Condition, Transaction, Write};
 
 /// Keys of one lease.
 const LEASE_KEYS: usize = 10;
-/// Share of the requests to the state service that leases of duties leave to others.
+/// Share of the requests to the store that leases of duties leave to others.
 const LEASE_RESERVE: f64 = 0.1;
 
-impl Node {
+impl Controller {
     /// Takes the part of this controller in a duty's lease further.
     pub(super) fn run_lease(&mut self, duty: Duty) {
         let now = self.now.steady;
-        let generation = self.replica.duties.generation();
-        let Some(part) = self.duties.part(duty) else {
+        let generation = self.watch_cache.duties.generation();
+        let Some(runtime) = self.duties.runtime(duty) else {
             return;
         };
-        if part.lease_generation != Some(generation) {
-            part.lease_generation = Some(generation);
-            part.lease.on_view(&self.replica.duties.lease(duty), now);
+        if runtime.lease_generation != Some(generation) {
+            runtime.lease_generation = Some(generation);
+            runtime
+                .lease
+                .on_view(&self.watch_cache.duties.lease(duty), now);
         }
-        if let Some((id, request)) = part.lease.tick(now) {
+        if let Some((id, request)) = runtime.lease.tick(now) {
             // Who only follows learns all from the watch.
-            if request == LeaseRequest::Read && part.lease.is_following() {
-                let view = self.replica.duties.lease(duty);
-                part.lease.on_response(id, LeaseResponse::View(view), now);
+            if request == LeaseRequest::Read && runtime.lease.is_following() {
+                let view = self.watch_cache.duties.lease(duty);
+                runtime
+                    .lease
+                    .on_response(id, LeaseResponse::View(view), now);
             } else {
                 self.send_duty_lease_request(duty, id, request);
             }
         }
-        self.pass_lease_events(duty);
+        self.forward_lease_events(duty);
     }
 
     fn send_duty_lease_request(&mut self, duty: Duty, id: u64, request: LeaseRequest) {
         let now = self.now.steady;
-        if !self.state_requests.try_take(now, 1.0, LEASE_RESERVE) {
-            if let Some(part) = self.duties.part(duty) {
-                part.lease.on_response(id, LeaseResponse::Refused, now);
+        if !self.store_requests.try_take(now, 1.0, LEASE_RESERVE) {
+            if let Some(runtime) = self.duties.runtime(duty) {
+                runtime.lease.on_response(id, LeaseResponse::Refused, now);
             }
             return;
         }
@@ -80,10 +84,10 @@
             LeaseRequest::Release { grant } => HttpCall::end_grant(*grant, timeout_ms),
         };
         let pending = PendingCall::DutyLease { duty, id, request };
-        self.call_state_service(pending, call);
+        self.call_store(pending, call);
     }
 
-    pub(in crate::node) fn on_duty_lease_outcome(
+    pub(in crate::controller) fn on_duty_lease_outcome(
         &mut self,
         duty: Duty,
         id: u64,
@@ -95,30 +99,32 @@
         if let (LeaseRequest::Acquire { holder, .. }, LeaseResponse::Acquired { version }) =
             (request, &response)
         {
-            let duties = &mut self.replica.duties;
-            duties.acquired(duty, holder.clone(), *version);
+            let duties = &mut self.watch_cache.duties;
+            duties.apply_own_acquisition(duty, holder.clone(), *version);
         }
-        if let Some(part) = self.duties.part(duty) {
-            part.lease.on_response(id, response, now);
+        if let Some(runtime) = self.duties.runtime(duty) {
+            runtime.lease.on_response(id, response, now);
         }
-        self.pass_lease_events(duty);
+        self.forward_lease_events(duty);
     }
 
     /// Tells the order book and the log of changes of hands.
-    pub(super) fn pass_lease_events(&mut self, duty: Duty) {
+    pub(super) fn forward_lease_events(&mut self, duty: Duty) {
         let member = self.settings.member.clone();
-        let Some(part) = self.duties.part(duty) else {
+        let Some(runtime) = self.duties.runtime(duty) else {
             return;
         };
-        for event in part.lease.take_events() {
+        for event in runtime.lease.take_events() {
             match event {
                 LeaseEvent::Gained(token) => {
                     info!(duty = duty.name(), token, member, "the duty is held here");
-                    part.orders_generation = None;
-                    part.looked_at = None;
-                    part.deciding.clear();
-                    if let Some(holder_version) = part.lease.holder_version() {
-                        part.orders.on_gained(token, WriteGuard { holder_version });
+                    runtime.orders_generation = None;
+                    runtime.reviewed_at = None;
+                    runtime.decisions_in_flight.clear();
+                    if let Some(holder_version) = runtime.lease.holder_version() {
+                        runtime
+                            .orders
+                            .on_gained(token, WriteGuard { holder_version });
                     }
                 }
                 LeaseEvent::Lost(token, reason) => {
@@ -126,11 +132,11 @@
                         duty = duty.name(),
                         token, member, "the duty is lost: {reason:?}"
                     );
-                    part.orders.on_lost();
+                    runtime.orders.on_lost();
                 }
                 LeaseEvent::Released(token) => {
                     info!(duty = duty.name(), token, member, "the duty is given up");
-                    part.orders.on_lost();
+                    runtime.orders.on_lost();
                 }
                 LeaseEvent::Suspended(token, SuspensionReason::NotRenewedYet) => {
                     debug!(
--- a/src/node/duties/mod.rs
+++ b/src/controller/duties/mod.rs
@@ -5,10 +5,10 @@
 //! Nothing of this happens before all controllers have said that they can do it, and the
 //! format says so ([`DUTIES_FORMAT`]).
 
+mod assignment;
 mod cleaning;
 mod leases;
 mod orders;
-mod placement;
 mod request_review;
 mod scaling_requests;
 
@@ -17,16 +17,16 @@
 use duty_lease::{Duty, DutyLease, LeaseTiming, OrderBook, OrderId};
 use tracing::debug;
 
-use super::{Node, WriteOwner};
+use super::{Controller, WriteOwner};
 use crate::duties::{holder_key, order_key, OrderKey, OrderRecord, DUTIES_FORMAT};
 use crate::job::PACKED_FORMAT;
 use crate::settings::{ClusterSettings, DutySettings};
 use crate::wire::{Condition, Write};
 use crate::write_queue::{CommitResult, WriteClass, WriteRequest};
 
+use assignment::DutyAssignment;
 use cleaning::Cleaning;
 pub(super) use orders::SentOrder;
-use placement::Placement;
 use scaling_requests::LeaderRequests;
 
 /// Shares of the limit of calls to the cloud, once orders and the list are asked for by
@@ -68,7 +68,7 @@
     /// The order book: an order is completed.
     Complete(OrderId),
     /// The holder, which found that a need can't be met, or passes it on.
-    Decided,
+    RequestDecided,
     /// The holder of cleaning.
     Clean,
     /// Nobody: a refused order was noted.
@@ -77,16 +77,16 @@
 
 /// This controller's part in one duty.
 #[derive(Debug)]
-struct DutyPart {
+struct DutyRuntime {
     lease: DutyLease,
     orders: OrderBook,
     /// The records that the lease and the order book were last shown.
     lease_generation: Option<u64>,
     orders_generation: Option<u64>,
     /// As of when needs were last looked at: the records of duties, and the revision.
-    looked_at: Option<(u64, u64)>,
+    reviewed_at: Option<(u64, u64)>,
     /// Records whose change is on its way.
-    deciding: Vec<OrderKey>,
+    decisions_in_flight: Vec<OrderKey>,
 }
 
 /// This controller's part in all duties.
@@ -94,8 +94,8 @@
 pub(super) struct DutyControl {
     settings: DutySettings,
     timing: LeaseTiming,
-    parts: BTreeMap<Duty, DutyPart>,
-    placement: Placement,
+    runtimes: BTreeMap<Duty, DutyRuntime>,
+    assignment: DutyAssignment,
     cleaning: Cleaning,
 }
 
@@ -115,22 +115,22 @@
             let lease = || {
                 let mut lease = DutyLease::new(member, timing);
                 // Until it is known who else is there.
-                lease.set_wanted(false);
+                lease.set_candidate(false);
                 lease
             };
-            let part = |duty| DutyPart {
+            let runtime = |duty| DutyRuntime {
                 lease: lease(),
                 orders: OrderBook::new(duty, timing),
                 lease_generation: None,
                 orders_generation: None,
-                looked_at: None,
-                deciding: vec![],
+                reviewed_at: None,
+                decisions_in_flight: vec![],
             };
             DutyControl {
                 settings: settings.clone(),
                 timing,
-                parts: Duty::ALL.map(|duty| (duty, part(duty))).into(),
-                placement: Placement::default(),
+                runtimes: Duty::ALL.map(|duty| (duty, runtime(duty))).into(),
+                assignment: DutyAssignment::default(),
                 cleaning: Cleaning::new(settings.cleaning_per_s),
             }
         });
@@ -140,12 +140,12 @@
         }
     }
 
-    fn part(&mut self, duty: Duty) -> Option<&mut DutyPart> {
-        self.control.as_mut()?.parts.get_mut(&duty)
+    fn runtime(&mut self, duty: Duty) -> Option<&mut DutyRuntime> {
+        self.control.as_mut()?.runtimes.get_mut(&duty)
     }
 }
 
-impl Node {
+impl Controller {
     /// The latest format that this controller asks for and can keep to.
     pub(super) fn known_format(&self) -> u64 {
         if self.duties.control.is_some() {
@@ -157,15 +157,15 @@
 
     /// Whether duties have left the leader.
     pub(super) fn are_duties_active(&self) -> bool {
-        self.replica.format >= DUTIES_FORMAT && !self.is_outdated()
+        self.watch_cache.format >= DUTIES_FORMAT && !self.is_outdated()
     }
 
     /// Does what has come due; to be called often, as holders look at the clock here.
     pub(super) fn duties_tick(&mut self) {
-        if !self.are_duties_active() || !self.replica.loaded {
+        if !self.are_duties_active() || !self.watch_cache.loaded {
             return;
         }
-        self.place_duties();
+        self.assign_duties();
         self.warn_of_missing_holders();
         self.remove_processed_results();
         self.clean_records();
@@ -174,10 +174,10 @@
 
     /// Sends what has come due between ticks.
     pub(super) fn duties_flush(&mut self) {
-        if !self.are_duties_active() || !self.replica.loaded {
+        if !self.are_duties_active() || !self.watch_cache.loaded {
             return;
         }
-        self.pass_order_changes();
+        self.forward_order_changes();
         for duty in Duty::ALL {
             self.run_lease(duty);
             self.review_scaling_requests(duty);
@@ -188,15 +188,15 @@
     /// Whether this controller holds a duty, orders or not.
     fn holds(&self, duty: Duty) -> bool {
         let control = self.duties.control.as_ref();
-        let part = control.and_then(|control| control.parts.get(&duty));
-        part.is_some_and(|part| part.lease.token().is_some())
+        let runtime = control.and_then(|control| control.runtimes.get(&duty));
+        runtime.is_some_and(|runtime| runtime.lease.token().is_some())
     }
 
     /// Whether this controller may give orders of a duty at this very moment.
-    fn may_order(&mut self, duty: Duty) -> bool {
+    fn may_send_orders(&mut self, duty: Duty) -> bool {
         let now = self.now.steady;
-        let part = self.duties.part(duty);
-        part.is_some_and(|part| part.lease.order_token(now).is_some())
+        let runtime = self.duties.runtime(duty);
+        runtime.is_some_and(|runtime| runtime.lease.order_token(now).is_some())
     }
 
     fn set_cloud_share(&mut self) {
@@ -216,8 +216,8 @@
     /// Changes records on condition that the lease of a duty is ours, that each record has
     /// the version that is known of it, and that new ones do not exist.
     fn write_as_holder(&mut self, duty: Duty, write: DutyWrite) {
-        let part = self.duties.part(duty);
-        let Some(version) = part.and_then(|part| part.lease.holder_version()) else {
+        let runtime = self.duties.runtime(duty);
+        let Some(version) = runtime.and_then(|runtime| runtime.lease.holder_version()) else {
             return;
         };
         self.push_duty_write(Condition::new(holder_key(duty), version), write);
@@ -227,7 +227,7 @@
         let mut conditions = vec![entitled];
         let mut writes = Vec::new();
         for (key, record) in &write.changes {
-            let version = self.replica.duties.order(key).map_or(0, |(_, v)| v);
+            let version = self.watch_cache.duties.order(key).map_or(0, |(_, v)| v);
             let name = order_key(key);
             conditions.push(Condition::new(name.clone(), version));
             writes.push(match record {
@@ -247,8 +247,8 @@
     pub(super) fn on_duty_commit(&mut self, write: DutyWrite, result: &CommitResult) {
         if let CommitResult::Committed { revision } = result {
             for (key, record) in &write.changes {
-                let duties = &mut self.replica.duties;
-                duties.apply_own(key, record.clone(), *revision);
+                let duties = &mut self.watch_cache.duties;
+                duties.apply_own_write(key, record.clone(), *revision);
             }
         }
         if let CommitResult::Conflict { failed, .. } = result {
@@ -260,7 +260,7 @@
             }
             WritePurpose::Record(id) => self.on_order_recorded(id, result),
             WritePurpose::Complete(id) => self.on_order_completed(id, result),
-            WritePurpose::Decided => self.on_decided(&write.changes),
+            WritePurpose::RequestDecided => self.on_request_decided(&write.changes),
             WritePurpose::Clean => self.on_cleaned(&write.changes),
             WritePurpose::ResultProcessed => self.on_result_removed(&write.changes),
             WritePurpose::Refusal => {}
--- a/src/node/duties/orders.rs
+++ b/src/controller/duties/orders.rs
@@ -8,12 +8,12 @@
 use tracing::{error, info, warn};
 
 use super::request_review::is_conditional;
-use super::{DutyWrite, Node, WritePurpose};
+use super::{Controller, DutyWrite, WritePurpose};
+use crate::controller::calls::{HttpCall, PendingCall};
+use crate::controller::effects::CLOUD_TIMEOUT_MS;
+use crate::controller::WriteOwner;
 use crate::duties::{refusal_key, OrderKey, OrderPhase, OrderRecord, RefusalRecord};
 use crate::net::Outcome;
-use crate::node::calls::{HttpCall, PendingCall};
-use crate::node::effects::CLOUD_TIMEOUT_MS;
-use crate::node::WriteOwner;
 use crate::settings::DutyFence;
 use crate::wire::{self, FencingToken, ProvisionRequest, TerminateRequest, Write};
 use crate::write_queue::{CommitResult, WriteClass, WriteRequest};
@@ -26,42 +26,42 @@
 
 /// An order that went to the cloud.
 #[derive(Debug, Clone, Copy)]
-pub(in crate::node) struct SentOrder {
+pub(in crate::controller) struct SentOrder {
     id: OrderId,
     /// The sender's token.
     token: Token,
     is_provisioning: bool,
 }
 
-impl Node {
+impl Controller {
     /// Takes a holder's orders further.
     pub(super) fn run_orders(&mut self, duty: Duty) {
         if !matches!(duty, Duty::Rent | Duty::Return) || !self.holds(duty) {
             return;
         }
-        self.show_orders(duty);
+        self.sync_order_book(duty);
         let now = self.now.steady;
-        let Some(part) = self.duties.part(duty) else {
+        let Some(runtime) = self.duties.runtime(duty) else {
             return;
         };
-        let order_token = part.lease.order_token(now);
-        for request in part.orders.tick(order_token, now) {
-            self.carry_out_order_request(duty, request);
+        let order_token = runtime.lease.order_token(now);
+        for request in runtime.orders.tick(order_token, now) {
+            self.execute_order_request(duty, request);
         }
     }
 
     /// Shows the order book the records, if they have changed.
-    fn show_orders(&mut self, duty: Duty) {
-        let generation = self.replica.duties.generation();
-        let Some(part) = self.duties.part(duty) else {
+    fn sync_order_book(&mut self, duty: Duty) {
+        let generation = self.watch_cache.duties.generation();
+        let Some(runtime) = self.duties.runtime(duty) else {
             return;
         };
-        if part.orders_generation == Some(generation) {
+        if runtime.orders_generation == Some(generation) {
             return;
         }
-        part.orders_generation = Some(generation);
-        let intents = self.replica.duties.intents(duty);
-        let mut requests = self.replica.duties.requests(duty);
+        runtime.orders_generation = Some(generation);
+        let intents = self.watch_cache.duties.intents(duty);
+        let mut requests = self.watch_cache.duties.requests(duty);
         let all = requests.len();
         let occupied = if requests
             .iter()
@@ -72,16 +72,16 @@
             HashSet::new()
         };
         requests.retain(|request| self.may_satisfy(request, &occupied));
-        if let Some(part) = self.duties.part(duty) {
+        if let Some(runtime) = self.duties.runtime(duty) {
             if requests.len() < all {
                 // What was left out is looked at again, even if nothing else changes.
-                part.orders_generation = None;
+                runtime.orders_generation = None;
             }
-            part.orders.on_view(&intents, &requests);
+            runtime.orders.on_view(&intents, &requests);
         }
     }
 
-    fn carry_out_order_request(&mut self, duty: Duty, request: OrderRequest) {
+    fn execute_order_request(&mut self, duty: Duty, request: OrderRequest) {
         match request {
             OrderRequest::Record {
                 intent, request, ..
@@ -114,7 +114,7 @@
     /// Takes an order's record to its next phase.
     pub(super) fn write_phase(&mut self, purpose: WritePurpose, key: OrderKey, phase: OrderPhase) {
         let duty = key.duty;
-        let Some((record, _)) = self.replica.duties.order(&key) else {
+        let Some((record, _)) = self.watch_cache.duties.order(&key) else {
             // It has gone since: the order book learns of it as of a change that failed.
             return self.on_duty_commit(
                 DutyWrite {
@@ -123,7 +123,7 @@
                 },
                 &CommitResult::Conflict {
                     failed: vec![],
-                    revision: self.replica.revision,
+                    revision: self.watch_cache.revision,
                 },
             );
         };
@@ -182,7 +182,11 @@
     }
 
     /// The cloud has answered an order, or there was no answer.
-    pub(in crate::node) fn on_duty_order_reply(&mut self, sent: SentOrder, outcome: &Outcome) {
+    pub(in crate::controller) fn on_duty_order_reply(
+        &mut self,
+        sent: SentOrder,
+        outcome: &Outcome,
+    ) {
         let SentOrder {
             id,
             is_provisioning,
@@ -197,7 +201,7 @@
             }
             Outcome::Answer { status: 200, .. } => OrderOutcome::Done(OrderResult::Deleted),
             Outcome::Answer { status: 409, .. } => {
-                self.note_refusal(sent);
+                self.record_refusal(sent);
                 OrderOutcome::Fenced
             }
             Outcome::Answer { status: 503, body } if wire::is_no_capacity(body) => {
@@ -218,17 +222,17 @@
 
     fn on_order_outcome(&mut self, id: OrderId, outcome: OrderOutcome) {
         let now = self.now.steady;
-        let Some(part) = self.duties.part(id.duty) else {
+        let Some(runtime) = self.duties.runtime(id.duty) else {
             return;
         };
-        if part.orders.on_sent(id, outcome, now) {
-            part.lease.on_fenced(now);
-            self.pass_lease_events(id.duty);
+        if runtime.orders.on_sent(id, outcome, now) {
+            runtime.lease.on_fenced(now);
+            self.forward_lease_events(id.duty);
         }
     }
 
     /// Leaves on record that the provider refused an order, for operators.
-    fn note_refusal(&mut self, sent: SentOrder) {
+    fn record_refusal(&mut self, sent: SentOrder) {
         let SentOrder { id, token, .. } = sent;
         let member = self.settings.member.clone();
         warn!(duty = id.duty.name(), token, member, order = %id, "refused: a higher token was seen");
@@ -251,15 +255,15 @@
 
     pub(super) fn on_order_recorded(&mut self, id: OrderId, result: &CommitResult) {
         let now = self.now.steady;
-        if let Some(part) = self.duties.part(id.duty) {
-            part.orders.on_recorded(id, record_outcome(result), now);
+        if let Some(runtime) = self.duties.runtime(id.duty) {
+            runtime.orders.on_recorded(id, record_outcome(result), now);
         }
     }
 
     pub(super) fn on_order_completed(&mut self, id: OrderId, result: &CommitResult) {
         let now = self.now.steady;
-        if let Some(part) = self.duties.part(id.duty) {
-            part.orders.on_completed(id, record_outcome(result), now);
+        if let Some(runtime) = self.duties.runtime(id.duty) {
+            runtime.orders.on_completed(id, record_outcome(result), now);
         }
     }
 }
--- a/src/node/duties/request_review.rs
+++ b/src/controller/duties/request_review.rs
@@ -6,10 +6,10 @@
 use duty_lease::{Duty, Order, OrderResult, ScalingRequest};
 use tracing::{error, info};
 
-use super::{DutyWrite, Node, WritePurpose};
+use super::{Controller, DutyWrite, WritePurpose};
 use crate::duties::{OrderKey, OrderPhase, OrderRecord};
 
-impl Node {
+impl Controller {
     /// Looks at needs to return empty machines, as the holder of a duty. A machine that has
     /// a task on record is not returned, whoever needed that. Idle machines that pass are
     /// handed to the duty that returns machines.
@@ -18,23 +18,25 @@
             return;
         }
         // With each event, but looked at again only if anything has changed.
-        let revision = self.replica.revision;
-        let looked_at = (self.replica.duties.generation(), revision);
-        let part = self.duties.part(duty);
-        if part.is_some_and(|part| part.looked_at == Some(looked_at)) {
+        let revision = self.watch_cache.revision;
+        let reviewed_at = (self.watch_cache.duties.generation(), revision);
+        let runtime = self.duties.runtime(duty);
+        if runtime.is_some_and(|runtime| runtime.reviewed_at == Some(reviewed_at)) {
             return;
         }
         // Only what the records are as recent as: own changes may be ahead of them.
-        let mut requests = self.replica.duties.requests(duty);
+        let mut requests = self.watch_cache.duties.requests(duty);
         requests.retain(|request| {
             let is_on_record = request.version <= revision;
-            is_conditional(&request.order) && is_on_record && self.is_undecided(duty, request)
+            is_conditional(&request.order)
+                && is_on_record
+                && self.has_no_decision_in_flight(duty, request)
         });
-        if !requests.is_empty() && !self.may_order(duty) {
+        if !requests.is_empty() && !self.may_send_orders(duty) {
             return;
         }
-        if let Some(part) = self.duties.part(duty) {
-            part.looked_at = Some(looked_at);
+        if let Some(runtime) = self.duties.runtime(duty) {
+            runtime.reviewed_at = Some(reviewed_at);
         }
         if requests.is_empty() {
             return;
@@ -45,15 +47,20 @@
         }
     }
 
-    fn is_undecided(&self, duty: Duty, request: &ScalingRequest) -> bool {
+    fn has_no_decision_in_flight(&self, duty: Duty, request: &ScalingRequest) -> bool {
         let control = self.duties.control.as_ref();
-        let part = control.and_then(|control| control.parts.get(&duty));
-        part.is_some_and(|part| !part.deciding.iter().any(|key| key.request == request.id))
+        let runtime = control.and_then(|control| control.runtimes.get(&duty));
+        runtime.is_some_and(|runtime| {
+            !runtime
+                .decisions_in_flight
+                .iter()
+                .any(|key| key.request == request.id)
+        })
     }
 
     /// Machines that have a task on record.
     pub(super) fn occupied_machines(&self) -> HashSet<String> {
-        let jobs = self.replica.jobs.values();
+        let jobs = self.watch_cache.jobs.values();
         let runs = jobs.flat_map(|job| &job.record.runs);
         runs.map(|run| run.machine.to_string()).collect()
     }
@@ -65,7 +72,8 @@
             return true;
         };
         let is_empty = || !machines.iter().any(|machine| occupied.contains(machine));
-        !is_conditional(&request.order) || (request.version <= self.replica.revision && is_empty())
+        !is_conditional(&request.order)
+            || (request.version <= self.watch_cache.revision && is_empty())
     }
 
     fn review_scaling_request(
@@ -107,15 +115,15 @@
     }
 
     fn decide(&mut self, key: OrderKey, phase: OrderPhase) {
-        if let Some(part) = self.duties.part(key.duty) {
-            part.deciding.push(key.clone());
+        if let Some(runtime) = self.duties.runtime(key.duty) {
+            runtime.decisions_in_flight.push(key.clone());
         }
-        self.write_phase(WritePurpose::Decided, key, phase);
+        self.write_phase(WritePurpose::RequestDecided, key, phase);
     }
 
     /// Idle machines become a need of the duty that returns machines, in one transaction.
     fn forward_to_termination(&mut self, key: OrderKey, machines: Vec<String>) {
-        let Some((record, _)) = self.replica.duties.order(&key) else {
+        let Some((record, _)) = self.watch_cache.duties.order(&key) else {
             return;
         };
         let returned = OrderRecord {
@@ -130,21 +138,23 @@
             duty: Duty::Return,
             request: key.request.clone(),
         };
-        if let Some(part) = self.duties.part(key.duty) {
-            part.deciding.push(key.clone());
+        if let Some(runtime) = self.duties.runtime(key.duty) {
+            runtime.decisions_in_flight.push(key.clone());
         }
         let changes = vec![(return_key, Some(returned)), (key, None)];
-        let purpose = WritePurpose::Decided;
+        let purpose = WritePurpose::RequestDecided;
         self.write_as_holder(Duty::ReclaimIdle, DutyWrite { purpose, changes });
     }
 
     /// A decision was written, or was not: then it is taken again.
-    pub(super) fn on_decided(&mut self, changes: &[(OrderKey, Option<OrderRecord>)]) {
+    pub(super) fn on_request_decided(&mut self, changes: &[(OrderKey, Option<OrderRecord>)]) {
         for (key, _) in changes {
-            if let Some(part) = self.duties.part(key.duty) {
-                part.deciding.retain(|deciding| deciding != key);
-                part.looked_at = None;
-                part.orders_generation = None;
+            if let Some(runtime) = self.duties.runtime(key.duty) {
+                runtime
+                    .decisions_in_flight
+                    .retain(|decisions_in_flight| decisions_in_flight != key);
+                runtime.reviewed_at = None;
+                runtime.orders_generation = None;
             }
         }
     }
--- a/src/node/duties/scaling_requests.rs
+++ b/src/controller/duties/scaling_requests.rs
@@ -4,7 +4,7 @@
 
 use duty_lease::{Duty, Order, OrderResult};
 
-use super::{DutyWrite, Node, WritePurpose};
+use super::{Controller, DutyWrite, WritePurpose};
 use crate::cloud::MachineKind;
 use crate::duties::{OrderChange, OrderKey, OrderPhase, OrderRecord};
 use crate::machine::{TerminationClass, TerminationReason};
@@ -20,7 +20,7 @@
 /// Provisioning requests that may wait for the holder before the leader asks for no more.
 const WAITING_SCALE_OUT_MAX: usize = 16;
 
-/// The leader's needs that are on their way to the state service.
+/// The leader's needs that are on their way to the store.
 #[derive(Debug, Default)]
 pub(super) struct LeaderRequests {
     /// Machines whose return is being written.
@@ -51,16 +51,16 @@
             return None;
         }
         let (since, said) = self.unheld_since.entry(duty).or_insert((now, false));
-        let free_ms = now.saturating_sub(*since);
-        let says = free_ms > bound_ms && !*said;
+        let unheld_ms = now.saturating_sub(*since);
+        let says = unheld_ms > bound_ms && !*said;
         *said |= says;
-        says.then_some(free_ms)
+        says.then_some(unheld_ms)
     }
 }
 
-impl Node {
+impl Controller {
     /// The leader needs machines.
-    pub(in crate::node) fn request_scale_out(
+    pub(in crate::controller) fn request_scale_out(
         &mut self,
         idempotency_key: String,
         kind: &MachineKind,
@@ -80,7 +80,7 @@
     }
 
     /// The leader wants machines returned, those that are not on record for it yet.
-    pub(in crate::node) fn request_scale_in(&mut self, machines: Vec<String>) {
+    pub(in crate::controller) fn request_scale_in(&mut self, machines: Vec<String>) {
         let named = machines.into_iter().filter_map(|name| {
             let group = self.new_termination(&name)?;
             Some((name, group))
@@ -110,8 +110,8 @@
         }
         for (group, names) in groups {
             let part_max = self.terminations_per_request_max(&names);
-            for part in names.chunks(part_max) {
-                self.write_scale_in_request(group, part.to_vec());
+            for runtime in names.chunks(part_max) {
+                self.write_scale_in_request(group, runtime.to_vec());
             }
         }
     }
@@ -119,7 +119,7 @@
     /// What has to be looked at before a machine is returned; `None` if that is on record.
     fn new_termination(&self, name: &str) -> Option<TerminationClass> {
         let is_pending = self.duties.requests.pending_terminations.contains(name);
-        if is_pending || self.replica.duties.is_being_terminated(name) {
+        if is_pending || self.watch_cache.duties.is_being_terminated(name) {
             return None;
         }
         let machine = self.scheduler.as_ref()?.machines.get(name)?;
@@ -128,7 +128,7 @@
 
     /// How many machines a need may name.
     fn terminations_per_request_max(&self, names: &[String]) -> usize {
-        let value_bytes = (self.state_limits().lowered().value_kb * 1024.0) as usize;
+        let value_bytes = (self.store_limits().lowered().value_kb * 1024.0) as usize;
         let longest = names.iter().map(String::len).max().unwrap_or(0);
         let fitting = value_bytes / NAMES_PART / (longest + NAME_MARKS);
         fitting.clamp(1, TERMINATION_BATCH_MAX)
@@ -191,7 +191,7 @@
                 }
             }
             let is_written = matches!(result, CommitResult::Committed { .. })
-                || self.replica.duties.order(key).is_some();
+                || self.watch_cache.duties.order(key).is_some();
             // Without an answer it may yet be written; it is taken in then.
             if let Some(scheduler) = self.scheduler_of(epoch).filter(|_| !is_written) {
                 if key.duty == Duty::Rent {
@@ -209,15 +209,15 @@
     }
 
     /// The leader has begun a term: what is on record is taken in as it stands.
-    pub(in crate::node) fn apply_recorded_orders(&mut self) {
+    pub(in crate::controller) fn apply_recorded_orders(&mut self) {
         self.duties.requests.pending_terminations.clear();
         self.duties.requests.unanswered_terminations.clear();
         self.duties.requests.processed.clear();
         if !self.are_duties_active() {
             return;
         }
-        self.replica.duties.take_changes();
-        let orders = self.replica.duties.orders();
+        self.watch_cache.duties.take_changes();
+        let orders = self.watch_cache.duties.orders();
         let orders: Vec<(OrderKey, OrderRecord)> = orders
             .map(|(key, record, _)| (key.clone(), record.clone()))
             .collect();
@@ -227,8 +227,8 @@
     }
 
     /// Tells the scheduler of orders' records that have changed.
-    pub(super) fn pass_order_changes(&mut self) {
-        let changes = self.replica.duties.take_changes();
+    pub(super) fn forward_order_changes(&mut self) {
+        let changes = self.watch_cache.duties.take_changes();
         if self.scheduler.is_none() {
             return;
         }
@@ -296,7 +296,7 @@
             return;
         }
         let is_completed = |record: &OrderRecord| matches!(record.phase, OrderPhase::Completed(_));
-        let orders = self.replica.duties.orders();
+        let orders = self.watch_cache.duties.orders();
         let completed = orders.filter(|(_, record, _)| is_completed(record));
         let completed: Vec<OrderKey> = completed.map(|(key, ..)| key.clone()).collect();
         for key in completed {
@@ -338,7 +338,7 @@
     fn retain_machines(&mut self, machines: &[String]) {
         let unanswered = &self.duties.requests.unanswered_terminations;
         let is_open = |name: &&String| {
-            self.replica.duties.is_being_terminated(name) || unanswered.contains(*name)
+            self.watch_cache.duties.is_being_terminated(name) || unanswered.contains(*name)
         };
         let kept: Vec<String> = machines.iter().filter(|m| !is_open(m)).cloned().collect();
         if let Some(scheduler) = &mut self.scheduler {
@@ -347,8 +347,8 @@
     }
 
     /// How many more provisioning requests the leader may ask for.
-    pub(in crate::node) fn scale_out_budget(&self) -> usize {
-        let orders = self.replica.duties.orders_of(Duty::Rent);
+    pub(in crate::controller) fn scale_out_budget(&self) -> usize {
+        let orders = self.watch_cache.duties.orders_of(Duty::Rent);
         let open = |record: &OrderRecord| !matches!(record.phase, OrderPhase::Completed(_));
         let waiting = orders.filter(|(_, record, _)| open(record)).count();
         WAITING_SCALE_OUT_MAX.saturating_sub(waiting)
--- a/src/node/effects.rs
+++ b/src/controller/effects.rs
@@ -3,7 +3,7 @@
 use tracing::{info, trace};
 
 use super::calls::{HttpCall, PendingCall};
-use super::{Node, WriteOwner};
+use super::{Controller, WriteOwner};
 use crate::cloud::MachineKind;
 use crate::scheduler::Effect;
 use crate::wire;
@@ -13,8 +13,8 @@
 const AGENT_TIMEOUT_MS: u64 = 2000;
 pub(super) const CLOUD_TIMEOUT_MS: u64 = 4000;
 
-impl Node {
-    pub(super) fn carry_out(&mut self, effect: Effect) {
+impl Controller {
+    pub(super) fn execute_effect(&mut self, effect: Effect) {
         let epoch = self.epoch();
         match effect {
             Effect::Write {
@@ -68,23 +68,29 @@
                 idempotency_key,
                 kind,
                 count,
-            } => self.rent(idempotency_key, &kind, count, epoch),
-            Effect::Terminate { machines } => self.delete(machines, epoch),
+            } => self.send_provision_request(idempotency_key, &kind, count, epoch),
+            Effect::Terminate { machines } => self.send_terminate_request(machines, epoch),
         }
     }
 
     /// Without certain leadership nothing is rented or deleted: a cut may hold the request
     /// and deliver it to a successor's machines.
-    fn may_call_cloud(&mut self) -> bool {
+    fn may_call_provider(&mut self) -> bool {
         let now = self.now.steady;
         self.lease.is_certain(now) && self.cloud_requests.try_take(now, 1.0, 0.0)
     }
 
-    fn rent(&mut self, idempotency_key: String, kind: &MachineKind, count: u64, epoch: u64) {
+    fn send_provision_request(
+        &mut self,
+        idempotency_key: String,
+        kind: &MachineKind,
+        count: u64,
+        epoch: u64,
+    ) {
         if self.are_duties_active() {
             return self.request_scale_out(idempotency_key, kind, count);
         }
-        if !self.may_call_cloud() {
+        if !self.may_call_provider() {
             let now = self.now.steady;
             if let Some(scheduler) = &mut self.scheduler {
                 scheduler.on_provisioning_postponed(&idempotency_key, now);
@@ -110,11 +116,11 @@
         );
     }
 
-    fn delete(&mut self, machines: Vec<String>, epoch: u64) {
+    fn send_terminate_request(&mut self, machines: Vec<String>, epoch: u64) {
         if self.are_duties_active() {
             return self.request_scale_in(machines);
         }
-        if !self.may_call_cloud() {
+        if !self.may_call_provider() {
             let now = self.now.steady;
             if let Some(scheduler) = &mut self.scheduler {
                 scheduler.on_termination_postponed(&machines, now);
--- a/src/node/format_version.rs
+++ b/src/controller/format_version.rs
@@ -1,4 +1,4 @@
-//! Living beside the version in production, and under limits of the state service that
+//! Living beside the version in production, and under limits of the store that
 //! fall without notice.
 //!
 //! What that version can't read is written only once it runs nowhere any more. Each
@@ -10,14 +10,14 @@
 
 use tracing::{debug, error, info};
 
-use super::{Node, WriteOwner};
+use super::{Controller, WriteOwner};
 use crate::duties::DUTIES_FORMAT;
 use crate::job::PACKED_FORMAT;
 use crate::leadership_keys::FORMAT_KEY;
 use crate::net::Outcome;
-use crate::replica::member_key;
-use crate::settings::StateLimits;
+use crate::settings::StoreLimits;
 use crate::time_units::to_ms;
+use crate::watch_cache::member_key;
 use crate::wire::{self, Condition, Write};
 use crate::write_queue::{WriteClass, WriteRequest};
 
@@ -33,43 +33,43 @@
 #[derive(Debug, Default)]
 pub(super) struct FormatState {
     /// There was proof that no earlier version runs any more.
-    is_proven: bool,
+    is_confirmed: bool,
     next_write_at: u64,
     /// Refused for the number of changes: until then the lower limit may hold.
-    scarce_until: u64,
+    throttled_until: u64,
 }
 
-impl Node {
+impl Controller {
     /// The format that may be written.
     pub(super) fn format(&self) -> u64 {
-        let proven = u64::from(self.format_state.is_proven) * PACKED_FORMAT;
-        self.replica.format.max(proven)
+        let proven = u64::from(self.format_state.is_confirmed) * PACKED_FORMAT;
+        self.watch_cache.format.max(proven)
     }
 
-    /// The state service holds what only a later version than this one can read: this one
+    /// The store holds what only a later version than this one can read: this one
     /// neither leads nor answers users, who would be told that jobs are unknown.
     pub(super) fn is_outdated(&self) -> bool {
-        self.replica.format > LATEST_FORMAT
+        self.watch_cache.format > LATEST_FORMAT
     }
 
-    /// What may be asked of the state service.
-    pub(super) fn state_limits(&self) -> StateLimits {
+    /// What may be asked of the store.
+    pub(super) fn store_limits(&self) -> StoreLimits {
         let state = &self.settings.cluster.state;
         if self.format() >= PACKED_FORMAT {
             return state.lowered();
         }
         let mut limits = state.clone();
-        if self.now.steady < self.format_state.scarce_until {
+        if self.now.steady < self.format_state.throttled_until {
             limits.write_rps = limits.lowered().write_rps;
         }
         limits
     }
 
     /// No earlier version runs any more.
-    pub(super) fn raise_format(&mut self, why: &str) {
+    pub(super) fn confirm_packed_format(&mut self, why: &str) {
         if self.format() < PACKED_FORMAT {
             info!("format {PACKED_FORMAT}: {why}");
-            self.format_state.is_proven = true;
+            self.format_state.is_confirmed = true;
             self.format_state.next_write_at = 0;
             self.on_format_changed();
         }
@@ -79,39 +79,39 @@
         if self.is_outdated() {
             error!(
                 "the state service holds format {}, this version knows {LATEST_FORMAT}: it must be replaced",
-                self.replica.format
+                self.watch_cache.format
             );
             return self.resign("a later version has taken over", 0);
         }
         let format = self.format();
-        let limits = self.state_limits();
+        let limits = self.store_limits();
         if let Some(scheduler) = &mut self.scheduler {
             scheduler.set_format(format, &limits);
         }
-        self.set_state_share(self.scheduler.is_some());
+        self.set_store_share(self.scheduler.is_some());
     }
 
     /// Makes this version known, or raises the format.
     pub(super) fn format_tick(&mut self) {
         let now = self.now.steady;
         let state = &mut self.format_state;
-        if state.scarce_until > 0 && now >= state.scarce_until {
-            state.scarce_until = 0;
+        if state.throttled_until > 0 && now >= state.throttled_until {
+            state.throttled_until = 0;
             self.on_format_changed();
         }
-        if !self.replica.loaded || now < self.format_state.next_write_at {
+        if !self.watch_cache.loaded || now < self.format_state.next_write_at {
             return;
         }
-        if self.replica.format >= PACKED_FORMAT {
-            return self.hand_out_duties();
+        if self.watch_cache.format >= PACKED_FORMAT {
+            return self.activate_duties();
         }
         let pause_s = self.settings.cluster.workers.report_s * RETRY_INTERVALS;
         self.format_state.next_write_at = now + to_ms(pause_s);
-        let is_known = self.replica.members.contains(&self.settings.member);
-        let all_known = is_known && self.do_all_know(PACKED_FORMAT);
+        let is_known = self.watch_cache.members.contains(&self.settings.member);
+        let all_known = is_known && self.all_peers_know(PACKED_FORMAT);
         let (conditions, key) =
-            if self.format_state.is_proven || (all_known && self.scheduler.is_some()) {
-                let unchanged = Condition::new(FORMAT_KEY, self.replica.format_version);
+            if self.format_state.is_confirmed || (all_known && self.scheduler.is_some()) {
+                let unchanged = Condition::new(FORMAT_KEY, self.watch_cache.format_version);
                 (vec![unchanged], FORMAT_KEY.to_string())
             } else if !is_known {
                 (vec![], member_key(&self.settings.member))
@@ -129,17 +129,17 @@
     /// Raises the format from which on duties are not with the leader any more, if all
     /// controllers are ready for it. Versions that know no duties must not lead then: the
     /// lease is held out of their reach first.
-    fn hand_out_duties(&mut self) {
-        let is_ready = self.replica.format < DUTIES_FORMAT
+    fn activate_duties(&mut self) {
+        let is_ready = self.watch_cache.format < DUTIES_FORMAT
             && self.known_format() >= DUTIES_FORMAT
             && self.scheduler.is_some()
-            && self.do_all_know(DUTIES_FORMAT);
+            && self.all_peers_know(DUTIES_FORMAT);
         if !is_ready {
             return;
         }
         let pause_s = self.settings.cluster.workers.report_s * RETRY_INTERVALS;
         self.format_state.next_write_at = self.now.steady + to_ms(pause_s);
-        if !self.replica.is_superseded() {
+        if !self.watch_cache.is_superseded() {
             return self.resign(
                 "the next leader is elected out of reach of earlier versions",
                 0,
@@ -153,7 +153,7 @@
             owner: WriteOwner::FormatVersion,
             conditions: vec![
                 scheduler.term_condition(),
-                Condition::new(FORMAT_KEY, self.replica.format_version),
+                Condition::new(FORMAT_KEY, self.watch_cache.format_version),
             ],
             writes: vec![Write::set(FORMAT_KEY.into(), DUTIES_FORMAT.into())],
             class: WriteClass::User,
@@ -162,16 +162,16 @@
 
     /// Whether each other controller has made itself known, and has just said that it knows
     /// a format. Its key alone may be older than a return to the version before.
-    fn do_all_know(&self, format: u64) -> bool {
+    fn all_peers_know(&self, format: u64) -> bool {
         self.settings.peers.iter().all(|peer| {
             let status = self.recent_status(&peer.member);
             let knows_it = status.is_some_and(|status| status.known_format >= format);
-            knows_it && self.replica.members.contains(&peer.member)
+            knows_it && self.watch_cache.members.contains(&peer.member)
         })
     }
 
-    /// The state service may have refused a transaction for a lower limit.
-    pub(super) fn note_refused_write(&mut self, outcome: &Outcome) {
+    /// The store may have refused a transaction for a lower limit.
+    pub(super) fn on_store_refusal(&mut self, outcome: &Outcome) {
         let Outcome::Answer { status, body } = outcome else {
             return;
         };
@@ -183,12 +183,12 @@
             // formed: it is too large by now.
             400 => {
                 debug!("refused: {}", wire::readable(body));
-                self.raise_format("the state service holds to its lower limits");
+                self.confirm_packed_format("the state service holds to its lower limits");
             }
             429 if self.format() < PACKED_FORMAT => {
                 let spell_s = self.settings.cluster.workers.report_s * THROTTLED_INTERVALS;
                 let spell_ms = to_ms(spell_s);
-                self.format_state.scarce_until = self.now.steady + spell_ms;
+                self.format_state.throttled_until = self.now.steady + spell_ms;
                 self.on_format_changed();
             }
             _ => {}
--- a/src/node/heartbeats.rs
+++ b/src/controller/heartbeats.rs
@@ -3,7 +3,7 @@
 use tracing::trace;
 
 use super::deferred_heartbeats::DeferredHeartbeat;
-use super::Node;
+use super::Controller;
 use crate::scheduler::StatusOrigin;
 use crate::time_units::to_ms;
 use crate::wire::{self, AgentStatus};
@@ -14,7 +14,7 @@
 /// there may be cancellations that this controller does not know of.
 const UNKNOWN_CANCELLATIONS_SHARE: f64 = 0.75;
 
-impl Node {
+impl Controller {
     pub(super) fn on_heartbeat(&mut self, connection: usize, body: &[u8]) {
         let Some(report) = wire::decode::<AgentStatus>(body) else {
             return self.answer(connection, 400, None, vec![]);
@@ -26,7 +26,7 @@
             self.resign("a worker has seen a higher epoch", 0);
             return self.redirect(connection, report);
         }
-        if !self.knows_recent_cancellations() {
+        if !self.has_recent_cancellations() {
             return self.answer(connection, 503, Some(1), vec![]);
         }
         self.accept_heartbeat(connection, report);
@@ -34,11 +34,11 @@
 
     /// Whether no cancellation can run out that this controller does not know of: an agent
     /// that hears nothing afterwards ends its tasks before that.
-    fn knows_recent_cancellations(&self) -> bool {
+    fn has_recent_cancellations(&self) -> bool {
         let agents = &self.settings.cluster.workers;
         let bound_s = (agents.cancel_s - agents.lease_s) * UNKNOWN_CANCELLATIONS_SHARE;
         let bound_ms = to_ms(bound_s);
-        let known_at = self.cancellations_known_at();
+        let known_at = self.cancellations_known_as_of();
         known_at.is_some_and(|at| self.now.steady <= at + bound_ms)
     }
 
@@ -69,7 +69,7 @@
     fn redirect(&mut self, connection: usize, report: AgentStatus) {
         let now = self.now.steady;
         self.redirected_agents.insert(report.machine, now);
-        let leader = self.replica.leader().map(|(key, _)| key.member.clone());
+        let leader = self.watch_cache.leader().map(|(key, _)| key.member.clone());
         let body = wire::encode(&wire::Redirect {
             reports_to: leader.filter(|member| *member != self.settings.member),
         });
--- a/src/node/leadership.rs
+++ b/src/controller/leadership.rs
@@ -3,7 +3,7 @@
 use tracing::{info, warn};
 
 use super::calls::{HttpCall, PendingCall};
-use super::{Node, WriteOwner};
+use super::{Controller, WriteOwner};
 use crate::leader_lease::{Election, LeaseRequest, LeaseResponse};
 use crate::leadership_keys::{Fence, LeaderKey, EPOCH_KEY, LEADER_KEY, LEASE_KEY};
 use crate::net::Outcome;
@@ -14,13 +14,13 @@
 /// The machine types are read again so soon after an election.
 const MACHINE_TYPES_AFTER_MS: u64 = 1000;
 
-impl Node {
+impl Controller {
     pub(super) fn lease_tick(&mut self) {
         if self.is_outdated() {
             return;
         }
         let jitter = self.rng.random::<f64>();
-        let request = self.lease.tick(self.now.steady, &self.replica, jitter);
+        let request = self.lease.tick(self.now.steady, &self.watch_cache, jitter);
         if let Some(request) = request {
             self.send_lease_request(request);
         }
@@ -28,21 +28,21 @@
 
     fn send_lease_request(&mut self, request: LeaseRequest) {
         // It goes out in any case.
-        let _ = self.state_requests.try_take(self.now.steady, 1.0, 0.0);
+        let _ = self.store_requests.try_take(self.now.steady, 1.0, 0.0);
         let timeout_ms = self.lease.ttl_ms / 3;
         let call = match &request {
             LeaseRequest::Grant => HttpCall::create_grant(self.lease.ttl_ms, timeout_ms),
             LeaseRequest::Renew(grant) => HttpCall::renew_grant(*grant, timeout_ms),
             LeaseRequest::Revoke(grant) => {
                 let call = HttpCall::end_grant(*grant, timeout_ms);
-                return self.call_state_service(PendingCall::Revoke, call);
+                return self.call_store(PendingCall::Revoke, call);
             }
             LeaseRequest::Elect(election) => {
                 let transaction = election_transaction(election, &self.settings.member);
                 HttpCall::post("/txn", wire::encode(&transaction), timeout_ms)
             }
         };
-        self.call_state_service(PendingCall::Lease(request), call);
+        self.call_store(PendingCall::Lease(request), call);
     }
 
     pub(super) fn on_lease_outcome(&mut self, request: LeaseRequest, outcome: &Outcome) {
@@ -67,7 +67,7 @@
             member: member.clone(),
             epoch,
         };
-        self.replica.elected(key, version, fence);
+        self.watch_cache.apply_own_election(key, version, fence);
         self.pending_term = Some(Term {
             member,
             epoch,
@@ -80,10 +80,10 @@
 
     /// Begins a term once the watch cache holds its election. All changes of leaders before
     /// it, its own earlier terms included, are older than that, and none can follow: a
-    /// Watch cache from before it may lack places whose starts went out.
+    /// watch cache from before it may lack places whose starts went out.
     pub(super) fn begin_term(&mut self) {
         let now = self.now.steady;
-        let revision = self.replica.revision;
+        let revision = self.watch_cache.revision;
         let Some(term) = self
             .pending_term
             .take_if(|term| term.key_version <= revision)
@@ -96,7 +96,7 @@
             &self.settings.cluster,
             &self.operator,
             self.machine_types.clone(),
-            &self.replica,
+            &self.watch_cache,
             now,
         ));
         self.on_format_changed();
@@ -117,7 +117,7 @@
             WriteOwner::Duty(write) => write.is_of_leader(),
             _ => false,
         });
-        self.set_state_share(false);
+        self.set_store_share(false);
         self.plan_timer.in_progress = false;
     }
 
--- a/src/node/mod.rs
+++ b/src/controller/mod.rs
@@ -2,7 +2,7 @@
 //! actions come out; no sockets and no clocks here.
 
 mod calls;
-mod cloud_sync;
+mod cloud_inventory;
 mod deferred_heartbeats;
 mod dependencies;
 mod duties;
@@ -10,11 +10,11 @@
 mod format_version;
 mod heartbeats;
 mod leadership;
-mod list_reader;
+mod machine_list_reader;
 mod peers;
 mod planning;
-mod replication;
 mod stats;
+mod store_sync;
 mod user_replies;
 mod user_requests;
 mod user_submissions;
@@ -31,12 +31,12 @@
 use crate::job::FinalState;
 use crate::leader_lease::{self, LeaderLease};
 use crate::leadership_keys::{LEADER_KEY, LEASE_KEY};
-use crate::mesh::{ForwardedRequest, PeerStatus, FORWARD_PATH, STATUS_PATH};
 use crate::net::{Action, Event, Listener, Outcome, Request};
+use crate::peer_protocol::{ForwardedRequest, PeerStatus, FORWARD_PATH, STATUS_PATH};
 use crate::rate_limit::TokenBucket;
-use crate::replica::Replica;
 use crate::scheduler::{Scheduler, Term};
-use crate::settings::{OperatorSettings, Settings, StateLimits};
+use crate::settings::{OperatorSettings, Settings, StoreLimits};
+use crate::watch_cache::WatchCache;
 use crate::wire::{self, MachineType};
 use crate::write_queue::{CommitResult, WriteQueue};
 
@@ -45,11 +45,11 @@
 use dependencies::DependencyLookups;
 use duties::{DutyState, DutyWrite};
 use format_version::FormatState;
-use list_reader::MachineListReader;
+use machine_list_reader::MachineListReader;
 use peers::PeerView;
 use planning::PlanTimer;
-use replication::Replication;
 use stats::{StatsTimer, TrafficStats};
+use store_sync::StoreSync;
 use user_types::{Caller, PendingRequest};
 
 /// The steady clock since the start and the time of day, in milliseconds.
@@ -96,7 +96,7 @@
 /// Share of the cloud's limit that is used, all calls counted.
 const CLOUD_SHARE: f64 = 0.875;
 
-/// Shares of the requests and changes that the state service takes in a second: the
+/// Shares of the requests and changes that the store takes in a second: the
 /// leader's and each other controller's, whose bursts rarely meet. Of the requests, a
 /// follower takes a little less than an even share, and the leader, with a transaction for
 /// each group of records, what they leave.
@@ -109,7 +109,7 @@
 const DUTY_WRITES_MIN: f64 = 2.0;
 
 /// One controller.
-pub struct Node {
+pub struct Controller {
     settings: Settings,
     operator: OperatorSettings,
     rng: StdRng,
@@ -121,10 +121,10 @@
     calls: HashMap<u64, PendingCall>,
     next_tag: u64,
     actions: Vec<Action>,
-    /// The local watch cache of the state service.
-    pub replica: Replica,
-    replication: Replication,
-    state_requests: TokenBucket,
+    /// The local watch cache of the store.
+    pub watch_cache: WatchCache,
+    store_sync: StoreSync,
+    store_requests: TokenBucket,
     writes: WriteQueue<WriteOwner>,
     lease: LeaderLease,
     /// An election was won, but the watch cache does not hold it yet.
@@ -158,9 +158,9 @@
     warned_limits: usize,
 }
 
-impl Node {
+impl Controller {
     /// A controller that has just been started.
-    pub fn new(settings: Settings, operator: OperatorSettings, seed: u64) -> Node {
+    pub fn new(settings: Settings, operator: OperatorSettings, seed: u64) -> Controller {
         let cluster = &settings.cluster;
         let controllers = (settings.peers.len() + 1) as f64;
         let ttl_ms = leader_lease::leader_lease_ttl_ms(cluster, &operator);
@@ -171,7 +171,7 @@
         let peers = settings.peers.iter();
         let mut writes = WriteQueue::new(follower_writes, follower_writes, state.txn_ops);
         writes.set_duty_rate(0, duty_write_rate(state));
-        Node {
+        Controller {
             rng: StdRng::seed_from_u64(seed),
             now: Timestamp { steady: 0, wall: 0 },
             event_count: 0,
@@ -179,9 +179,9 @@
             calls: HashMap::new(),
             next_tag: 1,
             actions: vec![],
-            replica: Replica::default(),
-            replication: Replication::default(),
-            state_requests: TokenBucket::new(follower_requests),
+            watch_cache: WatchCache::default(),
+            store_sync: StoreSync::default(),
+            store_requests: TokenBucket::new(follower_requests),
             writes,
             lease: LeaderLease::new(&settings.member, ttl_ms, state.lowered().txn_ops),
             pending_term: None,
@@ -229,10 +229,10 @@
         self.scheduler.as_mut().filter(|s| s.epoch() == epoch)
     }
 
-    /// Takes the leader's or a follower's share of the state service.
-    fn set_state_share(&mut self, leads: bool) {
+    /// Takes the leader's or a follower's share of the store.
+    fn set_store_share(&mut self, leads: bool) {
         let now = self.now.steady;
-        let limits = self.state_limits();
+        let limits = self.store_limits();
         let others = self.settings.peers.len() as f64;
         let follower_requests = limits.rps / (others + 1.0) * FOLLOWER_REQUESTS;
         let (requests, writes) = if leads {
@@ -240,7 +240,7 @@
         } else {
             (follower_requests, FOLLOWER_WRITES)
         };
-        self.state_requests.set_rate(now, requests);
+        self.store_requests.set_rate(now, requests);
         self.writes.set_rate(now, limits.write_rps * writes);
         self.writes.set_duty_rate(now, duty_write_rate(&limits));
         self.writes.set_writes_max(limits.txn_ops);
@@ -260,9 +260,9 @@
     }
 
     /// Takes in an event.
-    pub fn event(&mut self, now: Timestamp, event: Event) {
+    pub fn handle_event(&mut self, now: Timestamp, handle_event: Event) {
         self.begin_event(now);
-        match event {
+        match handle_event {
             Event::Request {
                 connection,
                 listener,
@@ -320,7 +320,7 @@
             let spare_writes = self.writes.spare_writes(now);
             let agents = most_heard.then_some(redirected.agents);
             scheduler.set_redirected_elsewhere(agents);
-            scheduler.tick(now, self.replica.revision, spare_writes);
+            scheduler.tick(now, self.watch_cache.revision, spare_writes);
         }
     }
 
@@ -333,14 +333,14 @@
     fn flush(&mut self) {
         let now = self.now.steady;
         if let Some(scheduler) = &mut self.scheduler {
-            scheduler.flush(now, self.replica.revision, 0);
+            scheduler.flush(now, self.watch_cache.revision, 0);
         }
         self.answer_deferred_heartbeats();
         let may_start = self.may_start();
         if let Some(scheduler) = &mut self.scheduler {
             scheduler.send_direct_starts(may_start, now);
             for effect in scheduler.take_effects() {
-                self.carry_out(effect);
+                self.execute_effect(effect);
             }
         }
         self.duties_flush();
@@ -350,17 +350,17 @@
 
     fn on_request(&mut self, connection: usize, listener: Listener, request: Request) {
         *match (listener, request.path.as_str()) {
-            (Listener::Mesh, _) => &mut self.stats.peers,
+            (Listener::Peers, _) => &mut self.stats.peers,
             (_, wire::HEARTBEAT_PATH) => &mut self.stats.heartbeats,
             _ => &mut self.stats.users,
         } += 1;
         match listener {
-            Listener::Mesh => self.on_mesh_request(connection, request),
+            Listener::Peers => self.on_peer_request(connection, request),
             Listener::Front => self.on_front_request(connection, request),
         }
     }
 
-    fn on_mesh_request(&mut self, connection: usize, request: Request) {
+    fn on_peer_request(&mut self, connection: usize, request: Request) {
         match request.path.as_str() {
             STATUS_PATH => match PeerStatus::decode(request.body.as_slice()) {
                 Ok(status) => {
@@ -428,9 +428,9 @@
                 epoch,
             } => {
                 if let (CommitResult::Committed { .. }, Some(state)) = (&result, final_state) {
-                    self.replica.record_final(&id, state);
-                    self.replica.jobs.remove(&id);
-                    self.pass_dependency_events();
+                    self.watch_cache.record_final(&id, state);
+                    self.watch_cache.jobs.remove(&id);
+                    self.forward_dependency_events();
                 }
                 let Some(scheduler) = self.scheduler_of(epoch) else {
                     return;
@@ -453,12 +453,12 @@
         }
     }
 
-    /// Notes that the state service has answered, or says that the limit is reached.
-    fn note_state_outcome(&mut self, outcome: &Outcome) {
+    /// Notes that the store has answered, or says that the limit is reached.
+    fn record_store_outcome(&mut self, outcome: &Outcome) {
         match outcome {
-            Outcome::Answer { status: 429, .. } => self.state_requests.drain(),
+            Outcome::Answer { status: 429, .. } => self.store_requests.drain(),
             Outcome::Answer { status, .. } if *status < 500 => {
-                self.replication.answered_at = Some(self.now.steady);
+                self.store_sync.answered_at = Some(self.now.steady);
             }
             _ => {}
         }
@@ -466,6 +466,6 @@
 }
 
 /// Changes of duties' records that a controller may make in a second.
-fn duty_write_rate(limits: &StateLimits) -> f64 {
+fn duty_write_rate(limits: &StoreLimits) -> f64 {
     (limits.write_rps * DUTY_WRITES).max(DUTY_WRITES_MIN)
 }
--- a/src/node/peers.rs
+++ b/src/controller/peers.rs
@@ -5,8 +5,8 @@
 use prost::Message;
 
 use super::calls::{HttpCall, PendingCall};
-use super::Node;
-use crate::mesh::{PeerStatus, STATUS_PATH};
+use super::Controller;
+use crate::peer_protocol::{PeerStatus, STATUS_PATH};
 use crate::time_units::to_ms;
 
 /// How often statuses are exchanged.
@@ -58,7 +58,7 @@
     pub agents: u32,
 }
 
-impl Node {
+impl Controller {
     fn status(&self) -> PeerStatus {
         let now = self.now.steady;
         let span_s = self.settings.cluster.workers.report_s * REDIRECTED_INTERVALS;
@@ -68,7 +68,7 @@
         };
         PeerStatus {
             member: self.settings.member.clone(),
-            state_reachable: self.is_state_reachable(),
+            store_reachable: self.is_store_reachable(),
             leading_epoch: self.epoch(),
             redirected_agents: lately(&self.redirected_agents) as u32,
             process_age_ms: self.began_at.map_or(0, |at| now - at),
@@ -81,7 +81,7 @@
     /// service is told which jobs users were told to be cancelled.
     pub(super) fn status_for(&self, asker: &PeerStatus) -> PeerStatus {
         let mut status = self.status();
-        if asker.leading_epoch > 0 && !asker.state_reachable {
+        if asker.leading_epoch > 0 && !asker.store_reachable {
             status.acknowledged_cancellations =
                 self.acknowledged_cancellations.keys().cloned().collect();
         }
@@ -92,7 +92,7 @@
     /// any more.
     pub(super) fn acknowledge_cancellation(&mut self, id: &str) {
         let now = self.now.steady;
-        if self.replica.final_state(id).is_none() {
+        if self.watch_cache.final_state(id).is_none() {
             self.acknowledged_cancellations
                 .entry(id.to_string())
                 .or_insert(now);
@@ -102,7 +102,7 @@
         }
     }
 
-    /// A leader that can't read the state service asked another controller, and
+    /// A leader that can't read the store asked another controller, and
     /// was told of all cancellations that users had been told of there.
     pub(super) fn sync_cancellations(&mut self, member: &str, status: &PeerStatus, sent_at: u64) {
         let now = self.now.steady;
@@ -113,8 +113,8 @@
             scheduler.mark_cancelled(id, now);
         }
         // With one that is served, or another that leads, work goes on there.
-        let work_goes_on = status.state_reachable || status.leading_epoch > scheduler.epoch();
-        if work_goes_on || self.is_state_reachable() {
+        let work_goes_on = status.store_reachable || status.leading_epoch > scheduler.epoch();
+        if work_goes_on || self.is_store_reachable() {
             return;
         }
         if let Some(peer) = self.peers.get_mut(member) {
@@ -128,11 +128,11 @@
     }
 
     /// All cancellations that users had been told of by then are known here: from
-    /// the last read of the state service, or in an outage that all see from every
+    /// the last read of the store, or in an outage that all see from every
     /// other controller, if none of them has begun anew since that read. One that
     /// has may have told what nobody knows any more.
-    pub(super) fn cancellations_known_at(&self) -> Option<u64> {
-        let read_at = self.replication.complete_as_of?.at;
+    pub(super) fn cancellations_known_as_of(&self) -> Option<u64> {
+        let read_at = self.store_sync.complete_as_of?.at;
         let synced_at = self.peers.values().map(|peer| {
             let sync = peer.cancellation_sync;
             let valid = sync.filter(|sync| sync.process_began_at <= read_at);
@@ -219,7 +219,7 @@
             .retain(|_, at| now < *at + memory_ms);
         let status = self.status();
         // Its question is about cancellations, so it has to ask itself.
-        let must_ask = status.leading_epoch > 0 && !status.state_reachable;
+        let must_ask = status.leading_epoch > 0 && !status.store_reachable;
         let body = status.encode_to_vec();
         for peer in self.settings.peers.clone() {
             // One that has just asked has told the same and was answered.
--- a/src/node/planning.rs
+++ b/src/controller/planning.rs
@@ -1,14 +1,14 @@
 //! When to plan, and what becomes of a plan.
 
-use super::{Node, Timestamp};
+use super::{Controller, Timestamp};
 use crate::plan::{Decision, Snapshot};
 use crate::write_queue::WriteClass;
 
 /// Least time between two plans, if nothing has changed, and if this controller is
 /// overloaded.
-const GAP_MS: u64 = 50;
-const IDLE_GAP_MS: u64 = 1000;
-const OVERLOADED_GAP_MS: u64 = 1500;
+const PLAN_INTERVAL_MS: u64 = 50;
+const IDLE_PLAN_INTERVAL_MS: u64 = 1000;
+const OVERLOADED_PLAN_INTERVAL_MS: u64 = 1500;
 /// Pause after a plan, as a multiple of the time that it took: planning takes a third of
 /// the process' time at most, as on a busy fleet something changes all the time.
 const PAUSE_FACTOR: u64 = 2;
@@ -23,16 +23,16 @@
     pub in_progress: bool,
 }
 
-impl Node {
+impl Controller {
     /// A snapshot to plan on, when it is time.
-    pub fn plan_due(&mut self, now: Timestamp) -> Option<Snapshot> {
+    pub fn take_due_snapshot(&mut self, now: Timestamp) -> Option<Snapshot> {
         self.now = now;
         let next_at = self.plan_timer.next_at;
         let certain = self.lease.is_certain(now.steady);
         if self.plan_timer.in_progress || now.steady < next_at || !certain {
             return None;
         }
-        // While records wait for the state service, a further plan would only
+        // While records wait for the store, a further plan would only
         // add small ones: better a later one that places more at a time.
         if self.writes.has_waiting(WriteClass::Leader) {
             return None;
@@ -42,11 +42,12 @@
             return None;
         }
         // Without changes a plan now and then, so that backoffs end without an event.
-        if !scheduler.needs_planning && now.steady < next_at + IDLE_GAP_MS {
+        if !scheduler.needs_planning && now.steady < next_at + IDLE_PLAN_INTERVAL_MS {
             return None;
         }
         // heartbeats that wait go first, but not for ever.
-        if scheduler.is_overloaded(now.steady) && now.steady < next_at + OVERLOADED_GAP_MS {
+        if scheduler.is_overloaded(now.steady) && now.steady < next_at + OVERLOADED_PLAN_INTERVAL_MS
+        {
             return None;
         }
         self.plan_timer.in_progress = true;
@@ -55,13 +56,13 @@
     }
 
     /// Takes in what was planned on the last snapshot, which was made under this epoch.
-    pub fn on_planned(&mut self, now: Timestamp, epoch: u64, decision: Decision) {
+    pub fn apply_plan(&mut self, now: Timestamp, epoch: u64, decision: Decision) {
         self.now = now;
         let took_ms = now.steady.saturating_sub(self.plan_timer.next_at);
         self.stats.plans += 1;
         self.stats.plan_ms += took_ms;
         self.plan_timer.in_progress = false;
-        self.plan_timer.next_at = now.steady + (PAUSE_FACTOR * took_ms).max(GAP_MS);
+        self.plan_timer.next_at = now.steady + (PAUSE_FACTOR * took_ms).max(PLAN_INTERVAL_MS);
         let calls = if self.are_duties_active() {
             self.scale_out_budget()
         } else {
--- a/src/node/stats.rs
+++ b/src/controller/stats.rs
@@ -3,7 +3,7 @@
 use tracing::{info, warn};
 
 use super::calls::PendingCall;
-use super::Node;
+use super::Controller;
 use crate::fleet_capacity::limit_capacities;
 
 /// How often it is logged.
@@ -30,10 +30,10 @@
     pub users: u64,
     pub peers: u64,
     pub replies: u64,
-    state_calls: u64,
+    store_calls: u64,
     cloud_calls: u64,
     agent_calls: u64,
-    mesh_calls: u64,
+    peer_calls: u64,
     pub plans: u64,
     pub plan_ms: u64,
     /// The longest that a tick was late.
@@ -46,19 +46,19 @@
     pub fn count_call(&mut self, call: &PendingCall) {
         let count = match call {
             PendingCall::Agent { .. } => &mut self.agent_calls,
-            PendingCall::PeerStatus { .. } | PendingCall::Forward { .. } => &mut self.mesh_calls,
+            PendingCall::PeerStatus { .. } | PendingCall::Forward { .. } => &mut self.peer_calls,
             PendingCall::MachineTypes
             | PendingCall::MachineList { .. }
             | PendingCall::Provision { .. }
             | PendingCall::Terminate { .. }
             | PendingCall::DutyOrder(_) => &mut self.cloud_calls,
-            _ => &mut self.state_calls,
+            _ => &mut self.store_calls,
         };
         *count += 1;
     }
 }
 
-impl Node {
+impl Controller {
     pub(super) fn stats_tick(&mut self) {
         let now = self.now.steady;
         if now < self.stats_timer.next_at {
@@ -93,10 +93,10 @@
             stats.users,
             stats.peers,
             stats.replies,
-            stats.state_calls,
+            stats.store_calls,
             stats.cloud_calls,
             stats.agent_calls,
-            stats.mesh_calls,
+            stats.peer_calls,
             stats.plans,
             stats.plan_ms,
             stats.tick_late_ms,
--- a/src/node/replication.rs
+++ b/src/controller/store_sync.rs
@@ -1,15 +1,15 @@
-//! Reading the state service into the watch cache: first in whole, then by a watch, and at
+//! Reading the store into the watch cache: first in whole, then by a watch, and at
 //! once when somebody waits for it.
 
 use tracing::{error, info, warn};
 
-use super::calls::{HttpCall, PendingCall, READ_TIMEOUT_MS, STATE_TIMEOUT_MS};
+use super::calls::{HttpCall, PendingCall, READ_TIMEOUT_MS, STORE_TIMEOUT_MS};
 use super::user_types::RequestStage;
-use super::{EventTime, Node};
+use super::{Controller, EventTime};
 use crate::duties::DUTIES_PREFIX;
 use crate::leadership_keys::LEADERSHIP_PREFIX;
 use crate::net::Outcome;
-use crate::replica::{ReplicaChange, JOBS_PREFIX, ROOT_PREFIX};
+use crate::watch_cache::{CacheEvent, JOBS_PREFIX, ROOT_PREFIX};
 use crate::wire;
 
 /// How long a watch waits for changes.
@@ -17,7 +17,7 @@
 /// Between two reads of a sort on a whole core, at the least; on a part of one
 /// accordingly longer.
 const READ_CORE_MS: f64 = 6.0;
-/// Shares of a controller's requests to the state service that may go to the
+/// Shares of a controller's requests to the store that may go to the
 /// watch and to reads for users.
 const WATCH_SHARE: f64 = 0.25;
 const USER_READ_SHARE: f64 = 0.35;
@@ -34,7 +34,7 @@
 
 /// The reads in progress, and when the next ones are due.
 #[derive(Debug, Default)]
-pub(super) struct Replication {
+pub(super) struct StoreSync {
     /// Everything is being read.
     loading: bool,
     next_load_at: u64,
@@ -47,63 +47,63 @@
     next_read_at: u64,
     /// The watch cache is complete as of this moment.
     pub complete_as_of: Option<EventTime>,
-    /// The state service last answered with something other than a refusal.
+    /// The store last answered with something other than a refusal.
     pub answered_at: Option<u64>,
 }
 
-impl Node {
-    /// Whether the state service has answered lately.
-    pub(super) fn is_state_reachable(&self) -> bool {
+impl Controller {
+    /// Whether the store has answered lately.
+    pub(super) fn is_store_reachable(&self) -> bool {
         let now = self.now.steady;
-        let answered_at = self.replication.answered_at;
-        answered_at.is_some_and(|at| now < at + WATCH_HOLD_MS + STATE_TIMEOUT_MS)
+        let answered_at = self.store_sync.answered_at;
+        answered_at.is_some_and(|at| now < at + WATCH_HOLD_MS + STORE_TIMEOUT_MS)
     }
 
     /// Leadership is certain and the watch cache recent enough to start tasks.
     pub(super) fn may_start(&self) -> bool {
         let now = self.now.steady;
-        let complete = self.replication.complete_as_of;
-        let recent = complete.is_some_and(|c| now < c.at + WATCH_HOLD_MS + STATE_TIMEOUT_MS);
+        let complete = self.store_sync.complete_as_of;
+        let recent = complete.is_some_and(|c| now < c.at + WATCH_HOLD_MS + STORE_TIMEOUT_MS);
         recent && self.lease.is_certain(now)
     }
 
     pub(super) fn load_tick(&mut self) {
         let now = self.now.steady;
-        let replication = &mut self.replication;
-        if self.replica.loaded || replication.loading || now < replication.next_load_at {
+        let store_sync = &mut self.store_sync;
+        if self.watch_cache.loaded || store_sync.loading || now < store_sync.next_load_at {
             return;
         }
-        replication.next_load_at = now + LOAD_RETRY_MS;
-        replication.loading = true;
-        replication.last_key = None;
-        self.replica.restart();
+        store_sync.next_load_at = now + LOAD_RETRY_MS;
+        store_sync.loading = true;
+        store_sync.last_key = None;
+        self.watch_cache.restart();
         let path = format!("/kv?under={LEADERSHIP_PREFIX}&most={LEADERSHIP_PAGE}");
-        let call = HttpCall::get(path, STATE_TIMEOUT_MS);
-        self.call_state_service(PendingCall::LoadLeadership, call);
+        let call = HttpCall::get(path, STORE_TIMEOUT_MS);
+        self.call_store(PendingCall::LoadLeadership, call);
     }
 
     fn load_duties(&mut self, from: Option<&str>) {
         let from = from.map(|key| format!("&from={key}")).unwrap_or_default();
         let path = format!("/kv?under={DUTIES_PREFIX}{from}&most={JOBS_PAGE}");
-        let call = HttpCall::get(path, STATE_TIMEOUT_MS);
-        self.call_state_service(PendingCall::LoadDuties, call);
+        let call = HttpCall::get(path, STORE_TIMEOUT_MS);
+        self.call_store(PendingCall::LoadDuties, call);
     }
 
     fn load_jobs(&mut self, from: Option<&str>) {
         let from = from.map(|key| format!("&from={key}")).unwrap_or_default();
         let path = format!("/kv?under={JOBS_PREFIX}{from}&most={JOBS_PAGE}");
-        let call = HttpCall::get(path, 2 * STATE_TIMEOUT_MS);
-        self.call_state_service(PendingCall::LoadJobs, call);
+        let call = HttpCall::get(path, 2 * STORE_TIMEOUT_MS);
+        self.call_store(PendingCall::LoadJobs, call);
     }
 
     pub(super) fn on_leadership_page(&mut self, outcome: &Outcome) {
         let Some(page) = self.decode_page(outcome) else {
             return;
         };
-        self.replica.apply_page(&page);
+        self.watch_cache.apply_page(&page);
         // Changes since then are told by the watch, those in later pages
         // a second time.
-        self.replica.revision = page.revision;
+        self.watch_cache.revision = page.revision;
         // Before that format nothing is on record of duties.
         if self.are_duties_active() {
             self.load_duties(None);
@@ -116,9 +116,9 @@
         let Some(page) = self.decode_page(outcome) else {
             return;
         };
-        self.replica.apply_page(&page);
+        self.watch_cache.apply_page(&page);
         if !page.truncated {
-            self.replication.last_key = None;
+            self.store_sync.last_key = None;
             return self.load_jobs(None);
         }
         if let Some(last) = self.next_page_from(&page) {
@@ -130,12 +130,12 @@
     /// if the pages do not go on.
     fn next_page_from(&mut self, page: &wire::Page) -> Option<String> {
         let last = page.pairs.last().map(|pair| pair.key.clone());
-        if last <= self.replication.last_key {
+        if last <= self.store_sync.last_key {
             error!("the state service's pages don't go on behind {last:?}");
             self.retry_load();
             return None;
         }
-        self.replication.last_key = last.clone();
+        self.store_sync.last_key = last.clone();
         last
     }
 
@@ -143,19 +143,19 @@
         let Some(page) = self.decode_page(outcome) else {
             return;
         };
-        self.replica.apply_page(&page);
+        self.watch_cache.apply_page(&page);
         if page.truncated {
             if let Some(last) = self.next_page_from(&page) {
                 self.load_jobs(Some(&last));
             }
             return;
         }
-        self.replication.loading = false;
-        self.replica.loaded = true;
+        self.store_sync.loading = false;
+        self.watch_cache.loaded = true;
         info!(
             "replica loaded at revision {}: {} jobs",
-            self.replica.revision,
-            self.replica.jobs.len()
+            self.watch_cache.revision,
+            self.watch_cache.jobs.len()
         );
         if self.is_outdated() {
             self.on_format_changed();
@@ -175,18 +175,18 @@
     }
 
     fn retry_load(&mut self) {
-        self.replication.loading = false;
-        self.replication.next_load_at = self.now.steady + PAGE_RETRY_MS;
+        self.store_sync.loading = false;
+        self.store_sync.next_load_at = self.now.steady + PAGE_RETRY_MS;
     }
 
     fn watch_path(&self, hold_ms: u64) -> String {
-        let from = self.replica.revision;
+        let from = self.watch_cache.revision;
         format!("/watch?under={ROOT_PREFIX}&from={from}&holdMs={hold_ms}")
     }
 
     /// Between two reads of a sort that may have this share of the
     /// controller's requests.
-    fn read_gap_ms(&self, share: f64) -> u64 {
+    fn read_interval_ms(&self, share: f64) -> u64 {
         let controllers = (self.settings.peers.len() + 1) as f64;
         let cluster = &self.settings.cluster;
         let gap_ms = 1000.0 * controllers / (cluster.state.rps * share);
@@ -194,62 +194,62 @@
     }
 
     pub(super) fn watch_tick(&mut self) {
-        if !self.replica.loaded {
+        if !self.watch_cache.loaded {
             return;
         }
-        self.watch_if_due();
-        self.read_if_wanted();
+        self.open_watch_if_due();
+        self.read_changes_if_due();
     }
 
-    fn watch_if_due(&mut self) {
+    fn open_watch_if_due(&mut self) {
         let now = self.now.steady;
         // While reads for users follow one another, they tell all that a watch
         // would, and a second copy of it is read for nothing.
-        let next_read_at = self.replication.next_read_at;
-        let reads_suffice = now < next_read_at + self.read_gap_ms(USER_READ_SHARE) / 2;
+        let next_read_at = self.store_sync.next_read_at;
+        let reads_suffice = now < next_read_at + self.read_interval_ms(USER_READ_SHARE) / 2;
         let due =
-            !self.replication.watching && !reads_suffice && now >= self.replication.next_watch_at;
-        if !due || !self.state_requests.try_take(now, 1.0, WATCH_RESERVE) {
+            !self.store_sync.watching && !reads_suffice && now >= self.store_sync.next_watch_at;
+        if !due || !self.store_requests.try_take(now, 1.0, WATCH_RESERVE) {
             return;
         }
-        self.replication.watching = true;
+        self.store_sync.watching = true;
         // Never more than so many a second, however much changes.
-        self.replication.next_watch_at = now + self.read_gap_ms(WATCH_SHARE);
+        self.store_sync.next_watch_at = now + self.read_interval_ms(WATCH_SHARE);
         let pending = PendingCall::Watch {
-            from: self.replica.revision,
+            from: self.watch_cache.revision,
             asked: self.event_time(),
         };
         let path = self.watch_path(WATCH_HOLD_MS);
-        let call = HttpCall::get(path, WATCH_HOLD_MS + STATE_TIMEOUT_MS);
-        self.call_state_service(pending, call);
+        let call = HttpCall::get(path, WATCH_HOLD_MS + STORE_TIMEOUT_MS);
+        self.call_store(pending, call);
     }
 
-    fn read_if_wanted(&mut self) {
+    fn read_changes_if_due(&mut self) {
         let now = self.now.steady;
-        let replication = &self.replication;
-        if replication.reading || now < replication.next_read_at || !self.is_read_wanted() {
+        let store_sync = &self.store_sync;
+        if store_sync.reading || now < store_sync.next_read_at || !self.has_waiting_readers() {
             return;
         }
-        if !self.state_requests.try_take(now, 1.0, USER_READ_RESERVE) {
+        if !self.store_requests.try_take(now, 1.0, USER_READ_RESERVE) {
             return;
         }
-        self.replication.reading = true;
-        self.replication.next_read_at = now + self.read_gap_ms(USER_READ_SHARE);
+        self.store_sync.reading = true;
+        self.store_sync.next_read_at = now + self.read_interval_ms(USER_READ_SHARE);
         let pending = PendingCall::ReadChanges {
-            from: self.replica.revision,
+            from: self.watch_cache.revision,
             asked: self.event_time(),
         };
         let call = HttpCall::get(self.watch_path(0), READ_TIMEOUT_MS);
-        self.call_state_service(pending, call);
+        self.call_store(pending, call);
     }
 
     /// Whether somebody waits for a watch cache that is newer than the present one.
-    fn is_read_wanted(&self) -> bool {
-        let complete = self.replication.complete_as_of;
+    fn has_waiting_readers(&self) -> bool {
+        let complete = self.store_sync.complete_as_of;
         let waits = |stage: &RequestStage| match stage {
-            RequestStage::Replica { after, revision } => {
+            RequestStage::AwaitCache { after, revision } => {
                 let too_old = complete.is_none_or(|c| c.sequence < *after);
-                too_old || self.replica.revision < *revision
+                too_old || self.watch_cache.revision < *revision
             }
             _ => false,
         };
@@ -277,7 +277,7 @@
             // The same question would bring the same answer again and again; pages are
             // bounded.
             Outcome::TooLarge => {
-                let revision = self.replica.revision;
+                let revision = self.watch_cache.revision;
                 error!(
                     "the state service's changes since revision {revision} are more than can \
                      be held: reading everything again, by pages"
@@ -288,15 +288,15 @@
                 if for_users {
                     self.forward_waiting_users();
                 }
-                self.replication.next_watch_at = now + READ_RETRY_MS;
-                self.replication.next_read_at = now + READ_RETRY_MS;
+                self.store_sync.next_watch_at = now + READ_RETRY_MS;
+                self.store_sync.next_read_at = now + READ_RETRY_MS;
             }
         }
     }
 
     fn read_all_again(&mut self) {
-        self.replica.loaded = false;
-        self.replication.next_load_at = 0;
+        self.watch_cache.loaded = false;
+        self.store_sync.next_load_at = 0;
         if self.lease.epoch().is_some() {
             self.resign("the replica has to be read again", 0);
         }
@@ -305,44 +305,44 @@
     fn apply_changes(&mut self, reply: &wire::WatchReply, from: u64, asked: EventTime) {
         let format = self.format();
         let effects = self
-            .replica
+            .watch_cache
             .apply_changes(reply.revision, from, &reply.changes);
-        let complete = self.replication.complete_as_of;
+        let complete = self.store_sync.complete_as_of;
         let newer = complete.is_none_or(|c| c.sequence < asked.sequence);
-        if newer && self.replica.revision >= reply.revision {
-            self.replication.complete_as_of = Some(asked);
+        if newer && self.watch_cache.revision >= reply.revision {
+            self.store_sync.complete_as_of = Some(asked);
         }
         for effect in effects {
-            self.on_replica_change(effect);
+            self.on_cache_event(effect);
         }
-        self.pass_dependency_events();
-        if self.replica.format > format {
+        self.forward_dependency_events();
+        if self.watch_cache.format > format {
             self.on_format_changed();
         }
         self.begin_term();
         self.resolve_waiting_users();
     }
 
-    fn on_replica_change(&mut self, change: ReplicaChange) {
+    fn on_cache_event(&mut self, change: CacheEvent) {
         let now = self.now.steady;
         match change {
-            ReplicaChange::JobUpdated(id) => {
-                let Some(job) = self.replica.jobs.get(&id) else {
+            CacheEvent::JobUpdated(id) => {
+                let Some(job) = self.watch_cache.jobs.get(&id) else {
                     return;
                 };
                 if let Some(scheduler) = &mut self.scheduler {
-                    let dependencies = &self.replica.dependencies;
+                    let dependencies = &self.watch_cache.dependencies;
                     let ready_at = job.record.submitted_at;
                     scheduler.apply_job(&id, job, dependencies, ready_at, now);
                 }
             }
-            ReplicaChange::JobRemoved(id) => {
+            CacheEvent::JobRemoved(id) => {
                 if let Some(scheduler) = &mut self.scheduler {
                     scheduler.remove_job(&id);
                 }
             }
-            ReplicaChange::LeaderChanged => {
-                if self.lease.on_replica_change(&self.replica) {
+            CacheEvent::LeaderChanged => {
+                if self.lease.on_cache_event(&self.watch_cache) {
                     self.step_down("the leader key is not ours any more");
                 }
                 self.lease_tick();
--- a/src/node/user_replies.rs
+++ b/src/controller/user_replies.rs
@@ -3,11 +3,11 @@
 use prost::Message;
 
 use super::user_types::{Caller, PendingRequest, TaskCounts};
-use super::Node;
-use crate::mesh::ForwardedReply;
+use super::Controller;
+use crate::peer_protocol::ForwardedReply;
 use crate::wire;
 
-impl Node {
+impl Controller {
     /// Removes a request that has its answer.
     pub(super) fn take_user(&mut self, user: u64) -> Option<PendingRequest> {
         let pending = self.users.remove(&user)?;
--- a/src/node/user_requests.rs
+++ b/src/controller/user_requests.rs
@@ -5,10 +5,10 @@
 
 use super::calls::{HttpCall, PendingCall};
 use super::user_types::{Caller, PendingRequest, RequestStage, TaskCounts, UserRequest};
-use super::{Node, WriteOwner};
-use crate::mesh::{ForwardedRequest, FORWARD_PATH};
+use super::{Controller, WriteOwner};
 use crate::net::Outcome;
-use crate::replica::{final_key, job_key};
+use crate::peer_protocol::{ForwardedRequest, FORWARD_PATH};
+use crate::watch_cache::{final_key, job_key};
 use crate::wire::{self, Condition, Write};
 use crate::write_queue::{CommitResult, WriteClass, WriteRequest};
 
@@ -21,18 +21,18 @@
 /// When users are to come back: the least that they wait anyway.
 const RETRY_AFTER_S: u32 = 1;
 
-impl Node {
-    /// Fails for a controller that the state service refuses while another
+impl Controller {
+    /// Fails for a controller that the store refuses while another
     /// one is served, or which hears none: users would keep to it and get no
     /// answer for as long as it is cut off. An outage that all see takes nobody
     /// out.
     pub fn is_healthy(&self) -> bool {
-        if !self.replica.loaded || self.is_outdated() {
+        if !self.watch_cache.loaded || self.is_outdated() {
             return false;
         }
         let alone = !self.peers.is_empty() && self.live_peers().next().is_none();
-        let another_served = || self.live_peers().any(|peer| peer.status.state_reachable);
-        self.is_state_reachable() || !(alone || another_served())
+        let another_served = || self.live_peers().any(|peer| peer.status.store_reachable);
+        self.is_store_reachable() || !(alone || another_served())
     }
 
     pub(super) fn on_user_request(
@@ -47,7 +47,7 @@
             Err(error) => return self.reply_error(caller, error.status, None, &error.reason),
         };
         // An end is final: no need to read anything.
-        if let Some(state) = self.replica.final_state(&id) {
+        if let Some(state) = self.watch_cache.final_state(&id) {
             return self.reply_status(caller, &id, 200, state.status(), None);
         }
         if !self.admission.admits(self.users.len()) {
@@ -60,7 +60,7 @@
             id,
             request,
             since: self.now.steady,
-            stage: RequestStage::Replica {
+            stage: RequestStage::AwaitCache {
                 after: self.event_count,
                 revision: 0,
             },
@@ -69,7 +69,7 @@
             names_unknown_job: false,
         };
         self.users.insert(user, pending);
-        if !self.replica.loaded || !self.is_state_reachable() || self.is_outdated() {
+        if !self.watch_cache.loaded || !self.is_store_reachable() || self.is_outdated() {
             return self.forward_user(user);
         }
         self.accept_new_job(user);
@@ -78,7 +78,7 @@
     /// Writes a job's cancellation.
     fn cancel_job(&mut self, user: u64, id: &str) {
         let format = self.format();
-        let Some(live) = self.replica.jobs.get(id) else {
+        let Some(live) = self.watch_cache.jobs.get(id) else {
             return;
         };
         let mut record = (*live.record).clone();
@@ -106,7 +106,7 @@
         };
         let served = self.settings.peers.iter().find(|peer| {
             let status = self.recent_status(&peer.member);
-            status.is_some_and(|status| status.state_reachable)
+            status.is_some_and(|status| status.store_reachable)
         });
         let address = served.map(|peer| peer.address);
         let caller = pending.caller;
@@ -134,7 +134,7 @@
 
     /// A read for users has failed: those who wait for it are forwarded.
     pub(super) fn forward_waiting_users(&mut self) {
-        let waits = |stage: RequestStage| matches!(stage, RequestStage::Replica { .. });
+        let waits = |stage: RequestStage| matches!(stage, RequestStage::AwaitCache { .. });
         for user in self.users_where(|pending| waits(pending.stage)) {
             self.forward_user(user);
         }
@@ -147,15 +147,17 @@
 
     /// The watch cache was read anew: whoever waited for that goes on.
     pub(super) fn resolve_waiting_users(&mut self) {
-        if !self.replica.loaded {
+        if !self.watch_cache.loaded {
             // It is being read anew, and lacks what is on later pages.
             return;
         }
-        let complete = self.replication.complete_as_of;
+        let complete = self.store_sync.complete_as_of;
         let sequence = complete.map_or(0, |complete| complete.sequence);
-        let current = self.replica.revision;
+        let current = self.watch_cache.revision;
         let ready = self.users_where(|pending| match pending.stage {
-            RequestStage::Replica { after, revision } => after <= sequence && revision <= current,
+            RequestStage::AwaitCache { after, revision } => {
+                after <= sequence && revision <= current
+            }
             _ => false,
         });
         for user in ready {
@@ -170,23 +172,23 @@
         };
         let id = pending.id.clone();
         let is_cancel = matches!(pending.request, UserRequest::Cancel);
-        if let Some(state) = self.replica.final_state(&id) {
+        if let Some(state) = self.watch_cache.final_state(&id) {
             return self.finish_status(user, 200, state.status(), None);
         }
-        let Some(live) = self.replica.jobs.get(&id) else {
+        let Some(live) = self.watch_cache.jobs.get(&id) else {
             // Neither alive nor known to be over: look.
             return self.read_final(user, &id);
         };
-        if self.replica.is_cancelled(&id) {
+        if self.watch_cache.is_cancelled(&id) {
             return self.finish_status(user, 200, wire::WITHDRAWN, None);
         }
         if is_cancel {
             return self.cancel_job(user, &id);
         }
-        if self.replica.dependencies.has_unresolved(&id) {
+        if self.watch_cache.dependencies.has_unresolved(&id) {
             // It may be cancelled by a job that is yet to be looked up.
             let after = self.event_count + 1;
-            return self.set_stage(user, RequestStage::Replica { after, revision: 0 });
+            return self.set_stage(user, RequestStage::AwaitCache { after, revision: 0 });
         }
         let counts = TaskCounts {
             done: live.record.done.len(),
@@ -203,7 +205,7 @@
     fn read_final(&mut self, user: u64, id: &str) {
         self.set_stage(user, RequestStage::Read);
         let call = HttpCall::get_key(&final_key(id));
-        self.call_state_service(PendingCall::ReadFinal { user }, call);
+        self.call_store(PendingCall::ReadFinal { user }, call);
     }
 
     pub(super) fn on_final_read(&mut self, user: u64, outcome: &Outcome) {
@@ -236,7 +238,7 @@
             // Another change came first: see what stands now.
             CommitResult::Conflict { revision, .. } => {
                 let revision = *revision;
-                pending.stage = RequestStage::Replica { after, revision };
+                pending.stage = RequestStage::AwaitCache { after, revision };
             }
             CommitResult::Rejected | CommitResult::Unknown => {
                 let until = now + RETRY_MS;
@@ -272,7 +274,7 @@
     }
 
     fn retry_user(&mut self, user: u64) {
-        if !self.is_state_reachable() {
+        if !self.is_store_reachable() {
             return self.forward_user(user);
         }
         let after = self.event_count;
@@ -284,7 +286,7 @@
             // fails on its condition and the job is found.
             UserRequest::Submit(_) => self.create_job(user),
             UserRequest::Poll | UserRequest::Cancel => {
-                pending.stage = RequestStage::Replica { after, revision: 0 };
+                pending.stage = RequestStage::AwaitCache { after, revision: 0 };
             }
         }
     }
--- a/src/node/user_submissions.rs
+++ b/src/controller/user_submissions.rs
@@ -3,10 +3,10 @@
 use tracing::debug;
 
 use super::user_types::{Refusal, RequestStage, UserRequest};
-use super::{Node, WriteOwner};
+use super::{Controller, WriteOwner};
 use crate::cloud;
 use crate::job::{json_length, JobRecord, JobSpec, Shape};
-use crate::replica::{final_key, job_key};
+use crate::watch_cache::{final_key, job_key};
 use crate::wire::{self, Condition, Write};
 use crate::write_queue::{WriteClass, WriteRequest};
 
@@ -19,7 +19,7 @@
 /// length of which nothing is left out.
 const PLACEMENT_BYTES: f64 = 16.0;
 
-impl Node {
+impl Controller {
     /// Creates a job that is not known and can run. Any other request, also one that is to
     /// be refused, waits for a newer watch cache: it may have been accepted before.
     pub(super) fn accept_new_job(&mut self, user: u64) {
@@ -29,11 +29,11 @@
         let UserRequest::Submit(spec) = &pending.request else {
             return;
         };
-        if self.replica.jobs.contains_key(&pending.id) {
+        if self.watch_cache.jobs.contains_key(&pending.id) {
             return;
         }
         match self.check_runnable(spec) {
-            Ok(()) => self.create_or_find_dependencies(user),
+            Ok(()) => self.resolve_dependencies(user),
             Err(refusal) => debug!("{}: {refusal}", pending.id),
         }
     }
@@ -116,7 +116,7 @@
             decision => decision,
         };
         match decision {
-            Ok(()) => self.create_or_find_dependencies(user),
+            Ok(()) => self.resolve_dependencies(user),
             Err(refusal) => {
                 let body = wire::encode(&wire::ErrorReply {
                     error: &refusal.to_string(),
--- a/src/node/user_types.rs
+++ b/src/controller/user_types.rs
@@ -24,7 +24,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum RequestStage {
     /// A watch cache read after this event and of at least this revision.
-    Replica { after: u64, revision: u64 },
+    AwaitCache { after: u64, revision: u64 },
     /// The outcome of a change.
     Commit,
     /// The direct read of a key.
--- a/src/duties/mod.rs
+++ b/src/duties/mod.rs
@@ -1,8 +1,8 @@
-//! Duties of the controllers under fenced leases: their records in the state service,
+//! Duties of the controllers under fenced leases: their records in the store,
 //! and a report on them for operators.
 //!
 //! The leases and the order book are in the package `duty-lease`; what a controller does
-//! with them is in [`crate::node`].
+//! with them is in [`crate::controller`].
 
 mod query;
 mod records;
--- a/src/duties/query.rs
+++ b/src/duties/query.rs
@@ -1,4 +1,4 @@
-//! Reads the state of duties from the state service, for the command line.
+//! Reads the state of duties from the store, for the command line.
 
 use std::collections::HashSet;
 use std::io;
@@ -22,7 +22,7 @@
 const PAGE_MAX: usize = 500;
 /// Sockets that the query may use.
 const SOCKETS: usize = 64;
-/// Largest answer: a page of the state service has up to 512 KiB.
+/// Largest answer: a page of the store has up to 512 KiB.
 const REPLY_MAX: usize = 1024 * 1024;
 
 /// Why the state of duties can't be told.
@@ -31,7 +31,7 @@
     /// No sockets.
     #[error("no sockets: {0}")]
     Sockets(#[from] io::Error),
-    /// The state service does not answer in time.
+    /// The store does not answer in time.
     #[error("the state service at {0} does not answer")]
     NoAnswer(SocketAddr),
     /// It refuses to answer.
@@ -51,7 +51,7 @@
 ///
 /// # Errors
 ///
-/// If the state service is out, slow, refuses, or answers what can't be read; within five
+/// If the store is out, slow, refuses, or answers what can't be read; within five
 /// seconds.
 pub fn read_report(settings: &Settings) -> Result<DutyReport, QueryError> {
     let mut query = Query::new(settings.endpoints.state)?;
@@ -62,7 +62,7 @@
     Ok(DutyReport::new(&pairs, format, now_ms))
 }
 
-/// One call at a time to the state service.
+/// One call at a time to the store.
 struct Query {
     event_loop: EventLoop,
     address: SocketAddr,
--- a/src/duties/records.rs
+++ b/src/duties/records.rs
@@ -1,4 +1,4 @@
-//! The records of duties in the state service, and the watch cache of them.
+//! The records of duties in the store, and the watch cache of them.
 //!
 //! An order is one key that goes through three phases: the leader writes that it is
 //! *needed*, the holder of the duty *records* the order before it sends it, and the record
@@ -137,7 +137,7 @@
     pub after: Option<OrderRecord>,
 }
 
-/// What the state service holds of duties.
+/// What the store holds of duties.
 #[derive(Debug, Default)]
 pub struct DutyRecords {
     leases: BTreeMap<Duty, LeaseView>,
@@ -250,21 +250,21 @@
         match parse_key(key) {
             Some(DutyKey::Holder(duty)) => match value.deserialized::<StoredHolder>() {
                 Ok(stored) => self.set_holder(duty, Some(stored.holder), version),
-                Err(_) => self.note_unreadable(key, version),
+                Err(_) => self.record_unreadable(key, version),
             },
             Some(DutyKey::Token(duty)) => match value.deserialized::<Token>() {
                 Ok(token) => self.set_token(duty, token, version),
-                Err(_) => self.note_unreadable(key, version),
+                Err(_) => self.record_unreadable(key, version),
             },
             Some(DutyKey::Refusal) => {}
             Some(DutyKey::Order(order)) => match value.deserialized::<OrderRecord>() {
                 Ok(record) => self.set_order(order, record, version),
                 Err(_) => {
-                    self.note_unreadable(key, version);
-                    self.set_stale(&order, version);
+                    self.record_unreadable(key, version);
+                    self.mark_stale(&order, version);
                 }
             },
-            None => self.note_unreadable(key, version),
+            None => self.record_unreadable(key, version),
         }
     }
 
@@ -284,14 +284,14 @@
     }
 
     /// An own acquisition was carried out.
-    pub fn acquired(&mut self, duty: Duty, holder: HolderKey, version: u64) {
+    pub fn apply_own_acquisition(&mut self, duty: Duty, holder: HolderKey, version: u64) {
         self.set_token(duty, holder.token, version);
         self.set_holder(duty, Some(holder), version);
     }
 
     /// An own change of an order was carried out; the watch tells of it later. `None`: it
     /// was removed.
-    pub fn apply_own(&mut self, key: &OrderKey, record: Option<OrderRecord>, version: u64) {
+    pub fn apply_own_write(&mut self, key: &OrderKey, record: Option<OrderRecord>, version: u64) {
         match record {
             Some(record) => self.set_order(key.clone(), record, version),
             None => {
@@ -304,7 +304,7 @@
     }
 
     /// The watch has told of everything up to this revision.
-    pub fn read_up_to(&mut self, revision: u64) {
+    pub fn discard_removals_up_to(&mut self, revision: u64) {
         self.removed.retain(|_, version| *version > revision);
     }
 
@@ -351,7 +351,7 @@
         self.record_change(key, before, Some(record));
     }
 
-    fn set_stale(&mut self, key: &OrderKey, version: u64) {
+    fn mark_stale(&mut self, key: &OrderKey, version: u64) {
         if let Some(stored) = self.orders.get_mut(key) {
             if stored.version < version {
                 stored.version = version;
@@ -408,7 +408,7 @@
         });
     }
 
-    fn note_unreadable(&mut self, key: &str, version: u64) {
+    fn record_unreadable(&mut self, key: &str, version: u64) {
         if self.unreadable.insert(key.to_string(), version).is_none() {
             error!("{key} can't be read: it is kept, and nothing is done about it");
         }
--- a/src/duties/report.rs
+++ b/src/duties/report.rs
@@ -11,7 +11,7 @@
 };
 use crate::wire::KeyValue;
 
-/// The state of all duties, as of one read of the state service.
+/// The state of all duties, as of one read of the store.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct DutyReport {
     /// Whether duties have left the leader.
--- a/src/fleet_capacity.rs
+++ b/src/fleet_capacity.rs
@@ -10,7 +10,7 @@
 /// The same for one that brings a connection.
 const CONNECTING_HEARTBEAT_CORE_S: f64 = 250e-6;
 /// The part of a leader's processor share that heartbeats may take; plans, starts, users and
-/// the state service need the rest.
+/// the store need the rest.
 const HEARTBEAT_SHARE: f64 = 0.5;
 /// After a takeover all agents have to come within this part of their lease.
 const TAKEOVER_LEASE_SHARE: f64 = 0.5;
--- a/src/job.rs
+++ b/src/job.rs
@@ -1,4 +1,4 @@
-//! Jobs, and the compact record of each that the state service keeps.
+//! Jobs, and the compact record of each that the store keeps.
 
 use ciborium::Value;
 use serde::{Deserialize, Serialize};
@@ -234,7 +234,7 @@
     !flag
 }
 
-/// A value's size as the state service counts it, in bytes.
+/// A value's size as the store counts it, in bytes.
 pub fn json_length(value: &Value) -> usize {
     serde_json::to_vec(value).map_or(usize::MAX, |text| text.len())
 }
--- a/src/leader_lease.rs
+++ b/src/leader_lease.rs
@@ -1,15 +1,15 @@
-//! The leader lease: one key in the state service that lives as long as its holder's
+//! The leader lease: one key in the store that lives as long as its holder's
 //! grant, and an epoch that rises with each election and fences earlier leaders.
 
 use crate::job::PACKED_FORMAT;
 use crate::leadership_keys::{Fence, LeaderKey};
-use crate::replica::Replica;
 use crate::settings::{ClusterSettings, OperatorSettings};
 use crate::time_units::to_ms;
+use crate::watch_cache::WatchCache;
 
 /// Longest life of a grant, as a share of an agent's lease.
 const TTL_SHARE_MAX: f64 = 0.25;
-/// Shortest life that the state service gives a grant.
+/// Shortest life that the store gives a grant.
 const TTL_MIN_MS: u64 = 100;
 
 /// How long a leader's grant lives without a renewal.
@@ -41,7 +41,7 @@
     pub fence: Fence,
 }
 
-/// A request to the state service.
+/// A request to the store.
 #[derive(Debug, Clone, PartialEq)]
 pub enum LeaseRequest {
     /// Ask for a grant.
@@ -147,13 +147,18 @@
     }
 
     /// The next request, if it is time for one.
-    pub fn tick(&mut self, now: u64, replica: &Replica, jitter: f64) -> Option<LeaseRequest> {
+    pub fn tick(
+        &mut self,
+        now: u64,
+        watch_cache: &WatchCache,
+        jitter: f64,
+    ) -> Option<LeaseRequest> {
         if self.sent_at.is_some() || now < self.next_request_at {
             return None;
         }
         let request = match self.state {
             LeaseState::Following => {
-                if !self.may_stand(now, replica) {
+                if !self.may_campaign(now, watch_cache) {
                     return None;
                 }
                 self.state = LeaseState::Granting;
@@ -162,13 +167,13 @@
             LeaseState::Granting => LeaseRequest::Grant,
             LeaseState::Electing { grant } => {
                 let another = |key: &(LeaderKey, u64)| key.0.member != self.member;
-                if replica.leader().is_some_and(another) {
+                if watch_cache.leader().is_some_and(another) {
                     self.state = LeaseState::Following;
                     let pause = self.ttl_ms as f64 * (0.1 + 0.1 * jitter);
                     self.next_request_at = now + pause as u64;
                     return Some(LeaseRequest::Revoke(grant));
                 }
-                LeaseRequest::Elect(election(grant, replica, self.writes_max))
+                LeaseRequest::Elect(election(grant, watch_cache, self.writes_max))
             }
             LeaseState::Leading { grant, .. } => LeaseRequest::Renew(grant),
         };
@@ -177,12 +182,12 @@
     }
 
     /// Whether the key is free, or of this process' earlier life.
-    fn may_stand(&self, now: u64, replica: &Replica) -> bool {
-        let free = match replica.leader() {
+    fn may_campaign(&self, now: u64, watch_cache: &WatchCache) -> bool {
+        let free = match watch_cache.leader() {
             None => true,
             Some((leader, _)) => leader.member == self.member,
         };
-        replica.loaded && now >= self.standby_until && free
+        watch_cache.loaded && now >= self.standby_until && free
     }
 
     /// Takes in the response to the last request. True if leadership began or ended.
@@ -235,11 +240,11 @@
 
     /// The keys have changed in the watch cache. True if that ended leadership: the key is
     /// another's, or gone.
-    pub fn on_replica_change(&mut self, replica: &Replica) -> bool {
+    pub fn on_cache_event(&mut self, watch_cache: &WatchCache) -> bool {
         let LeaseState::Leading { version, .. } = self.state else {
             return false;
         };
-        if replica.leader().is_some_and(|key| key.1 == version) {
+        if watch_cache.leader().is_some_and(|key| key.1 == version) {
             return false;
         }
         self.state = LeaseState::Following;
@@ -247,11 +252,11 @@
     }
 }
 
-fn election(grant: u64, replica: &Replica, writes_max: usize) -> Election {
+fn election(grant: u64, watch_cache: &WatchCache, writes_max: usize) -> Election {
     // Where a transaction is too small for it, the fence stays down.
-    let fence = if replica.is_superseded() {
+    let fence = if watch_cache.is_superseded() {
         Fence::Raised
-    } else if replica.format >= PACKED_FORMAT && writes_max >= RAISE_WRITES {
+    } else if watch_cache.format >= PACKED_FORMAT && writes_max >= RAISE_WRITES {
         Fence::Raise
     } else {
         Fence::None
@@ -259,10 +264,10 @@
     let version = |key: &Option<(LeaderKey, u64)>| key.as_ref().map_or(0, |key| key.1);
     Election {
         grant,
-        epoch: replica.epoch + 1,
-        leader_version: version(&replica.leader_key),
-        lease_version: version(&replica.lease_key),
-        epoch_version: replica.epoch_version,
+        epoch: watch_cache.epoch + 1,
+        leader_version: version(&watch_cache.leader_key),
+        lease_version: version(&watch_cache.lease_key),
+        epoch_version: watch_cache.epoch_version,
         fence,
     }
 }
--- a/src/leadership_keys.rs
+++ b/src/leadership_keys.rs
@@ -1,4 +1,4 @@
-//! The keys of the state service that say who leads and which format holds.
+//! The keys of the store that say who leads and which format holds.
 
 use ciborium::Value;
 use serde::{Deserialize, Serialize};
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -7,6 +7,7 @@
 
 pub mod admission;
 pub mod cloud;
+pub mod controller;
 pub mod dependencies;
 pub mod duties;
 pub mod fleet_capacity;
@@ -14,17 +15,16 @@
 pub mod leader_lease;
 pub mod leadership_keys;
 pub mod machine;
-pub mod mesh;
 pub mod net;
-pub mod node;
 pub mod packed_record;
+pub mod peer_protocol;
 pub mod plan;
 pub mod rate_limit;
-pub mod replica;
 pub mod scheduler;
 pub mod serve;
 pub mod settings;
 mod task_runs;
 mod time_units;
+pub mod watch_cache;
 pub mod wire;
 pub mod write_queue;
--- a/src/net/event_loop.rs
+++ b/src/net/event_loop.rs
@@ -16,7 +16,7 @@
 const READ_MAX: usize = 16 * 1024;
 const WAKE: Token = Token(0);
 const FRONT: Token = Token(1);
-const MESH: Token = Token(2);
+const PEERS: Token = Token(2);
 const FIRST_CONNECTION: usize = 16;
 const EVENTS_MAX: usize = 512;
 /// Shares of all sockets: for those who connect to us, and for our calls to
@@ -54,11 +54,11 @@
     /// How many sockets there may be.
     pub fd_limit: usize,
     /// Whom a call must always reach, however many agents are called: the
-    /// state service, the cloud and the other controllers.
+    /// store, the cloud and the other controllers.
     pub vital: HashSet<SocketAddr>,
     /// An agent that has said nothing for so long is gone.
     pub agent_idle: Duration,
-    /// Largest answer to a call: the state service's watch has no limit of its own.
+    /// Largest answer to a call: the store's watch has no limit of its own.
     pub reply_max: usize,
 }
 
@@ -67,7 +67,7 @@
     pub(super) poll: Poll,
     events: Events,
     front: TcpListener,
-    mesh: TcpListener,
+    peers: TcpListener,
     pub(super) connections: HashMap<usize, Connection>,
     /// Idle connections that we have opened.
     pub(super) pool: HashMap<SocketAddr, Vec<usize>>,
@@ -92,7 +92,7 @@
     longest_wait_ms: u64,
     /// More may wait to be accepted.
     front_pending: bool,
-    mesh_pending: bool,
+    peers_pending: bool,
     accept_again: bool,
     buffer: Box<[u8]>,
     /// Connections with a call in progress.
@@ -115,22 +115,22 @@
     /// Listens on both addresses.
     pub fn new(
         front: SocketAddr,
-        mesh: SocketAddr,
+        peers: SocketAddr,
         limits: ConnectionLimits,
     ) -> io::Result<EventLoop> {
         let poll = Poll::new()?;
         let mut front = listen(front)?;
-        let mut mesh = listen(mesh)?;
+        let mut peers = listen(peers)?;
         let registry = poll.registry();
         registry.register(&mut front, FRONT, Interest::READABLE)?;
-        registry.register(&mut mesh, MESH, Interest::READABLE)?;
+        registry.register(&mut peers, PEERS, Interest::READABLE)?;
         let share = |shares: usize| limits.fd_limit * shares / SHARES;
         let now = Instant::now();
         Ok(EventLoop {
             poll,
             events: Events::with_capacity(EVENTS_MAX),
             front,
-            mesh,
+            peers,
             connections: HashMap::new(),
             pool: HashMap::new(),
             next_id: FIRST_CONNECTION,
@@ -146,7 +146,7 @@
             newcomers: VecDeque::new(),
             longest_wait_ms: 0,
             front_pending: false,
-            mesh_pending: false,
+            peers_pending: false,
             accept_again: false,
             buffer: vec![0; READ_MAX].into_boxed_slice(),
             calling: BTreeSet::new(),
@@ -182,7 +182,7 @@
             match event.token() {
                 WAKE => {}
                 FRONT => self.front_pending = true,
-                MESH => self.mesh_pending = true,
+                PEERS => self.peers_pending = true,
                 Token(id) => {
                     if event.is_writable() || event.is_error() {
                         self.flush(id);
@@ -208,7 +208,7 @@
             || !self.waiting.is_empty()
             || !self.newcomers.is_empty()
             || self.front_pending
-            || self.mesh_pending
+            || self.peers_pending
     }
 
     /// What is urgent is read at once, the rest in its turn.
@@ -233,7 +233,7 @@
     /// Answers from `vital` addresses, and what other controllers ask.
     fn is_urgent(&self, id: usize) -> bool {
         match self.connections.get(&id).map(|c| &c.role) {
-            Some(Role::Server(state)) => state.listener == Listener::Mesh,
+            Some(Role::Server(state)) => state.listener == Listener::Peers,
             Some(Role::Client(state)) => self.limits.vital.contains(&state.address),
             None => false,
         }
@@ -291,8 +291,8 @@
     }
 
     fn accept_pending(&mut self) {
-        if self.mesh_pending {
-            self.mesh_pending = self.accept(Listener::Mesh, BATCH);
+        if self.peers_pending {
+            self.peers_pending = self.accept(Listener::Peers, BATCH);
         }
         if self.front_pending {
             let busy = self.waiting.len() + self.newcomers.len() > BATCH;
@@ -306,7 +306,7 @@
         for _ in 0..max {
             let accepted = match listener {
                 Listener::Front => self.front.accept(),
-                Listener::Mesh => self.mesh.accept(),
+                Listener::Peers => self.peers.accept(),
             };
             let mut socket = match accepted {
                 Ok((socket, _)) => socket,
@@ -552,7 +552,7 @@
         }
         if std::mem::take(&mut self.accept_again) {
             self.front_pending = true;
-            self.mesh_pending = true;
+            self.peers_pending = true;
         }
     }
 }
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -25,7 +25,7 @@
     /// For users, agents and health checks.
     Front,
     /// For other controllers.
-    Mesh,
+    Peers,
 }
 
 /// A request that came in.
--- a/src/mesh.rs
+++ b/src/peer_protocol.rs
@@ -14,9 +14,9 @@
     /// The sender.
     #[prost(string, tag = "1")]
     pub member: String,
-    /// The state service has answered it lately.
+    /// The store has answered it lately.
     #[prost(bool, tag = "2")]
-    pub state_reachable: bool,
+    pub store_reachable: bool,
     /// The epoch of its leadership; 0 if it does not lead.
     #[prost(uint64, tag = "3")]
     pub leading_epoch: u64,
--- a/src/scheduler/job_state.rs
+++ b/src/scheduler/job_state.rs
@@ -5,7 +5,7 @@
 
 use crate::job::{FinalState, JobRecord, JobSpec, Priority, RecordWriter, Shape, TaskRun, TaskSet};
 use crate::machine::TaskPhase;
-use crate::replica::LiveJob;
+use crate::watch_cache::LiveJob;
 
 /// A task that is being stopped.
 #[derive(Debug, Clone)]
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -36,9 +36,9 @@
 
 use crate::machine::Machine;
 use crate::rate_limit::TokenBucket;
-use crate::replica::Replica;
-use crate::settings::{ClusterSettings, OperatorSettings, StateLimits};
+use crate::settings::{ClusterSettings, OperatorSettings, StoreLimits};
 use crate::time_units::to_ms;
+use crate::watch_cache::WatchCache;
 use crate::wire::{Command, Condition, MachineType};
 use arrivals::ArrivalRate;
 use dependency_links::DependencyLinks;
@@ -143,7 +143,7 @@
         cluster: &ClusterSettings,
         operator: &OperatorSettings,
         machine_types: Arc<Vec<MachineType>>,
-        replica: &Replica,
+        watch_cache: &WatchCache,
         now: u64,
     ) -> Scheduler {
         let direct_starts = cluster.limits.cpu_share * DIRECT_STARTS_PER_CORE;
@@ -183,8 +183,8 @@
         };
         // Since when a job has been ready is not on record.
         let ready_at = scheduler.term.began_wall_ms;
-        for (id, job) in &replica.jobs {
-            scheduler.apply_job(id, job, &replica.dependencies, ready_at, now);
+        for (id, job) in &watch_cache.jobs {
+            scheduler.apply_job(id, job, &watch_cache.dependencies, ready_at, now);
         }
         scheduler
     }
@@ -205,7 +205,7 @@
     }
 
     /// Records are written in another form, within other limits.
-    pub fn set_format(&mut self, format: u64, limits: &StateLimits) {
+    pub fn set_format(&mut self, format: u64, limits: &StoreLimits) {
         self.format = format;
         self.cluster.state = limits.clone();
     }
--- a/src/scheduler/records.rs
+++ b/src/scheduler/records.rs
@@ -8,7 +8,7 @@
 use super::{to_ms, Effect, Job, Placement, Scheduler};
 use crate::dependencies::DependencyGraph;
 use crate::job::FinalState;
-use crate::replica::{final_key, job_key, LiveJob};
+use crate::watch_cache::{final_key, job_key, LiveJob};
 use crate::wire::{Condition, Write};
 use crate::write_queue::CommitResult;
 
@@ -138,7 +138,7 @@
         self.needs_planning = true;
     }
 
-    /// The state service has answered a change of a job's record.
+    /// The store has answered a change of a job's record.
     pub fn on_commit(
         &mut self,
         id: &str,
--- a/src/serve.rs
+++ b/src/serve.rs
@@ -1,5 +1,5 @@
 //! Threads and clocks: the I/O thread and the planning thread share one
-//! [`Node`] behind a lock that is held for short steps only.
+//! [`Controller`] behind a lock that is held for short steps only.
 
 use std::collections::HashSet;
 use std::io;
@@ -10,9 +10,9 @@
 use mio::Waker;
 use tracing::info;
 
+use crate::controller::{Controller, Timestamp};
 use crate::fleet_capacity::limit_capacities;
 use crate::net::{Action, ConnectionLimits, Event, EventLoop};
-use crate::node::{Node, Timestamp};
 use crate::plan::{self, Snapshot};
 use crate::settings::{OperatorSettings, Settings};
 
@@ -21,7 +21,7 @@
 
 /// The part of the memory that one answer to a call may take, which takes a few times its
 /// size when it is decoded, and what it may take in any
-/// case: a page of the state service has up to 512 KiB.
+/// case: a page of the store has up to 512 KiB.
 const REPLY_MEMORY_SHARE: f64 = 1.0 / 16.0;
 const REPLY_MIN: usize = 1024 * 1024;
 
@@ -80,7 +80,7 @@
 
 /// What the threads share.
 struct Shared {
-    node: Mutex<Node>,
+    controller: Mutex<Controller>,
     inbox: PlannerInbox,
     clock: Clock,
 }
@@ -94,7 +94,7 @@
     let mut event_loop = EventLoop::new(settings.front, settings.mesh_addr, limits)?;
     let waker = event_loop.waker()?;
     let shared = Arc::new(Shared {
-        node: Mutex::new(Node::new(settings, operator, rand::random())),
+        controller: Mutex::new(Controller::new(settings, operator, rand::random())),
         inbox: PlannerInbox::default(),
         clock: Clock {
             started: Instant::now(),
@@ -112,7 +112,7 @@
         let actions;
         (actions, wait_ms) = handle_events(&shared, events, read_delay_ms);
         for action in actions {
-            carry_out(&mut event_loop, action);
+            execute_action(&mut event_loop, action);
         }
     }
 }
@@ -135,16 +135,16 @@
     loop {
         let (epoch, snapshot) = shared.inbox.take();
         let decision = plan::cycle(snapshot);
-        lock(&shared.node).on_planned(shared.clock.now(), epoch, decision);
+        lock(&shared.controller).apply_plan(shared.clock.now(), epoch, decision);
         if let Err(e) = waker.wake() {
             tracing::error!("the event loop can't be woken: {e}");
         }
     }
 }
 
-/// Passes events on to the node. Returns what is to be done, and how long to wait then.
+/// Passes events on to the controller. Returns what is to be done, and how long to wait then.
 fn handle_events(shared: &Shared, events: Vec<Event>, read_delay_ms: u64) -> (Vec<Action>, u64) {
-    let mut node = lock(&shared.node);
+    let mut controller = lock(&shared.controller);
     // The steady clock is read anew before every event; the time of day,
     // which is but noted in records, once a turn.
     let mut now = shared.clock.now();
@@ -152,18 +152,18 @@
         if index > 0 {
             now.steady = shared.clock.steady_ms();
         }
-        node.event(now, event);
+        controller.handle_event(now, event);
     }
-    node.on_read_delay(now, read_delay_ms);
-    node.tick(now);
-    let snapshot = node.plan_due(now);
+    controller.on_read_delay(now, read_delay_ms);
+    controller.tick(now);
+    let snapshot = controller.take_due_snapshot(now);
     if let Some(snapshot) = snapshot {
-        shared.inbox.put(node.epoch(), snapshot);
+        shared.inbox.put(controller.epoch(), snapshot);
     }
-    (node.take_actions(), node.wait_ms(now.steady))
+    (controller.take_actions(), controller.wait_ms(now.steady))
 }
 
-fn carry_out(event_loop: &mut EventLoop, action: Action) {
+fn execute_action(event_loop: &mut EventLoop, action: Action) {
     match action {
         Action::Answer {
             connection,
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -108,7 +108,7 @@
 pub struct Endpoints {
     /// The cloud, which rents machines.
     pub cloud: SocketAddr,
-    /// The state service.
+    /// The store.
     pub state: SocketAddr,
 }
 
@@ -126,8 +126,8 @@
     pub objectives: Vec<ServiceLevelObjective>,
     /// Times of agents.
     pub workers: AgentTimings,
-    /// Limits of the state service.
-    pub state: StateLimits,
+    /// Limits of the store.
+    pub state: StoreLimits,
     /// Limits of the cloud.
     pub cloud: CloudLimits,
     /// Limits of a controller's process.
@@ -190,9 +190,9 @@
     pub cancel_s: f64,
 }
 
-/// Limits of the state service.
+/// Limits of the store.
 #[derive(Debug, Clone, Deserialize)]
-pub struct StateLimits {
+pub struct StoreLimits {
     /// Requests a second.
     pub rps: f64,
     /// Changes a second.
@@ -206,7 +206,7 @@
     pub next: Option<NextLimits>,
 }
 
-/// Limits of the state service that will come without notice; those that are not
+/// Limits of the store that will come without notice; those that are not
 /// named stay.
 #[derive(Debug, Clone, Default, Deserialize)]
 pub struct NextLimits {
@@ -221,9 +221,9 @@
     pub txn_ops: Option<usize>,
 }
 
-impl StateLimits {
+impl StoreLimits {
     /// The lower of each, now and next.
-    pub fn lowered(&self) -> StateLimits {
+    pub fn lowered(&self) -> StoreLimits {
         let mut lowered = self.clone();
         let Some(next) = &self.next else {
             return lowered;
@@ -363,11 +363,11 @@
             let problem = "must be longer than lease_s, or a cut worker can't be told in time";
             return Err(SettingsError::invalid("cluster.workers.cancel_s", problem));
         }
-        self.check_state()?;
+        self.check_store()?;
         self.teams.iter().try_for_each(Team::check)
     }
 
-    fn check_state(&self) -> Result<(), SettingsError> {
+    fn check_store(&self) -> Result<(), SettingsError> {
         let state = &self.state;
         check_positive("cluster.state.rps", state.rps)?;
         check_positive("cluster.state.write_rps", state.write_rps)?;
--- a/src/replica.rs
+++ b/src/watch_cache.rs
@@ -1,4 +1,4 @@
-//! The local watch cache of the state service: live jobs, who leads, the epoch counter and
+//! The local watch cache of the store: live jobs, who leads, the epoch counter and
 //! the format version, fed by a watch, and a bounded memory of how jobs ended.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
@@ -52,7 +52,7 @@
 
 /// What a change of the watch cache means to the rest of the program.
 #[derive(Debug, Clone, PartialEq)]
-pub enum ReplicaChange {
+pub enum CacheEvent {
     /// A job's record is new or has changed.
     JobUpdated(String),
     /// A job is not live any more.
@@ -61,9 +61,9 @@
     LeaderChanged,
 }
 
-/// The local watch cache of the state service.
+/// The local watch cache of the store.
 #[derive(Debug, Default)]
-pub struct Replica {
+pub struct WatchCache {
     /// All of it has been read since the last restart.
     pub loaded: bool,
     /// It holds all changes up to this revision.
@@ -94,7 +94,7 @@
     finals_order: VecDeque<String>,
 }
 
-impl Replica {
+impl WatchCache {
     /// Forgets everything but the ended jobs, before it is read anew.
     pub fn restart(&mut self) {
         self.loaded = false;
@@ -125,7 +125,7 @@
     }
 
     /// An election of ours was carried out.
-    pub fn elected(&mut self, key: LeaderKey, version: u64, fence: Fence) {
+    pub fn apply_own_election(&mut self, key: LeaderKey, version: u64, fence: Fence) {
         self.epoch = key.epoch;
         self.epoch_version = version;
         match fence {
@@ -173,7 +173,7 @@
         revision: u64,
         from: u64,
         changes: &[KeyChange],
-    ) -> Vec<ReplicaChange> {
+    ) -> Vec<CacheEvent> {
         let mut effects = Vec::new();
         if from > self.revision {
             // There would be a gap; can't happen as reads start from `revision`.
@@ -190,17 +190,11 @@
             }
         }
         self.revision = self.revision.max(revision);
-        self.duties.read_up_to(self.revision);
+        self.duties.discard_removals_up_to(self.revision);
         effects
     }
 
-    fn apply_set(
-        &mut self,
-        key: &str,
-        value: &Value,
-        version: u64,
-        effects: &mut Vec<ReplicaChange>,
-    ) {
+    fn apply_set(&mut self, key: &str, value: &Value, version: u64, effects: &mut Vec<CacheEvent>) {
         if let Some(id) = key.strip_prefix(JOBS_PREFIX) {
             self.apply_job(id, value, version, effects);
         } else if key.starts_with(DUTIES_PREFIX) {
@@ -209,13 +203,13 @@
             if let Some(state) = FinalState::from_value(value) {
                 self.jobs.remove(id);
                 self.record_final(id, state);
-                effects.push(ReplicaChange::JobRemoved(id.to_string()));
+                effects.push(CacheEvent::JobRemoved(id.to_string()));
             }
         } else if let Some(known) = self.leadership_key(key) {
             if let Ok(leader) = value.deserialized::<LeaderKey>() {
                 if known.as_ref().is_none_or(|old| old.1 < version) {
                     *known = Some((leader, version));
-                    effects.push(ReplicaChange::LeaderChanged);
+                    effects.push(CacheEvent::LeaderChanged);
                 }
             }
         } else if let Some(member) = key.strip_prefix(MEMBERS_PREFIX) {
@@ -232,13 +226,7 @@
         }
     }
 
-    fn apply_job(
-        &mut self,
-        id: &str,
-        value: &Value,
-        version: u64,
-        effects: &mut Vec<ReplicaChange>,
-    ) {
+    fn apply_job(&mut self, id: &str, value: &Value, version: u64, effects: &mut Vec<CacheEvent>) {
         // The answer to an own change may be ahead of the watch: what is over does not
         // come back to life.
         if self.finals.contains_key(id) {
@@ -265,13 +253,13 @@
             version,
         };
         self.jobs.insert(id.to_string(), job);
-        effects.push(ReplicaChange::JobUpdated(id.to_string()));
+        effects.push(CacheEvent::JobUpdated(id.to_string()));
     }
 
-    fn apply_delete(&mut self, key: &str, version: u64, effects: &mut Vec<ReplicaChange>) {
+    fn apply_delete(&mut self, key: &str, version: u64, effects: &mut Vec<CacheEvent>) {
         if let Some(id) = key.strip_prefix(JOBS_PREFIX) {
             self.jobs.remove(id);
-            effects.push(ReplicaChange::JobRemoved(id.to_string()));
+            effects.push(CacheEvent::JobRemoved(id.to_string()));
         } else if key.starts_with(DUTIES_PREFIX) {
             self.duties.apply_delete(key, version);
         } else if let Some(known) = self.leadership_key(key) {
@@ -279,7 +267,7 @@
             // old key's end only now.
             if known.as_ref().is_some_and(|old| old.1 < version) {
                 *known = None;
-                effects.push(ReplicaChange::LeaderChanged);
+                effects.push(CacheEvent::LeaderChanged);
             }
         }
     }
--- a/src/wire/mod.rs
+++ b/src/wire/mod.rs
@@ -1,9 +1,9 @@
 //! The names that go over the wire: messages of users, agents, the cloud and the
-//! state service, as `PROTOCOL` has them. The rest of the program uses its own terms.
+//! store, as `PROTOCOL` has them. The rest of the program uses its own terms.
 
 mod agents;
 mod cloud;
-mod state_service;
+mod store;
 mod submission;
 mod users;
 
@@ -15,7 +15,7 @@
     cloud_status, is_no_capacity, FencingToken, ListedMachine, MachineList, MachineNames,
     MachineType, MachineTypes, ProvisionRequest, TerminateRequest, PROVISION_PATH, TERMINATE_PATH,
 };
-pub use state_service::{
+pub use store::{
     final_state_reply, Condition, Grant, GrantRequest, KeyChange, KeyValue, Page, Transaction,
     TransactionReply, WatchReply, Write,
 };
--- a/src/wire/state_service.rs
+++ b/src/wire/store.rs
@@ -1,4 +1,4 @@
-//! Requests to the state service and its replies.
+//! Requests to the store and its replies.
 
 use ciborium::Value;
 use serde::{Deserialize, Serialize};
--- a/src/wire/users.rs
+++ b/src/wire/users.rs
@@ -6,7 +6,7 @@
 
 /// Where jobs are submitted; below it each job has its own path.
 pub const JOBS_PATH: &str = "/work";
-/// Where the load balancer asks whether the node can take requests.
+/// Where the load balancer asks whether the controller can take requests.
 pub const HEALTH_PATH: &str = "/up";
 
 /// No task of the job runs.
--- a/src/write_queue.rs
+++ b/src/write_queue.rs
@@ -1,4 +1,4 @@
-//! Changes on their way to the state service: they wait until the rate limits allow,
+//! Changes on their way to the store: they wait until the rate limits allow,
 //! and are grouped into transactions, the most urgent first.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
@@ -7,7 +7,7 @@
 use crate::rate_limit::TokenBucket;
 use crate::wire::{self, Condition, Transaction, TransactionReply, Write};
 
-/// Most bytes of a transaction, below the state service's 64 KiB.
+/// Most bytes of a transaction, below the store's 64 KiB.
 const TRANSACTION_BYTES_MAX: usize = 56 * 1024;
 /// Most transactions in flight at a time.
 const IN_FLIGHT_MAX: usize = 3;
@@ -80,7 +80,7 @@
     pub transactions: u64,
     /// Changes sent.
     pub changes: u64,
-    /// Transactions that the state service refused for their number.
+    /// Transactions that the store refused for their number.
     pub throttled: u64,
     /// Transactions with a condition that did not hold.
     pub conflicts: u64,
@@ -88,7 +88,7 @@
     pub unknown: u64,
 }
 
-/// The queue of changes on their way to the state service.
+/// The queue of changes on their way to the store.
 #[derive(Debug)]
 pub struct WriteQueue<W> {
     waiting: BTreeMap<WriteClass, VecDeque<QueuedRequest<W>>>,
--- a/tests/common/cloud.rs
+++ b/tests/common/cloud.rs
@@ -7,7 +7,7 @@
 use std::ops::Bound;
 
 use super::duties::{duty_of, field, number};
-use super::state_service::query;
+use super::store::query;
 
 pub struct Rented {
     pub up_at: u64,
