--- a/tests/parts/reports.rs
+++ b/tests/parts/reports.rs
@@ -4,8 +4,8 @@
 use gaugesill::job::{JobRecord, Priority, Shape, TaskRun};
 use gaugesill::machine::TaskPhase;
 use gaugesill::plan::{self};
-use gaugesill::replica::LiveJob;
 use gaugesill::scheduler::{Effect, Scheduler, StatusOrigin};
+use gaugesill::watch_cache::LiveJob;
 use gaugesill::wire::{self, AgentStatus, TaskStatus};
 use std::sync::Arc;
 
--- a/tests/parts/returns.rs
+++ b/tests/parts/returns.rs
@@ -69,7 +69,7 @@
         StatusOrigin::Heartbeat,
         2000,
     );
-    // The state service does not answer for a minute.
+    // The store does not answer for a minute.
     let mut writes = Vec::new();
     for n in 0..60 {
         let now = 3000 + 1000 * n;
--- a/tests/parts/size.rs
+++ b/tests/parts/size.rs
@@ -4,8 +4,8 @@
 use gaugesill::fleet_capacity::limit_capacities;
 use gaugesill::job::{JobRecord, Priority, Shape};
 use gaugesill::plan::{self, JobView, MachineView};
-use gaugesill::replica::LiveJob;
 use gaugesill::scheduler::{Effect, Scheduler, StatusOrigin, WorkCounts};
+use gaugesill::watch_cache::LiveJob;
 use std::sync::Arc;
 
 /// A leader of so many machines, each with a task of its own, and as many jobs that wait.
--- a/tests/parts/snapshots.rs
+++ b/tests/parts/snapshots.rs
@@ -3,8 +3,8 @@
 use crate::support::*;
 use gaugesill::job::{JobRecord, Priority, Shape, TaskRun};
 use gaugesill::plan::cycle;
-use gaugesill::replica::LiveJob;
 use gaugesill::scheduler::{Effect, StatusOrigin};
+use gaugesill::watch_cache::LiveJob;
 use std::sync::Arc;
 
 /// Found in inc-8ccc: gangs that had missed every objective were overtaken by fresh
--- a/tests/real/sockets.rs
+++ b/tests/real/sockets.rs
@@ -12,7 +12,7 @@
 /// Found with a fleet half as large again: after a mass failure the leader's own
 /// calls to agents took every socket that the agents' and users' connections
 /// left. Each has its part: users make capacity before agents do, and calls to the
-/// state service get through however many agents are called.
+/// store get through however many agents are called.
 #[test]
 fn sockets_are_shared_out() {
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
