--- a/examples/duties.rs
+++ b/examples/duty_overhead.rs
@@ -2,7 +2,7 @@
 //! duty has no holder, and from a shortage to the provisioning request that ends it, beside a leader that
 //! does everything itself. Simulated.
 //!
-//! `cargo run --release --example duties [RUNS]`
+//! `cargo run --release --example duty_overhead [RUNS]`
 
 #[path = "../tests/common/mod.rs"]
 mod common;
@@ -62,7 +62,7 @@
         Trouble::None => {}
         Trouble::Crash => sim.crash(renting, LONGEST_MS),
         Trouble::Pause => {
-            sim.still_next.insert(renting, LONGEST_MS);
+            sim.pause_on_next_action.insert(renting, LONGEST_MS);
         }
     }
 }
--- a/examples/size.rs
+++ b/examples/scheduling_cost.rs
@@ -2,9 +2,9 @@
 //! fleet and a queue, one figure a line: the steady steps, the loss of a third of the fleet
 //! at once, and a successor that starts from the records, with the memory that all takes.
 //!
-//! `cargo run --release --example size [MACHINES]`
+//! `cargo run --release --example scheduling_cost [MACHINES]`
 
-#[path = "../tests/parts/support.rs"]
+#[path = "../tests/unit/support.rs"]
 mod support;
 
 use std::collections::HashMap;
