--- /dev/null
+++ b/tests/common/run_log.rs
@@ -0,0 +1,21 @@
+//! The record of a run: a readable trace of what happened, and broken rules.
+
+/// A readable trace of a run and the rules that were broken in it.
+#[derive(Default)]
+pub struct RunLog {
+    /// One line for each event, which begins with its time in seconds.
+    pub trace: Vec<String>,
+    /// The rules that were broken.
+    pub violations: Vec<String>,
+}
+
+impl RunLog {
+    pub(super) fn note(&mut self, now_ms: u64, text: &str) {
+        let line = format!("{:7.2} {text}", now_ms as f64 / 1000.0);
+        self.trace.push(line);
+    }
+
+    pub(super) fn violation(&mut self, text: impl Into<String>) {
+        self.violations.push(text.into());
+    }
+}
