--- a/tests/common/checks.rs
+++ b/tests/common/checks.rs
@@ -32,6 +32,14 @@
         );
     }
 
+    /// [`Sim::finish`], and nothing went wrong on the way: no rule was broken, and every job
+    /// is known everywhere.
+    pub fn finish_and_check(&mut self, most_ms: u64) {
+        self.finish(most_ms);
+        self.assert_sound();
+        self.assert_known();
+    }
+
     /// Whether every job record is closed.
     pub fn settled(&self) -> bool {
         !self.store.keys.keys().any(|key| key.starts_with("g/j/"))
--- a/tests/common/sim.rs
+++ b/tests/common/sim.rs
@@ -128,6 +128,18 @@
         self.controllers.iter().position(leads)
     }
 
+    /// The machine with the lowest name whose agent is up.
+    pub fn first_machine(&self) -> String {
+        let first = self.agents.keys().next();
+        first.expect("a machine").clone()
+    }
+
+    /// Whether a controller is up and healthy for the load balancer.
+    pub fn is_healthy(&self, controller: usize) -> bool {
+        let controller = self.controllers[controller].as_ref();
+        controller.is_some_and(Controller::is_healthy)
+    }
+
     /// A controller that is up.
     pub fn any_running_controller(&self) -> Option<usize> {
         self.controllers.iter().position(Option::is_some)
--- /dev/null
+++ b/tests/duties/assignment.rs
@@ -0,0 +1,217 @@
+//! Which controller holds each duty, and when a duty moves.
+
+use std::collections::BTreeSet;
+
+use gaugesill::leadership_keys::LeaderKey;
+use gaugesill::peer_protocol::PeerStatus;
+use gaugesill::settings::DutyFence;
+
+use crate::common::{ControllerClocks, DutyEvent, Sim};
+use crate::support::{finish, submit, submit_two, tokens, FENCES, TTL_MS};
+
+#[test]
+fn holders_rent_and_return_what_the_leader_needs() {
+    for fence in FENCES {
+        let mut sim = Sim::with_duties(fence);
+        // Versions without duties can no longer lead.
+        let fenced = sim.store.keys["g/l/leader"]
+            .value
+            .deserialized::<LeaderKey>();
+        assert_eq!(fenced.ok(), Some(LeaderKey::superseded()));
+        let holders = ["rent", "return", "reclaim-idle", "clean-state"].map(|d| sim.holder_of(d));
+        let distinct: BTreeSet<_> = holders.iter().collect();
+        assert_eq!(
+            distinct.len(),
+            3,
+            "the duties are not spread over all controllers: {holders:?}"
+        );
+        submit_two(&mut sim);
+        finish(&mut sim, ControllerClocks::Reliable);
+        assert!(sim.orders_received("rent") > 0 && sim.orders_received("return") > 0);
+        // Controllers other than the leader decided on some orders.
+        let leader = sim.leader();
+        let by_others = sim
+            .duty_history
+            .iter()
+            .any(|event| matches!(event, DutyEvent::Decided { controller, .. } if Some(*controller) != leader));
+        assert!(by_others);
+        let has_token = |e: &DutyEvent| matches!(e, DutyEvent::Received { token: Some(_), .. });
+        let with_token = sim.duty_history.iter().any(has_token);
+        assert_eq!(with_token, fence == DutyFence::ProviderToken);
+    }
+}
+
+/// While a controller runs an older version, or without the settings, duties stay with the
+/// leader. A controller that restarts without them later leads, if it is elected, by writing
+/// scaling requests.
+#[test]
+fn versions_and_settings_side_by_side() {
+    let mut sim = Sim::new();
+    sim.switch_duties_on(DutyFence::Booking);
+    sim.deployment.previous_version.insert(0);
+    sim.deployment.without_duties.insert(1);
+    sim.crash_all(|controller| 1 + 2000 * controller);
+    submit_two(&mut sim);
+    sim.run(20_000);
+    assert!(!sim.are_duties_held());
+    finish_without_duties(&mut sim);
+    sim.deployment.previous_version.clear();
+    sim.crash(0, 500);
+    sim.run(12_000);
+    // Any leader: a controller that could hold duties must not begin alone.
+    sim.crash(1, 4000);
+    sim.run(20_000);
+    assert!(
+        sim.leader() != Some(1) && !sim.are_duties_held(),
+        "no duty may be held while c1 has none"
+    );
+    sim.deployment.without_duties.clear();
+    sim.crash(1, 500);
+    assert!(sim.until(60_000, Sim::are_duties_held));
+    sim.duty_history.clear();
+    for controller in 0..3 {
+        sim.deployment.without_duties.insert(controller);
+        sim.crash(controller, 300);
+        sim.run(12_000);
+        let number = 10 + controller;
+        submit(&mut sim, number, "sweep", 2, 4.0);
+        sim.run(15_000);
+        sim.deployment.without_duties.clear();
+        sim.crash(controller, 300);
+        finish(&mut sim, ControllerClocks::Reliable);
+    }
+}
+
+fn finish_without_duties(sim: &mut Sim) {
+    sim.run(2000);
+    submit_two(sim);
+    sim.finish(150_000);
+    sim.assert_sound();
+}
+
+/// The holder changes ten times in two minutes, through crashes that are over at once and
+/// through operators who move the duty.
+#[test]
+fn ten_changes_of_holder_cost_no_order() {
+    let mut sim = Sim::with_duties(DutyFence::ProviderToken);
+    for round in 0..10 {
+        let shape = if round % 3 == 0 { "group" } else { "sweep" };
+        submit(&mut sim, round, shape, 2, 6.0);
+        if round % 2 == 0 {
+            let holder = sim.holder_of("rent").unwrap_or(0);
+            sim.crash(holder, 300);
+            sim.run(12_000);
+        } else {
+            let target = round % 3;
+            let name = format!("c{target}");
+            let holders = &mut sim.duty_settings().holders;
+            holders.insert(duty_lease::Duty::Rent, name);
+            sim.crash_all(|controller| 200 + 300 * controller);
+            assert!(
+                sim.until(12_000, |sim| sim.holder_of("rent") == Some(target)),
+                "the duty did not move"
+            );
+        }
+    }
+    finish(&mut sim, ControllerClocks::Reliable);
+}
+
+/// A controller that crashes repeatedly and is back within a second moves no duty that it
+/// does not hold.
+#[test]
+fn no_flapping_as_a_controller_comes_and_goes() {
+    let mut sim = Sim::with_duties(DutyFence::Booking);
+    let rent = sim.holder_of("rent").expect("a holder");
+    let other = (0..3)
+        .find(|controller| *controller != rent)
+        .expect("another");
+    let token = |sim: &Sim| sim.store.keys["g/d/l/rent/token"].value.clone();
+    let before = token(&sim);
+    for _ in 0..8 {
+        sim.crash(other, 700);
+        sim.run(2500);
+    }
+    assert_eq!((sim.holder_of("rent"), token(&sim)), (Some(rent), before));
+}
+
+/// Found with duties on at the bench: in an outage each holder considered itself lost.
+#[test]
+fn an_outage_moves_no_duty() {
+    let mut sim = Sim::with_duties(DutyFence::Booking);
+    sim.run(2 * TTL_MS);
+    let before = tokens(&sim);
+    sim.faults.store_outage = true;
+    sim.run(30_000);
+    sim.end_outage();
+    sim.run(2 * TTL_MS);
+    assert!(sim.are_duties_held());
+    assert_eq!(tokens(&sim), before);
+}
+
+/// A controller that is repeatedly down for longer than its lease and then up for a moment is
+/// assigned nothing before it has been up for a while.
+#[test]
+fn nothing_is_assigned_to_a_controller_that_does_not_stay_up() {
+    let mut sim = Sim::with_duties(DutyFence::Booking);
+    sim.run(2 * TTL_MS);
+    sim.crash(1, 3 * TTL_MS);
+    sim.run(3 * TTL_MS - 100);
+    let before = tokens(&sim);
+    for _ in 0..4 {
+        sim.run(TTL_MS / 2);
+        sim.crash(1, TTL_MS);
+        sim.run(TTL_MS - 100);
+    }
+    assert!(sim.are_duties_held());
+    assert_eq!(tokens(&sim), before);
+}
+
+/// A controller reports itself healthy but acquires none of the duties that are assigned to
+/// it: the others acquire them after a while.
+#[test]
+fn others_acquire_what_an_assigned_controller_does_not() {
+    let mut sim = Sim::with_duties(DutyFence::Booking);
+    sim.crash(1, 3_600_000);
+    let status = PeerStatus {
+        member: "c1".into(),
+        store_reachable: true,
+        process_age_ms: 60_000,
+        known_format: 2,
+        ..PeerStatus::default()
+    };
+    let mut longest_free_ms = 0;
+    let mut free_ms = 0;
+    for _ in 0..160 {
+        for controller in [0, 2] {
+            sim.deliver_status(controller, &status);
+        }
+        sim.run(500);
+        free_ms = if sim.are_duties_held() {
+            0
+        } else {
+            free_ms + 500
+        };
+        longest_free_ms = longest_free_ms.max(free_ms);
+    }
+    assert!(longest_free_ms > TTL_MS, "c1 was assigned no duty");
+    assert!(
+        longest_free_ms < 4 * TTL_MS,
+        "a duty had no holder for {longest_free_ms} ms"
+    );
+}
+
+/// Without a holder nothing is rented, and the leader does not act in its place.
+#[test]
+fn the_leader_never_acts_around_the_holder() {
+    let mut sim = Sim::with_duties(DutyFence::Booking);
+    sim.deployment.without_duties.extend([0, 1, 2]);
+    sim.crash_all(|_| 300);
+    sim.run(3 * TTL_MS);
+    submit_two(&mut sim);
+    sim.run(60_000);
+    assert!(sim.duty_history.is_empty(), "{:?}", sim.duty_history);
+    assert!(sim.orders_in("rent", "needed") > 0);
+    sim.deployment.without_duties.clear();
+    sim.crash_all(|controller| 300 + 100 * controller);
+    finish(&mut sim, ControllerClocks::Reliable);
+}
--- /dev/null
+++ b/tests/duties/random_failures.rs
@@ -0,0 +1,71 @@
+//! Seeded random faults, one after another and together.
+
+use rand::rngs::StdRng;
+use rand::{Rng, SeedableRng};
+
+use crate::common::{CloudOrders, ControllerClocks, Sim, Writes};
+use crate::support::{finish, submit, FENCES};
+
+const SEEDS: u64 = 24;
+const ROUNDS: usize = 8;
+
+/// Random faults, one after another and together, and what must hold after them.
+#[test]
+fn random_faults_break_no_rule() {
+    for seed in 0..SEEDS {
+        let mut rng = StdRng::seed_from_u64(seed);
+        let mut sim = Sim::with_duties(FENCES[seed as usize % 2]);
+        for round in 0..ROUNDS {
+            let is_gang = rng.random_bool(0.5);
+            let shape = if is_gang { "group" } else { "sweep" };
+            submit(&mut sim, round, shape, 2, 6.0);
+            inject_fault(&mut sim, &mut rng);
+            sim.run(rng.random_range(500..9000));
+            if rng.random_bool(0.5) {
+                end_faults(&mut sim);
+            }
+        }
+        end_faults(&mut sim);
+        sim.end_outage();
+        finish(&mut sim, ControllerClocks::Reliable);
+    }
+}
+
+fn inject_fault(sim: &mut Sim, rng: &mut StdRng) {
+    let controller = rng.random_range(0..3);
+    match rng.random_range(0..8) {
+        0 => sim.crash(controller, rng.random_range(100..12_000)),
+        1 => {
+            let pause_ms = rng.random_range(500..20_000);
+            sim.pauses.on_next_action.insert(controller, pause_ms);
+        }
+        2 => {
+            let delay_ms = rng.random_range(500..9000);
+            sim.faults.cloud_orders = CloudOrders::Late { delay_ms };
+        }
+        3 => sim.faults.cloud_orders = CloudOrders::Unanswered,
+        4 => {
+            let one_in = rng.random_range(2..6);
+            let delay_ms = rng.random_range(500..9000);
+            sim.faults.writes = Writes::Late { one_in, delay_ms };
+        }
+        5 => {
+            sim.faults.refused_by_store.insert(controller);
+        }
+        6 => sim.faults.store_outage = true,
+        _ => {
+            sim.faults.cut_from_peers.insert(controller);
+        }
+    }
+}
+
+/// Ends all faults but crashes and pauses.
+fn end_faults(sim: &mut Sim) {
+    sim.faults.cloud_orders = CloudOrders::Answered;
+    sim.faults.writes = Writes::Answered;
+    sim.faults.refused_by_store.clear();
+    sim.faults.cut_from_peers.clear();
+    if sim.faults.store_outage {
+        sim.end_outage();
+    }
+}
--- /dev/null
+++ b/tests/job_lifecycle/machines.rs
@@ -0,0 +1,136 @@
+//! Machines that are cut off, die, or come back.
+
+use crate::common::{assert_kept_trace, submission, Sim};
+use crate::support::two_jobs;
+
+/// A machine is cut off: its task runs elsewhere only after the cloud has deleted the machine,
+/// and the heartbeats that were held back change nothing.
+#[test]
+fn a_machine_that_is_cut_off_is_replaced() {
+    let mut sim = Sim::new();
+    sim.run(1000);
+    sim.submit(
+        0,
+        &submission("run-000001", "sweep", 3, 4.0, "best_effort"),
+        20_000,
+    );
+    sim.run(9000);
+    let machine = sim.first_machine();
+    sim.faults.isolated_machines.insert(machine.clone());
+    sim.note(format!("{machine} is cut off"));
+    assert!(sim.until(60_000, |sim| !sim.cloud.machines.contains_key(&machine)));
+    sim.note(format!("{machine} is deleted"));
+    sim.heal_machines();
+    sim.finish(150_000);
+    sim.assert_sound();
+    assert_kept_trace("cut-machine", &sim.log.trace);
+}
+
+/// A machine dies without notice: its tasks run elsewhere once the cloud has confirmed its
+/// deletion.
+#[test]
+fn a_dead_machine_is_replaced() {
+    let mut sim = Sim::new();
+    sim.run(1000);
+    sim.submit(
+        0,
+        &submission("run-000001", "sweep", 3, 4.0, "best_effort"),
+        6000,
+    );
+    sim.run(8000);
+    let machine = sim.first_machine();
+    sim.lose_agent(&machine);
+    sim.finish(150_000);
+    sim.assert_sound();
+}
+
+/// A machine's heartbeats arrive, but nothing reaches it: neither answers nor commands. By its
+/// heartbeats alone it would look alive for ever. It gets no more work, is deleted, and only
+/// then its tasks run elsewhere.
+#[test]
+fn a_machine_that_receives_nothing_is_replaced() {
+    for (busy, deaf_from) in [(true, 9000), (false, 7200), (true, 6500)] {
+        let mut sim = Sim::new();
+        sim.run(1000);
+        let run_ms = if busy { 60_000 } else { 1000 };
+        sim.submit(
+            0,
+            &submission("run-000001", "sweep", 2, 4.0, "normal"),
+            run_ms,
+        );
+        sim.run(deaf_from);
+        let machine = sim.first_machine();
+        sim.faults.unable_to_receive.insert(machine.clone());
+        sim.note(format!("{machine} hears nothing any more"));
+        sim.submit(
+            0,
+            &submission("run-000002", "group", 2, 4.0, "normal"),
+            4000,
+        );
+        assert!(
+            sim.until(45_000, |sim| !sim.cloud.machines.contains_key(&machine)),
+            "{}",
+            sim.trace_text()
+        );
+        sim.finish(150_000);
+        sim.assert_sound();
+        if busy && deaf_from == 9000 {
+            assert_kept_trace("deaf-machine", &sim.log.trace);
+        }
+    }
+}
+
+/// Every heartbeat arrives again, after seconds and after more than a lease, at every
+/// controller, while leaders change and a machine dies: no status is considered newer than it
+/// is, and the dead machine gets no work.
+#[test]
+fn late_copies_of_heartbeats_change_nothing() {
+    for case in 0..12 {
+        let mut sim = two_jobs();
+        sim.faults.heartbeat_copies_after_ms = vec![700, 9000, 50_000];
+        sim.run(6500 + 400 * case);
+        let machine = sim.first_machine();
+        if case % 3 == 0 {
+            sim.restart_agent(&machine);
+        } else {
+            sim.lose_agent(&machine);
+            sim.note(format!("{machine} dies"));
+        }
+        sim.run(1000 * (case % 4));
+        if let Some(leader) = sim.leader() {
+            sim.crash(leader, 3000);
+        }
+        let id = format!("run-00001{case}");
+        sim.run(4000);
+        let controller = sim.any_running_controller().expect("a controller");
+        let gang = submission(&id, "group", 3, 6.0, "high");
+        sim.submit(controller, &gang, 5000);
+        sim.finish(120_000);
+        // Copies of heartbeats of machines that were terminated long ago neither cause
+        // machines to be rented nor bring the terminated ones back.
+        sim.run(60_000);
+        let left: Vec<&String> = sim.cloud.machines.keys().collect();
+        assert!(left.is_empty(), "{case}: {left:?}\n{}", sim.trace_text());
+        sim.assert_sound();
+        sim.assert_known();
+    }
+}
+
+/// A machine that is back within a moment, with a new incarnation, has lost its tasks but is
+/// healthy: it is kept and gets work again.
+#[test]
+fn a_machine_back_within_a_moment_is_kept() {
+    let mut sim = Sim::new();
+    sim.cloud.capacity = 1;
+    sim.run(1000);
+    sim.submit(
+        0,
+        &submission("run-000001", "sweep", 2, 4.0, "normal"),
+        20_000,
+    );
+    sim.run(14_000);
+    sim.restart_agent("m-000000");
+    sim.finish(60_000);
+    assert_eq!(sim.cloud.rented_total, 1, "another machine was rented");
+    sim.assert_sound();
+}
