--- a/tests/message_digests.rs
+++ b/tests/message_digests.rs
@@ -17,7 +17,7 @@
 
 /// Runs of each family.
 const SEEDS: u64 = 14;
-/// Simulated time after the last trouble of a run.
+/// Simulated time after the last fault of a run.
 const SETTLE_MS: u64 = 30_000;
 
 /// A run and the random choices that it is made of.
--- a/tests/processes/main.rs
+++ b/tests/processes/main.rs
@@ -1,5 +1,5 @@
-//! Real processes on loopback, against the stand-ins over real sockets. Waits are for
-//! conditions, with a bound far beyond what they take.
+//! Real processes on loopback, with the simulated store and cloud behind real sockets. Tests
+//! wait for conditions, with a bound far beyond the time that they take.
 
 #[path = "../common/mod.rs"]
 mod common;
