--- a/tests/processes/duties.rs
+++ b/tests/processes/duties.rs
@@ -86,6 +86,7 @@
 }
 
 #[test]
+#[expect(clippy::too_many_lines, reason = "one scenario, told step by step")]
 fn a_suspended_and_a_killed_holder_are_replaced() {
     let mut service = Service::start(Some(SETTINGS));
     let suspended = hold_an_order(&service, "run-000001");
--- a/tests/processes/sockets.rs
+++ b/tests/processes/sockets.rs
@@ -14,6 +14,7 @@
 /// left. Each has its share: users' connections are closed before agents', and calls to the
 /// store succeed however many agents are called.
 #[test]
+#[expect(clippy::too_many_lines, reason = "one scenario, told step by step")]
 fn sockets_are_divided() {
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
     let front = SocketAddr::from(([127, 0, 0, 1], free_port()));
--- a/tests/unit/agent_status.rs
+++ b/tests/unit/agent_status.rs
@@ -231,6 +231,7 @@
 /// A job that fails everywhere backs off for a bounded time, and may then be placed on any
 /// machine again.
 #[test]
+#[expect(clippy::too_many_lines, reason = "one scenario, told step by step")]
 fn backoff_and_avoidance_of_machines_end() {
     let mut scheduler = control("[]");
     for number in 0..9 {
--- a/tests/unit/scale_in.rs
+++ b/tests/unit/scale_in.rs
@@ -56,6 +56,7 @@
 /// A task's completion that is known from its machine only is on record before the machine is
 /// terminated: if the leader crashed in between, the work would be repeated.
 #[test]
+#[expect(clippy::too_many_lines, reason = "one scenario, told step by step")]
 fn a_machine_is_kept_until_its_result_is_on_record() {
     let mut scheduler = successor(Shape::Array, 2);
     let runs = |number: u32| task(&format!("run-1/{number}"), 1, "running", None);
--- a/tests/unit/wire.rs
+++ b/tests/unit/wire.rs
@@ -29,6 +29,7 @@
 }
 
 #[test]
+#[expect(clippy::too_many_lines, reason = "one scenario, told step by step")]
 fn malformed_submissions_are_refused() {
     let (id, spec) = wire::parse_submission(&body(|_| {})).expect("a valid submission");
     assert_eq!(
--- a/tests/unit/write_queue.rs
+++ b/tests/unit/write_queue.rs
@@ -63,7 +63,7 @@
             conditions,
             writes,
             class,
-        })
+        });
     };
     let set = |key: &str| Write::set(key.into(), Value::Null);
     push(
--- a/tests/version_upgrade/reduced_limits.rs
+++ b/tests/version_upgrade/reduced_limits.rs
@@ -34,6 +34,7 @@
 /// stored, and while jobs are cancelled: no transaction is refused for its size, and no job is
 /// lost or stuck.
 #[test]
+#[expect(clippy::too_many_lines, reason = "one scenario, told step by step")]
 fn limits_are_reduced_at_every_step() {
     let mut largest = 0;
     for case in 0..24u64 {
