--- a/src/scheduler/bindings.rs
+++ b/src/scheduler/bindings.rs
@@ -1,7 +1,7 @@
-//! Which tasks are bound to which machine, and the capacity that is reserved on machines.
+//! Binds tasks to machines, removes bindings, and releases reserved capacity.
 //!
-//! A binding is held twice, as a placement of the job and as a bound task of the machine; both
-//! change here only.
+//! A binding is stored twice, as a placement of the job and as a bound task of the machine. Apart
+//! from the removal of whole jobs and machines, both change in this module only.
 
 use super::placement::TaskKey;
 use super::{Job, Placement, Scheduler};
--- a/src/scheduler/dirty_jobs.rs
+++ b/src/scheduler/dirty_jobs.rs
@@ -1,5 +1,4 @@
-//! Index of the jobs with changes that are not recorded, so that no event has to examine all
-//! jobs.
+//! Index of the jobs with uncommitted changes, so that no event has to examine all jobs.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -7,22 +6,22 @@
 use super::record_state::WriteState;
 use super::Job;
 
-/// Jobs with changes that are neither recorded nor being written.
+/// Jobs with changes that are neither committed nor in flight.
 ///
-/// Each job stands where its own `write_state` says; [`DirtyJobs::update`] keeps both equal.
+/// A job's own `write_state` tells where the index has it; [`DirtyJobs::update`] keeps the two
+/// consistent.
 #[derive(Debug, Default)]
 pub(super) struct DirtyJobs {
-    /// Jobs whose changes are written at once.
+    /// Jobs whose changes are to be written at once.
     urgent: BTreeSet<Arc<str>>,
-    /// Jobs whose changes may wait, by the time since when they do.
+    /// Jobs whose changes may be deferred, by the time since when they are pending.
     deferred: BTreeSet<(u64, Arc<str>)>,
-    /// How many jobs were considered for writing.
+    /// Number of jobs considered for writing since the term began.
     considered: u64,
 }
 
 impl DirtyJobs {
-    /// Brings the index up to date with a job whose changes, or their being recorded, have
-    /// changed.
+    /// Updates the index after a job has new changes, or the state of their write has changed.
     pub(super) fn update(&mut self, job: &mut Job) {
         let required = job.required_write_state();
         if required != job.write_state {
@@ -49,8 +48,8 @@
         };
     }
 
-    /// The jobs to write now: all urgent ones, and up to `spare_writes` of those that have
-    /// waited for `max_wait_ms`, longest first. `may_write` tells whether a job's record may
+    /// The jobs to write now: all urgent ones, and up to `spare_writes` of those that have been
+    /// deferred for `max_wait_ms`, longest first. `may_write` tells whether a job's record may
     /// be written now.
     pub(super) fn due(
         &mut self,
@@ -67,9 +66,9 @@
         let urgent = self.urgent.iter();
         let mut due: Vec<Arc<str>> = urgent.filter(&mut may_write).cloned().collect();
         let deferred = self.deferred.iter();
-        let waited = deferred.take_while(|(since, _)| now >= since + max_wait_ms);
-        let waited = waited.map(|(_, id)| id).filter(&mut may_write);
-        due.extend(waited.take(spare_writes).cloned());
+        let expired = deferred.take_while(|(since, _)| now >= since + max_wait_ms);
+        let expired = expired.map(|(_, id)| id).filter(&mut may_write);
+        due.extend(expired.take(spare_writes).cloned());
         self.considered += considered;
         due
     }
--- a/src/scheduler/partition.rs
+++ b/src/scheduler/partition.rs
@@ -1,12 +1,12 @@
-//! Whether it is this controller, rather than the machines, that is cut off by the network.
+//! Detects whether this controller, rather than the machines, is cut off by a network partition.
 
 use super::reachability::Reachability;
 use crate::time_units::to_ms;
 
-/// If other controllers recently redirected at least one agent for this many silent
-/// machines, the silence is the fault of this controller's network.
-const REDIRECTED_FRACTION: usize = 4;
-/// With fewer machines that should report, silence says nothing about who is cut off.
+/// If other controllers recently redirected at least one agent for this many silent machines, the
+/// machines are silent because of this controller's network.
+const SILENT_MACHINES_PER_REDIRECT: usize = 4;
+/// With fewer machines that should report, their silence does not tell which side is cut off.
 const PARTITION_MACHINES_MIN: usize = 3;
 
 /// Evidence about the network between this controller and the agents.
@@ -15,7 +15,7 @@
     /// When any machine last sent a new status.
     last_status_at: u64,
     /// Agents that other controllers recently redirected; `None` if too few controllers
-    /// can be heard.
+    /// respond.
     redirected_elsewhere: Option<u32>,
 }
 
@@ -31,9 +31,9 @@
     }
 
     /// Whether so many machines are silent at once that this controller is probably the one
-    /// that is cut off. It certainly is if they went to other controllers; it is not if some
-    /// machines are still heard, or if the other controllers hear nothing either. Then the
-    /// machines are gone, or a whole zone of them is, and waiting for them has no use.
+    /// that is cut off. It certainly is if their agents contacted other controllers. It is not if
+    /// some machines still report here, or if the other controllers get no reports either: then
+    /// the machines are gone, or a whole zone of them, and there is no use in waiting for them.
     pub(super) fn is_partitioned(
         &self,
         reachability: Reachability,
@@ -44,10 +44,11 @@
         if up < PARTITION_MACHINES_MIN || silent * 2 <= up {
             return false;
         }
-        // Of many machines, one reports at any time.
+        // With many machines, some status arrives in any half heartbeat interval.
         let half_interval_ms = to_ms(heartbeat_interval_s / 2.0);
-        let heard = now < self.last_status_at + half_interval_ms;
-        self.redirected_elsewhere
-            .map_or(!heard, |n| n as usize * REDIRECTED_FRACTION >= silent)
+        let has_recent_status = now < self.last_status_at + half_interval_ms;
+        self.redirected_elsewhere.map_or(!has_recent_status, |n| {
+            n as usize * SILENT_MACHINES_PER_REDIRECT >= silent
+        })
     }
 }
--- a/src/scheduler/reconcile.rs
+++ b/src/scheduler/reconcile.rs
@@ -1,18 +1,19 @@
-//! What is done as time passes.
+//! Periodic work: reconciles machines and gangs, and sends pending requests and writes.
 
 use super::placement::TaskKey;
 use super::{to_ms, Scheduler};
 use crate::machine::TaskPhase;
 
-/// How often machines and gangs are reviewed, as a share of the time within which the tasks
-/// of a gang notice that one of them is gone.
+/// Interval at which machines and gangs are reviewed, as a ratio of the time within which the
+/// tasks of a gang notice that one of them is gone.
 pub(super) const RECONCILE_SHARE: f64 = 0.1;
-/// Before a machine is reclaimed, tasks are stopped this long before they have to be, in
-/// addition to half a heartbeat interval.
+/// Safety margin for stopping tasks before a spot machine is reclaimed, in addition to half a
+/// heartbeat interval.
 const INTERRUPTION_MARGIN_MS: u64 = 500;
 
 impl Scheduler {
-    /// Does what is due. At most `spare_writes` records are written whose changes may wait.
+    /// Performs the periodic work that is due. At most `spare_writes` deferrable record changes
+    /// are written.
     pub fn tick(&mut self, now: u64, revision: u64, spare_writes: usize) {
         if now >= self.next_reconcile_at {
             let interval_ms = to_ms(self.cluster.workers.gang_peer_s * RECONCILE_SHARE);
@@ -26,14 +27,15 @@
         self.flush(now, revision, spare_writes);
     }
 
-    /// Sends what is urgent between ticks.
+    /// Writes record changes and sends direct commands; also called between ticks, to send
+    /// urgent ones without delay.
     pub fn flush(&mut self, now: u64, revision: u64, spare_writes: usize) {
         self.write_changes(now, revision, spare_writes);
         self.send_direct_commands();
     }
 
-    /// Stops tasks on machines with a spot interruption notice; tasks that save are stopped as
-    /// late as is safe.
+    /// Stops tasks on machines with a spot interruption notice. Running tasks are stopped as late
+    /// as still leaves them time to save a checkpoint.
     fn drain_interrupted_machines(&mut self, now: u64) {
         for task in self.tasks_to_interrupt(now) {
             let job = self.jobs.get(&*task.job);
@@ -46,6 +48,7 @@
         }
     }
 
+    /// The tasks that have to be stopped now because their machine will be reclaimed.
     fn tasks_to_interrupt(&self, now: u64) -> Vec<TaskKey> {
         let margin_ms = to_ms(self.cluster.workers.report_s / 2.0) + INTERRUPTION_MARGIN_MS;
         let mut due = Vec::new();
--- a/src/scheduler/record_capacity.rs
+++ b/src/scheduler/record_capacity.rs
@@ -1,4 +1,4 @@
-//! How many placements fit into a job's record.
+//! Limits how many placements a job's record may hold, by the store's limit for a value.
 
 use super::Job;
 use crate::epoch::Epoch;
@@ -6,25 +6,25 @@
 use crate::plan::TaskBinding;
 use crate::settings::StoreLimits;
 
-/// The numbers and separators of a run in a record that is not packed.
-const RUN_BYTES: f64 = 26.0;
-/// Everything in a record that is not packed, except for its runs.
-const OTHER_BYTES: f64 = 2000.0;
-/// The least that a packed run takes.
-const PACKED_RUN_BYTES: f64 = 4.0;
-/// Length of a machine's name before any is known.
-const NAME_BYTES: usize = 16;
-/// This many runs always fit into a record that is not packed.
+/// Bytes of a run in a JSON record, beside the machine's name: its numbers and separators.
+const JSON_RUN_OVERHEAD_BYTES: f64 = 26.0;
+/// Bytes of a JSON record, beside its runs.
+const JSON_RECORD_OVERHEAD_BYTES: f64 = 2000.0;
+/// Bytes of the shortest packed run.
+const PACKED_RUN_MIN_BYTES: f64 = 4.0;
+/// Assumed length of a machine's name while no machine is known, in bytes.
+const DEFAULT_NAME_BYTES: usize = 16;
+/// At least this many runs may be put into a JSON record.
 const RUNS_MIN: f64 = 4.0;
-/// The numbers and separators that a packed run may take beside a name.
-const LONGEST_RUN_BYTES: usize = 16;
-/// What a record's counters may grow by.
-const COUNTERS_BYTES: usize = 40;
-/// Runs that make up for the rest of a record where its length is not computed.
-const UNMEASURED_RUNS: usize = 40;
-/// The length of a record is not computed while its runs take at most one part of a value in
-/// this many.
-const UNMEASURED_PART: usize = 4;
+/// Bytes of the longest packed run, beside the machine's name.
+const PACKED_RUN_OVERHEAD_MAX_BYTES: usize = 16;
+/// Bytes by which a record's counters may grow.
+const COUNTER_GROWTH_BYTES: usize = 40;
+/// Runs added to the estimate of a record's length, in place of everything beside its runs.
+const ESTIMATE_OVERHEAD_RUNS: usize = 40;
+/// The exact length of a record is not computed while its estimate is less than the limit for a
+/// value divided by this.
+const ESTIMATE_VALUE_DIVISOR: usize = 4;
 
 /// The format in which job records are written, and the store's limits for them.
 #[derive(Debug)]
@@ -46,42 +46,43 @@
         self.format
     }
 
-    /// At most how many runs a record may hold: a run in JSON takes the name of its machine,
-    /// three numbers and their separators. The length of packed runs varies; whether they fit
-    /// is computed when a task is placed.
+    /// How many runs a record may hold. A run in JSON takes the name of its machine, three
+    /// numbers and their separators. The length of packed runs varies: this is an upper bound,
+    /// and [`RecordCapacity::fits`] computes when a task is placed whether they fit.
     pub(super) fn runs_max<'a>(&self, machine_names: impl Iterator<Item = &'a String>) -> usize {
         let value_bytes = self.limits.value_kb * 1024.0;
         if self.format >= PACKED_FORMAT {
-            return (value_bytes / PACKED_RUN_BYTES) as usize;
+            return (value_bytes / PACKED_RUN_MIN_BYTES) as usize;
         }
         let longest_name = machine_names.map(String::len).max();
-        let run_bytes = longest_name.unwrap_or(NAME_BYTES) as f64 + RUN_BYTES;
-        ((value_bytes - OTHER_BYTES) / run_bytes).max(RUNS_MIN) as usize
+        let run_bytes = longest_name.unwrap_or(DEFAULT_NAME_BYTES) as f64 + JSON_RUN_OVERHEAD_BYTES;
+        ((value_bytes - JSON_RECORD_OVERHEAD_BYTES) / run_bytes).max(RUNS_MIN) as usize
     }
 
-    /// Whether a job's record has capacity for these placements, too, whichever of its tasks
-    /// end first. The length is not computed where there is capacity for the worst case beside
-    /// the longest lists that a submission may have, or where [`RecordCapacity::runs_max`]
-    /// allows for it in advance.
+    /// Whether a job's record has capacity for further placements, whichever of the job's tasks
+    /// end first. The exact length is not computed if the worst case fits beside the longest
+    /// lists that a submission may have, or if [`RecordCapacity::runs_max`] already limits it.
     pub(super) fn fits(&self, job: &Job, bindings: &[TaskBinding], epoch: Epoch) -> bool {
-        // Before the limits fall, too: a record stored by then has to be written again, if
-        // only because its job is cancelled.
+        // The lower limits apply before they take effect: a record that is stored by then has to
+        // be written again, if only because its job is cancelled.
         let value_bytes = (self.limits.lowered().value_kb * 1024.0) as usize;
         let names = bindings.iter().map(|binding| binding.machine.len());
         let longest_name = names.max().unwrap_or(0);
         let runs = job.placements.len() + bindings.len();
-        let limit_falls = self.format >= PACKED_FORMAT || self.limits.next.is_some();
-        let worst_bytes = (runs + UNMEASURED_RUNS) * (longest_name + LONGEST_RUN_BYTES);
-        if !limit_falls || worst_bytes < value_bytes / UNMEASURED_PART {
+        let needs_exact_check = self.format >= PACKED_FORMAT || self.limits.next.is_some();
+        let worst_bytes =
+            (runs + ESTIMATE_OVERHEAD_RUNS) * (longest_name + PACKED_RUN_OVERHEAD_MAX_BYTES);
+        if !needs_exact_check || worst_bytes < value_bytes / ESTIMATE_VALUE_DIVISOR {
             return true;
         }
-        // Ends scattered over the tasks, and counters that grow.
-        let ends_bytes = (job.spec.tasks as usize / 4).min(LONGEST_RUN_BYTES * runs);
-        packed_length(job, bindings, epoch) + ends_bytes + COUNTERS_BYTES <= value_bytes
+        // Tasks that end scattered over the job split runs, and counters grow.
+        let split_runs_bytes =
+            (job.spec.tasks as usize / 4).min(PACKED_RUN_OVERHEAD_MAX_BYTES * runs);
+        packed_length(job, bindings, epoch) + split_runs_bytes + COUNTER_GROWTH_BYTES <= value_bytes
     }
 }
 
-/// The length of a job's packed record with further placements.
+/// The length of a job's packed record with further placements, in bytes.
 fn packed_length(job: &Job, bindings: &[TaskBinding], epoch: Epoch) -> usize {
     let mut record = job.to_record(epoch);
     let mut bindings: Vec<&TaskBinding> = bindings.iter().collect();
--- a/src/scheduler/record_state.rs
+++ b/src/scheduler/record_state.rs
@@ -1,56 +1,58 @@
-//! Which of a job's changes are recorded in the store, and when the record may be written.
+//! Tracks which of a job's changes are committed to the store, and when its record may be
+//! written.
 //!
 //! Changes are numbered from 1 in each term. A record carries the number of the last change
-//! that it contains, so that the watch cache and the store's answers show what is recorded.
+//! that it contains, so that the watch cache and the store's responses show what is committed.
 
 use crate::job::TaskSet;
 use crate::write_queue::CommitResult;
 
-/// Pause before a rejected change is written again.
-const REJECTED_PAUSE_MS: u64 = 150;
-/// Pause before a change with an unknown outcome is written again.
-const UNKNOWN_PAUSE_MS: u64 = 50;
+/// Backoff before a rejected change is written again.
+const REJECTED_WRITE_BACKOFF_MS: u64 = 150;
+/// Backoff before a change is written again whose write has an unknown outcome.
+const UNKNOWN_OUTCOME_BACKOFF_MS: u64 = 50;
 
-/// Whether, and how soon, a job's record is to be written.
+/// Whether, and how urgently, a job's record is to be written.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum WriteState {
-    /// All changes are recorded, or one is being written.
+    /// All changes are committed, or a write is in flight.
     None,
-    /// A change has to be recorded before something else can happen.
+    /// A change is to be written at once, because a further step waits until it is committed.
     Urgent,
-    /// A change may wait for others; the time since when it does.
+    /// A change may be written later, together with others; since when it is pending.
     Deferred(u64),
 }
 
-/// A change that is being written.
+/// A write in flight.
 #[derive(Debug)]
-struct WritingChange {
+struct InFlightWrite {
+    /// The last change that the write contains.
     change: u64,
     /// The tasks that were done as of this change.
     done: TaskSet,
 }
 
-/// The state of a job's record in the store.
+/// How far a job's changes are committed to its record in the store.
 #[derive(Debug)]
 pub(super) struct RecordState {
-    /// The version of the record's key.
+    /// The latest known version of the record's key in the store.
     key_version: u64,
     /// Number of changes in this term.
     change: u64,
-    /// Changes up to this one are to be recorded at once; later ones may wait and be written
+    /// Changes up to this one are to be written at once; later ones may be deferred and written
     /// together.
     urgent_change: u64,
-    /// The last change that is recorded.
+    /// The last change that is committed; 0 if none of this term is.
     committed_change: u64,
-    /// Since when a change waits to be recorded.
-    changed_at: u64,
-    /// The tasks that were done as of the last recorded change.
+    /// Since when the oldest uncommitted change is pending.
+    pending_since: u64,
+    /// The tasks that were done as of the last committed change.
     committed_done: TaskSet,
-    writing: Option<WritingChange>,
+    in_flight: Option<InFlightWrite>,
     /// The record is not written before this time.
-    write_after: u64,
+    write_not_before: u64,
     /// The record is not written before the watch cache has reached this revision.
-    write_after_revision: u64,
+    write_min_revision: u64,
 }
 
 impl RecordState {
@@ -61,11 +63,11 @@
             change: 0,
             urgent_change: 0,
             committed_change: 0,
-            changed_at: now,
+            pending_since: now,
             committed_done: done.clone(),
-            writing: None,
-            write_after: 0,
-            write_after_revision: 0,
+            in_flight: None,
+            write_not_before: 0,
+            write_min_revision: 0,
         }
     }
 
@@ -78,97 +80,97 @@
         self.change
     }
 
-    /// Whether a change of this term is recorded; 0 is any change of an earlier term.
+    /// Whether a change of this term is committed; 0 stands for any change of an earlier term.
     pub(super) fn is_committed(&self, change: u64) -> bool {
         change <= self.committed_change
     }
 
-    /// The tasks that are recorded as done.
+    /// The tasks that the committed record shows as done.
     pub(super) fn committed_done(&self) -> &TaskSet {
         &self.committed_done
     }
 
-    /// Counts a change, which is to be written. Returns its number.
+    /// Adds a change, whose write may be deferred. Returns its number.
     pub(super) fn add_change(&mut self, now: u64) -> u64 {
         if self.change <= self.committed_change {
-            self.changed_at = now;
+            self.pending_since = now;
         }
         self.change += 1;
         self.change
     }
 
-    /// Counts a change that is to be written at once. Returns its number.
+    /// Adds a change that is to be written at once. Returns its number.
     pub(super) fn add_urgent_change(&mut self, now: u64) -> u64 {
         self.urgent_change = self.add_change(now);
         self.urgent_change
     }
 
-    /// Whether, and how soon, the record has to be written for its changes.
+    /// Whether, and how urgently, the record has to be written for its changes.
     pub(super) fn required_write(&self) -> WriteState {
-        if self.change <= self.committed_change || self.writing.is_some() {
+        if self.change <= self.committed_change || self.in_flight.is_some() {
             WriteState::None
         } else if self.urgent_change > self.committed_change {
             WriteState::Urgent
         } else {
-            WriteState::Deferred(self.changed_at)
+            WriteState::Deferred(self.pending_since)
         }
     }
 
     /// Whether the record may be written now, with the watch cache at `revision`.
     pub(super) fn may_write(&self, now: u64, revision: u64) -> bool {
-        now >= self.write_after && revision >= self.write_after_revision
+        now >= self.write_not_before && revision >= self.write_min_revision
     }
 
-    /// The last change is being written; `done` are the tasks done as of it.
+    /// Marks the last change as in flight; `done` are the tasks done as of it.
     pub(super) fn begin_write(&mut self, done: &TaskSet) {
-        self.writing = Some(WritingChange {
+        self.in_flight = Some(InFlightWrite {
             change: self.change,
             done: done.clone(),
         });
     }
 
-    /// The watch cache shows the record at a version of its key.
+    /// Handles a version of the record's key that the watch cache or the store shows.
     pub(super) fn on_version(&mut self, version: u64) {
         self.key_version = self.key_version.max(version);
     }
 
-    /// The watch cache shows the record as this leader has written it. Returns whether a change
-    /// is newly recorded.
+    /// Handles a record in the watch cache that this leader has written. Returns whether it
+    /// shows that further changes are committed.
     pub(super) fn on_own_record(&mut self, change: u64, done: &TaskSet) -> bool {
         let is_newer = change > self.committed_change;
         if is_newer {
             self.committed_change = change;
             self.committed_done = done.clone();
         }
-        self.take_writing(change);
+        self.take_in_flight(change);
         is_newer
     }
 
-    /// The store has answered the write of a change.
+    /// Handles the store's response to the write of a change.
     pub(super) fn on_write_result(&mut self, change: u64, result: &CommitResult, now: u64) {
-        let written = self.take_writing(change);
+        let written = self.take_in_flight(change);
         match result {
             CommitResult::Committed { revision } => {
                 self.on_version(*revision);
-                self.write_after = now;
+                self.write_not_before = now;
                 if change > self.committed_change {
                     self.committed_change = change;
-                    self.changed_at = now;
+                    self.pending_since = now;
                     if let Some(written) = written {
                         self.committed_done = written.done;
                     }
                 }
             }
-            CommitResult::Conflict { revision, .. } => self.write_after_revision = *revision,
-            CommitResult::Rejected => self.write_after = now + REJECTED_PAUSE_MS,
-            // The same change under the same condition is written again: if the first write
-            // was executed, this one fails and the watch cache shows the record.
-            CommitResult::Unknown => self.write_after = now + UNKNOWN_PAUSE_MS,
+            CommitResult::Conflict { revision, .. } => self.write_min_revision = *revision,
+            CommitResult::Rejected => self.write_not_before = now + REJECTED_WRITE_BACKOFF_MS,
+            // The same change is written again under the same condition: if the first write was
+            // executed, the second one conflicts and the watch cache shows the record.
+            CommitResult::Unknown => self.write_not_before = now + UNKNOWN_OUTCOME_BACKOFF_MS,
         }
     }
 
-    /// The change that is being written, if it is this one; it then no longer is.
-    fn take_writing(&mut self, change: u64) -> Option<WritingChange> {
-        self.writing.take_if(|writing| writing.change == change)
+    /// Removes and returns the write in flight if it is that of `change`.
+    fn take_in_flight(&mut self, change: u64) -> Option<InFlightWrite> {
+        self.in_flight.take_if(|write| write.change == change)
     }
 }
--- a/src/scheduler/records.rs
+++ b/src/scheduler/records.rs
@@ -1,4 +1,4 @@
-//! Jobs' records: applying what the watch cache shows of them, and writing changes.
+//! Job records: applies those in the watch cache to the jobs, and writes changes to the store.
 
 use std::sync::Arc;
 
@@ -11,13 +11,13 @@
 use crate::wire::{Condition, Write};
 use crate::write_queue::CommitResult;
 
-/// For how long a change that is not urgent may wait for others to be written with it, as a
-/// share of the time within which the tasks of a gang notice that one of them is gone.
-const DEFERRED_WRITE_SHARE: f64 = 0.25;
+/// How long a change that is not urgent is deferred, to be written together with later ones, as
+/// a ratio of the time within which the tasks of a gang notice that one of them is gone.
+const DEFERRED_WRITE_RATIO: f64 = 0.25;
 
 impl Scheduler {
-    /// The watch cache shows a job's record and the state of its dependencies; if they are
-    /// done, the job counts as ready since `ready_at`.
+    /// Applies a job's record from the watch cache and the state of its dependencies; if they
+    /// are done, the job counts as ready since `ready_at`.
     pub fn apply_job(
         &mut self,
         id: &str,
@@ -35,7 +35,7 @@
         }
     }
 
-    /// The watch cache shows a job's record.
+    /// Adds or updates a job by its record in the watch cache.
     pub fn apply_record(&mut self, id: &str, live: &LiveJob, now: u64) {
         if self.jobs.contains_key(id) {
             self.update_from_record(id, live, now);
@@ -65,7 +65,7 @@
 
     fn add_from_record(&mut self, id: &str, live: &LiveJob, now: u64) {
         let record = &live.record;
-        debug!(job = id, spec = ?record.spec, "new job");
+        debug!(job = id, spec = ?record.spec, "added job from its record");
         let mut job = Job::new(id, live, now);
         if record.runs.is_empty() && job.final_state().is_some() {
             job.record.add_change(now);
@@ -95,7 +95,8 @@
         }
     }
 
-    /// Counts an arrival at the time of its submission: a new leader sees all jobs at once.
+    /// Counts an arrival at the time of its submission, because a new leader reads the records
+    /// of all jobs at once.
     fn record_arrival(&mut self, job: &Job, now: u64) {
         let wall_ms = self.term.began_wall_ms + now.saturating_sub(self.began_at);
         let age_ms = (wall_ms as i64 - job.submitted_at as i64).max(0);
@@ -104,7 +105,7 @@
         self.arrivals.record(&job.spec, at, boot_s);
     }
 
-    /// A job's cancellation is recorded; its record itself may not show that yet.
+    /// Cancels a job whose cancellation is committed; its own record may not show that yet.
     pub fn mark_cancelled(&mut self, id: &str, now: u64) {
         if let Some(job) = self.jobs.get_mut(id).filter(|job| !job.cancelled) {
             job.cancelled = true;
@@ -112,7 +113,7 @@
         }
     }
 
-    /// A job is no longer live.
+    /// Removes a job that is no longer live.
     pub fn remove_job(&mut self, id: &str) {
         self.release_reservations(id);
         self.quota_cache.invalidate();
@@ -128,8 +129,8 @@
         self.needs_planning = true;
     }
 
-    /// The store has answered the write of a job's change. `final_state` is the one that was
-    /// written with it.
+    /// Handles the store's response to the write of a job's change. `final_state` is the state
+    /// that was written with it, if the job has ended.
     pub fn on_commit(
         &mut self,
         id: &str,
@@ -153,15 +154,15 @@
         }
     }
 
-    /// Writes changes: urgent ones at once, and of the others up to `spare_writes` that have
-    /// waited the longest.
+    /// Writes changes: all urgent ones, and up to `spare_writes` deferred ones, longest deferred
+    /// first.
     pub(super) fn write_changes(&mut self, now: u64, revision: u64, spare_writes: usize) {
         let jobs = &self.jobs;
         let may_write = |id: &str| {
             jobs.get(id)
                 .is_some_and(|job| job.record.may_write(now, revision))
         };
-        let max_wait_ms = to_ms(self.cluster.workers.gang_peer_s * DEFERRED_WRITE_SHARE);
+        let max_wait_ms = to_ms(self.cluster.workers.gang_peer_s * DEFERRED_WRITE_RATIO);
         let due = self
             .dirty_jobs
             .due(may_write, spare_writes, max_wait_ms, now);
