--- a/src/scheduler/agent_status.rs
+++ b/src/scheduler/agent_status.rs
@@ -1,4 +1,4 @@
-//! Applying the statuses that agents send.
+//! Applies agent statuses to the machines and to the tasks that are bound to them.
 
 use std::collections::BTreeMap;
 
@@ -12,13 +12,14 @@
 use crate::plan::Resources;
 use crate::wire::{self, AgentStatus, Command};
 
-/// At most how often a recorded start is sent before the placement is given up.
+/// Maximum number of times that the start of a committed placement is sent; if it still has no
+/// effect, the placement is removed.
 const START_ATTEMPTS_MAX: u32 = 3;
 
 /// How a status was received.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StatusOrigin {
-    /// Unasked: a heartbeat.
+    /// In a heartbeat, which the agent sends periodically on its own.
     Heartbeat,
     /// In the response to a direct request.
     DirectResponse,
@@ -27,9 +28,9 @@
 /// Whether a status shows that its machine has newly free capacity.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FreedCapacity {
-    /// There is, and pending tasks could use it: their starts may follow soon.
+    /// It has, and pending tasks could use it: their starts may be committed soon.
     UsableByPendingTasks,
-    /// There is none, or no task that could use it.
+    /// It has none, or no pending task could use it.
     Unused,
 }
 
@@ -40,20 +41,20 @@
     BecameSchedulable,
 }
 
-/// What followed from the tasks of a status.
+/// The combined effects of applying a status to all tasks that are bound to its machine.
 struct StatusEffects {
     /// Tasks may be started on the machine.
     may_start: bool,
     /// Capacity became free.
     freed_capacity: bool,
-    /// A direct start may still be on its way.
+    /// A direct start may still be in flight.
     start_pending: bool,
 }
 
 impl Scheduler {
-    /// Applies an agent's status. Where it frees capacity that pending tasks could use, an
-    /// answer that is held back for a moment can carry their starts, instead of the next one a
-    /// heartbeat interval later.
+    /// Applies an agent's status. If it frees capacity that pending tasks could use, the caller
+    /// may briefly delay the response to the heartbeat, so that this response carries their
+    /// starts instead of the next one, a heartbeat interval later.
     pub fn on_agent_status(
         &mut self,
         status: &AgentStatus,
@@ -61,7 +62,7 @@
         now: u64,
     ) -> FreedCapacity {
         if self.terminations.is_confirmed(&status.machine) {
-            // Permanently deleted: its status is late.
+            // The machine is permanently deleted: this status was delayed in the network.
             return FreedCapacity::Unused;
         }
         let received = ReceivedStatus {
@@ -131,7 +132,7 @@
         })
     }
 
-    /// Applies what a status says of the tasks that are bound to its machine. `None` if the
+    /// Applies what a status shows of the tasks that are bound to its machine. `None` if the
     /// machine is unknown.
     fn apply_tasks(
         &mut self,
@@ -146,9 +147,9 @@
             freed_capacity: is_newly_free(machine, received, schedulability),
             start_pending: false,
         };
-        // A status without our epoch may be a copy from before an earlier leader cleared a
-        // task and started it again under its attempt, or of an incarnation that has ended:
-        // what it says of tasks proves nothing.
+        // A status with an older epoch may be a copy from before an earlier leader cleared a
+        // task and started it again with the same attempt number, or may come from an
+        // incarnation that has ended: it is no evidence about the state of tasks.
         if has_our_epoch {
             for bound_task in machine.bound_tasks.clone() {
                 self.apply_task(&bound_task, received, &mut effects);
@@ -157,7 +158,7 @@
         Some(effects)
     }
 
-    /// Applies what a status says of a bound task.
+    /// Applies what a status shows of one bound task.
     fn apply_task(
         &mut self,
         bound_task: &BoundTask,
@@ -185,7 +186,7 @@
         }
     }
 
-    /// A bound task has exited, or was refused.
+    /// Handles a bound task that has exited, or whose start the agent refused.
     fn apply_exit(
         &mut self,
         bound_task: &BoundTask,
@@ -196,9 +197,9 @@
         let task = TaskKey::new(&bound_task.job, bound_task.task);
         let timed_out = cause == ExitCause::GangTimeout;
         if timed_out && effects.may_start && self.is_gang_forming(&task.job, received.now) {
-            // The image of another task took longer than this one may wait. The answer clears
-            // it, then starts it again: the attempt is the same, as the protocol requires for
-            // replacements.
+            // Pulling the image of another gang member took longer than this task may wait. The
+            // response clears this task, then starts it again: with the same attempt number, as
+            // the protocol requires for replacements.
             self.restart_in_place(&task);
             return;
         }
@@ -206,8 +207,9 @@
         self.on_exit(&task, &received.status.machine, cause, received.now);
     }
 
-    /// A bound task is absent, and no start is on its way. It is recorded, so it may as well be
-    /// started; this includes starts that an earlier leader did not get to.
+    /// Handles a bound task that is absent from its machine, with no start in flight. Its
+    /// placement is committed, so the task is started if that is still possible; this includes
+    /// starts that an earlier leader had not sent.
     fn apply_absence(
         &mut self,
         bound_task: &BoundTask,
@@ -227,15 +229,15 @@
             self.restart_in_place(&task);
             return;
         }
-        debug!(%task, machine, "task is absent");
+        debug!(%task, machine, "bound task is not on its machine; removing its placement");
         effects.freed_capacity = true;
         self.remove_placement(&task, received.now);
     }
 
-    /// Whether the capacity of a bound task that is absent may still be used. It may not if
-    /// the task was stopped to free capacity, this capacity was given to another task and that
-    /// recorded, and the leader ended before it removed the first placement: then the machine's
-    /// capacity or the team's quota is given out twice.
+    /// Whether an absent task may still use the capacity that it is bound to. It may not if an
+    /// earlier leader stopped the task to free capacity, committed the placement of another task
+    /// in this capacity, and lost leadership before it removed the first placement: the
+    /// machine's capacity or the team's quota is then allocated twice.
     fn has_capacity_for(&mut self, bound_task: &BoundTask, machine: &str) -> bool {
         let machine = self.machines.get(machine);
         let (Some(machine), Some(job)) = (machine, self.jobs.get(&*bound_task.job)) else {
@@ -246,6 +248,7 @@
             && self.is_team_within_limit(&spec.team)
     }
 
+    /// Records the phase of a bound task that its agent reports.
     fn update_phase(&mut self, bound_task: &BoundTask, received: ReceivedStatus, phase: TaskPhase) {
         let status = received.status;
         let Some(job) = self.jobs.get_mut(&*bound_task.job) else {
@@ -274,7 +277,7 @@
         }
     }
 
-    /// Stops orphans, and brings what follows from the machine's tasks up to date.
+    /// Stops orphans, and updates the machine's orphans, idle time and direct start.
     fn complete_status(&mut self, name: &str, start_pending: bool, now: u64) {
         let Some(machine) = self.machines.get_mut(name) else {
             return;
@@ -295,7 +298,7 @@
     }
 }
 
-/// The machine of a status, added if it was unknown.
+/// The machine that sent a status; it is added if it was unknown.
 fn find_or_add_machine<'a>(
     machines: &'a mut BTreeMap<String, Machine>,
     status: &AgentStatus,
@@ -307,7 +310,7 @@
     })
 }
 
-/// Whether the machine of a status just became free of tasks, or just became available.
+/// Whether the machine has no tasks, and has just become idle or schedulable.
 fn is_newly_free(
     machine: &Machine,
     received: ReceivedStatus,
--- a/src/scheduler/direct_commands.rs
+++ b/src/scheduler/direct_commands.rs
@@ -1,11 +1,11 @@
-//! Commands that are sent straight to agents instead of in the answer to a heartbeat.
+//! Commands that are sent directly to agents instead of in the response to a heartbeat.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
 use crate::wire::Command;
 
-/// Commands that wait to be sent, by machine.
+/// Commands that are queued to be sent, by machine.
 #[derive(Debug, Default)]
 pub(super) struct DirectCommands {
     by_machine: BTreeMap<Arc<str>, Vec<Command>>,
--- a/src/scheduler/effects.rs
+++ b/src/scheduler/effects.rs
@@ -8,10 +8,10 @@
 use crate::wire::Incarnation;
 use crate::wire::{Command, Condition, Write};
 
-/// A start that was sent straight to an agent.
+/// A start command that is sent directly to an agent.
 #[derive(Debug, Clone, PartialEq)]
 pub struct DirectStart {
-    /// The id of its job.
+    /// The id of the task's job.
     pub job: Arc<str>,
     /// The task's number.
     pub task: u32,
@@ -35,7 +35,7 @@
         /// The writes of the transaction.
         writes: Vec<Write>,
     },
-    /// Send commands straight to an agent.
+    /// Send commands directly to an agent.
     Commands {
         /// The machine's name.
         machine: Arc<str>,
@@ -45,10 +45,10 @@
         incarnation: Incarnation,
         /// The commands.
         commands: Vec<Command>,
-        /// Which of them are starts.
+        /// The starts among the commands.
         starts: Vec<DirectStart>,
     },
-    /// Ask an agent for its status.
+    /// Request the status of an agent.
     Inspect {
         /// The machine's name.
         machine: Arc<str>,
@@ -57,7 +57,7 @@
     },
     /// Provision machines.
     Provision {
-        /// The unique name of the request.
+        /// Identifies the request, so that a retry provisions no further machines.
         idempotency_key: String,
         /// The kind of machine.
         kind: MachineKind,
@@ -66,7 +66,7 @@
     },
     /// Terminate machines.
     Terminate {
-        /// Their names.
+        /// The names of the machines.
         machines: Vec<String>,
     },
 }
--- a/src/scheduler/job.rs
+++ b/src/scheduler/job.rs
@@ -1,4 +1,4 @@
-//! A live job as the leader knows it.
+//! The leader's state of a live job: its specification, placements, failures and record.
 
 use std::collections::{BTreeSet, HashSet};
 use std::sync::Arc;
@@ -10,61 +10,63 @@
 use crate::job::{FinalState, JobRecord, JobSpec, Priority, RecordWriter, Shape, TaskRun, TaskSet};
 use crate::watch_cache::LiveJob;
 
-/// A live job as the leader knows it.
+/// The leader's state of a live job.
 #[derive(Debug)]
 pub struct Job {
     pub(super) id: Arc<str>,
-    /// As submitted, but with the priority of the most urgent job that depends on it.
+    /// The submitted specification, with the priority raised to that of the most urgent job that
+    /// depends on this one.
     pub spec: Arc<JobSpec>,
-    /// The priority as submitted.
-    pub(super) own_priority: Priority,
-    /// Time of day of its submission, in milliseconds.
+    /// The submitted priority.
+    pub(super) submitted_priority: Priority,
+    /// Wall-clock time of the submission, in milliseconds.
     pub submitted_at: u64,
-    /// Not all of its dependencies are known to be done: it holds and requests no capacity.
+    /// Whether some dependency may not be done yet: the job then holds and requests no capacity.
     pub(super) is_waiting: bool,
-    /// Time of day from which its objectives count: since when it could have started, in
-    /// milliseconds.
+    /// Wall-clock time since when the job could have started, in milliseconds; its objectives
+    /// count from then.
     pub(super) ready_at: u64,
-    /// When it has to be done for its dependents to meet their deadlines, in seconds of
-    /// the time of day.
+    /// Wall-clock time in seconds by which the job has to be done for its dependents to meet their
+    /// deadlines.
     pub(super) due_at_s: Option<f64>,
-    /// Its user, or that of a dependency, has cancelled it.
+    /// Whether the job, or a dependency of it, was cancelled by its user.
     pub cancelled: bool,
+    /// The attempt number of the next placement.
     pub(super) next_attempt: u64,
     /// The tasks that are done.
     pub done: TaskSet,
-    /// Its tasks that may be on a machine.
+    /// The tasks that are bound to a machine.
     pub placements: Vec<Placement>,
-    /// Which of its changes are recorded.
+    /// Which of the job's changes are committed to its record.
     pub(super) record: RecordState,
-    /// Where [`super::dirty_jobs::DirtyJobs`] has it.
+    /// Where the index [`super::dirty_jobs::DirtyJobs`] has the job.
     pub(super) write_state: WriteState,
-    /// Its failures.
+    /// The job's failures, and until when it backs off.
     pub(super) retry: RetryState,
-    /// Machines with capacity reserved for it.
+    /// Machines with capacity reserved for the job.
     pub(super) reserved_machines: BTreeSet<Arc<str>>,
-    /// When capacity was last reserved for it.
+    /// When capacity was last reserved for the job.
     pub(super) reserved_at: u64,
-    /// When its latest placements were made, or found recorded.
+    /// When the latest placements were made, or read from the record.
     pub(super) placed_at: u64,
-    /// Since when it has skipped machines without its image.
+    /// Since when the planner has passed over machines that lack the job's image.
     pub(super) waiting_for_cache_since: Option<u64>,
-    /// How often the gang was not complete in time.
+    /// How often the gang was not completely started in time.
     pub(super) failed_formations: u32,
 }
 
 impl Job {
-    /// A job as its record describes it, without placements.
+    /// The state of a job by its record, without placements.
     pub(super) fn new(id: &str, live: &LiveJob, now: u64) -> Job {
         let record = &live.record;
-        let begun = !record.runs.is_empty() || !record.done.is_empty();
+        let has_begun = !record.runs.is_empty() || !record.done.is_empty();
         Job {
             id: id.into(),
             spec: Arc::new(record.spec.clone()),
-            own_priority: record.spec.priority,
+            submitted_priority: record.spec.priority,
             submitted_at: record.submitted_at,
-            // A job that has begun had all its dependencies done.
-            is_waiting: !record.spec.dependencies.is_empty() && !begun,
+            // A job only begins once all its dependencies are done.
+            is_waiting: !record.spec.dependencies.is_empty() && !has_begun,
             ready_at: record.submitted_at,
             due_at_s: None,
             cancelled: record.cancelled,
@@ -86,7 +88,7 @@
         self.spec.shape == Shape::Gang
     }
 
-    /// Whether each of its tasks has a placement.
+    /// Whether each task has a placement.
     pub(super) fn is_whole(&self) -> bool {
         self.placements.len() as u64 == u64::from(self.spec.tasks)
     }
@@ -99,10 +101,10 @@
             .collect()
     }
 
-    /// How it has ended, if it has.
+    /// The job's final state, if it has ended.
     pub(super) fn final_state(&self) -> Option<FinalState> {
-        // A recorded cancellation came before the end, whatever the last tasks did meanwhile:
-        // its user has been told.
+        // A committed cancellation has precedence over tasks that complete afterwards: the
+        // user has already been told that the job is cancelled.
         if self.cancelled {
             self.placements.is_empty().then_some(FinalState::Cancelled)
         } else {
@@ -123,7 +125,7 @@
             .find(|placement| placement.task == task)
     }
 
-    /// Whether, and how soon, its record has to be written.
+    /// Whether, and how urgently, the job's record has to be written.
     pub(super) fn required_write_state(&self) -> WriteState {
         match self.record.required_write() {
             WriteState::Deferred(_) if self.final_state().is_some() => WriteState::Urgent,
@@ -131,16 +133,16 @@
         }
     }
 
-    /// How many of its tasks have no placement and may have one.
+    /// How many tasks have no placement and may get one.
     pub(super) fn pending_count(&self) -> u64 {
         if self.cancelled || self.is_waiting {
             return 0;
         }
-        let settled = self.done.len() + self.placements.len() as u64;
-        u64::from(self.spec.tasks).saturating_sub(settled)
+        let done_or_placed = self.done.len() + self.placements.len() as u64;
+        u64::from(self.spec.tasks).saturating_sub(done_or_placed)
     }
 
-    /// The first `max` tasks without a placement.
+    /// The first `max` tasks that have no placement and may get one.
     pub(super) fn pending_tasks(&self, max: usize) -> Vec<u32> {
         let max = max.min(self.pending_count() as usize);
         if max == 0 {
@@ -167,7 +169,7 @@
         pending
     }
 
-    /// Its placements as runs of consecutive tasks in the same attempt on the same machine.
+    /// The placements as runs: consecutive tasks with the same attempt number on the same machine.
     fn to_runs(&self) -> Vec<TaskRun> {
         let mut placements: Vec<&Placement> = self.placements.iter().collect();
         placements.sort_by_key(|p| p.task);
@@ -191,10 +193,10 @@
         runs
     }
 
-    /// Its present state as a record.
+    /// The current state as a record.
     pub(super) fn to_record(&self, epoch: Epoch) -> JobRecord {
         let mut spec = (*self.spec).clone();
-        spec.priority = self.own_priority;
+        spec.priority = self.submitted_priority;
         JobRecord {
             spec,
             submitted_at: self.submitted_at,
--- a/src/scheduler/machine_list.rs
+++ b/src/scheduler/machine_list.rs
@@ -1,4 +1,4 @@
-//! Applying the cloud's machine list, and the outcome of terminations.
+//! Applies the cloud's machine lists and the outcomes of termination requests.
 
 use std::collections::HashSet;
 
@@ -8,24 +8,24 @@
 use crate::machine::{CloudStatus, Machine};
 use crate::wire::ListedMachine;
 
-/// Added to twice the list's usual lag.
-const LAG_MARGIN_MS: u64 = 1000;
+/// Added to twice the usual lag of the machine list.
+const LIST_LAG_MARGIN_MS: u64 = 1000;
 
 impl Scheduler {
-    /// Applies a complete list that was requested at `asked_at`.
-    pub fn on_machine_list(&mut self, list: &[ListedMachine], asked_at: u64, now: u64) {
-        let lag_ms = 2 * to_ms(self.cluster.cloud.list_lag_s) + LAG_MARGIN_MS;
+    /// Applies a complete list that was requested at `requested_at`.
+    pub fn on_machine_list(&mut self, list: &[ListedMachine], requested_at: u64, now: u64) {
+        let lag_ms = 2 * to_ms(self.cluster.cloud.list_lag_s) + LIST_LAG_MARGIN_MS;
         self.has_machine_list = true;
         let mut names = HashSet::new();
         for listed in list {
             names.insert(listed.name.as_str());
-            // What was deleted stays deleted; the list lags.
+            // The list lags, and may still contain machines that are confirmed as deleted.
             if !self.terminations.is_confirmed(&listed.name) {
                 self.apply_listed(listed, now);
             }
         }
         for machine in self.machines.values_mut() {
-            if !names.contains(&*machine.name) && should_be_listed(machine, lag_ms, asked_at) {
+            if !names.contains(&*machine.name) && should_be_listed(machine, lag_ms, requested_at) {
                 machine.cloud_status = CloudStatus::Gone;
             }
         }
@@ -55,8 +55,8 @@
         };
     }
 
-    /// The request to terminate these machines has an outcome. Confirmed, it removes the
-    /// machines and all tasks on them; otherwise it is retried later.
+    /// Handles the outcome of a request to terminate machines. If it is confirmed, the machines
+    /// and all tasks on them are removed; otherwise the request is retried later.
     pub fn on_termination_outcome(
         &mut self,
         names: &[String],
@@ -81,7 +81,7 @@
     fn remove_machine(&mut self, name: &str, now: u64) {
         self.terminations.confirm(name, now);
         self.direct_commands.take(name);
-        self.starts.remove(name);
+        self.start_queue.remove(name);
         let Some(machine) = self.machines.get_mut(name) else {
             return;
         };
@@ -99,15 +99,15 @@
     }
 }
 
-/// Whether a machine would be in a list requested at `asked_at` if it still existed. It was
-/// listed before; and since an older list may follow a newer one, it must have been known, or
-/// been running, for longer than the list lags.
-fn should_be_listed(machine: &Machine, lag_ms: u64, asked_at: u64) -> bool {
+/// Whether a machine would be in a list requested at `requested_at` if it still existed: it was
+/// listed before, and has been known for longer than the list lags. Since an older list may
+/// follow a newer one, it also has to be running, or known for twice that time.
+fn should_be_listed(machine: &Machine, lag_ms: u64, requested_at: u64) -> bool {
     let was_listed = !matches!(
         machine.cloud_status,
         CloudStatus::NotListed | CloudStatus::Gone
     );
-    let is_settled =
-        machine.known_since + 2 * lag_ms < asked_at || machine.cloud_status == CloudStatus::Running;
-    was_listed && is_settled && machine.known_since + lag_ms < asked_at
+    let is_settled = machine.known_since + 2 * lag_ms < requested_at
+        || machine.cloud_status == CloudStatus::Running;
+    was_listed && is_settled && machine.known_since + lag_ms < requested_at
 }
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -1,36 +1,36 @@
-//! The leader's scheduling state: jobs, machines, which tasks may run where, and the decisions
+//! The leader's scheduling state: jobs, machines and the bindings between them, and the decisions
 //! that follow from it. It receives events and the time and returns [`Effect`]s; it performs no
 //! input or output. Each term starts with a new [`Scheduler`].
 //!
-//! [`Scheduler`] owns the jobs and the machines, and coordinates parts with state of their own:
+//! [`Scheduler`] owns the jobs and the machines, and coordinates components with their own state:
 //!
-//! | part | state | module |
+//! | component | state | module |
 //! | --- | --- | --- |
-//! | `DirtyJobs` | jobs whose changes are not recorded | `dirty_jobs` |
+//! | `DirtyJobs` | jobs with uncommitted changes | `dirty_jobs` |
 //! | `RecordCapacity` | format and limits of records | `record_capacity` |
 //! | `DependencyLinks` | dependents of jobs | `dependency_links` |
 //! | `QuotaCache` | teams known to be within their quota limits | `quota_cache` |
 //! | `MachineCatalog` | machine types that the cloud offers | `machine_catalog` |
-//! | `ProvisioningRequests` | open requests, kinds that are sold out | `provisioning` |
-//! | `Terminations` | recorded and confirmed terminations | `terminations` |
-//! | `DirectCommands` | commands to send straight to agents | `direct_commands` |
+//! | `ProvisioningRequests` | open requests, machine kinds without capacity in the cloud | `provisioning` |
+//! | `Terminations` | terminations recorded in the store or confirmed by the cloud | `terminations` |
+//! | `DirectCommands` | commands to send directly to agents | `direct_commands` |
 //! | `StartQueue` | machines with starts to send | `start_queue` |
 //! | `ArrivalRates` | how often jobs of each class arrive | `arrivals` |
-//! | `ReadDelay` | how far this controller is behind | `read_delay` |
+//! | `ReadDelay` | how late this controller reads messages | `read_delay` |
 //! | `PartitionDetector` | whether this controller is cut off | `partition` |
 //!
-//! Each [`Job`] in turn owns a `RecordState` (which of its changes are recorded) and a
-//! `RetryState` (its failures).
+//! Each [`Job`] in turn owns a `RecordState` (which of its changes are committed) and a
+//! `RetryState` (its failures and backoff).
 //!
-//! The other modules coordinate. They
+//! The other modules implement the scheduler's operations. They
 //! - apply events: `records`, `agent_status`, `task_exits`, `machine_list`;
 //! - bind and stop tasks: `bindings`, `stops`;
 //! - build the planner's snapshot: `snapshots`, `job_views`, `machine_views`, `team_usage`;
 //! - apply its decision: `decisions`, `scale_out`, `standby_capacity`;
-//! - review the state as time passes: `reconcile`, `reachability`, `gangs`, `probes`, `scale_in`;
+//! - review the state periodically: `reconcile`, `reachability`, `gangs`, `probes`, `scale_in`;
 //! - send commands: `commands`, `starts`.
 //!
-//! Decisions that need no access to the scheduler are apart: `objectives`, `spot_queue`,
+//! Decisions that need no access to the scheduler are in modules of their own: `objectives`, `spot_queue`,
 //! `task_observation`, `termination_review`.
 
 mod agent_status;
@@ -106,25 +106,25 @@
 use start_queue::StartQueue;
 use terminations::Terminations;
 
-/// At most how many commands one answer or request carries.
-const COMMANDS_MAX: usize = 300;
+/// How many commands a heartbeat response or a direct request may carry.
+const COMMANDS_PER_MESSAGE_MAX: usize = 300;
 
-/// The leadership that a [`Scheduler`] acts under.
+/// The leader's term in which a [`Scheduler`] acts.
 #[derive(Debug, Clone)]
 pub struct Term {
     /// The leader's member id.
     pub member: String,
-    /// Its fencing token.
+    /// The term's fencing token.
     pub epoch: Epoch,
-    /// The store's key that belongs to this controller while it leads.
+    /// The leader key in the store, which this controller owns while it leads.
     pub key: &'static str,
-    /// The key's version.
+    /// The version of the leader key that this controller wrote on its election.
     pub key_version: u64,
-    /// Time of day when the term began, in milliseconds.
+    /// Wall-clock time when the term began, in milliseconds.
     pub began_wall_ms: u64,
 }
 
-/// How much was examined since the term began, apart from the regular reviews of everything.
+/// Jobs and machines examined since the term began, apart from the periodic reviews of all.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct WorkCounts {
     /// Jobs whose records were considered for writing.
@@ -142,7 +142,7 @@
     pub jobs: usize,
     /// The number of tasks with a placement, started or not.
     pub placed_tasks: usize,
-    /// The number of machines, booting ones included.
+    /// The number of machines, including those that are booting.
     pub machines: usize,
     /// The number of machines that have sent a status in this term.
     pub machines_up: usize,
@@ -150,8 +150,8 @@
 
 /// The leader's scheduling state.
 ///
-/// Jobs hold their placements, and machines the tasks that are bound to them; both change
-/// together, in `bindings` and `records` only.
+/// Jobs store their placements, and machines the tasks that are bound to them; both change
+/// together, in `bindings`, and when `records` or `machine_list` removes a job or a machine.
 ///
 /// Unless stated otherwise, `now` is the steady clock in milliseconds.
 #[derive(Debug)]
@@ -161,7 +161,7 @@
 )]
 pub struct Scheduler {
     term: Term,
-    /// When the term began, on the steady clock.
+    /// When the term began.
     began_at: u64,
     cluster: ClusterSettings,
     operator: OperatorSettings,
@@ -173,23 +173,23 @@
     record_capacity: RecordCapacity,
     quota_cache: QuotaCache,
 
-    /// Provisioned machines, and those that a record or a status names.
+    /// Provisioned machines, and machines named in a record or a status.
     pub machines: BTreeMap<String, Machine>,
     catalog: MachineCatalog,
-    /// The cloud's machine list has been read in this term.
+    /// Whether the cloud's machine list has been read in this term.
     has_machine_list: bool,
     provisioning: ProvisioningRequests,
     terminations: Terminations,
 
     direct_commands: DirectCommands,
-    starts: StartQueue,
+    start_queue: StartQueue,
     effects: Vec<Effect>,
 
-    /// Something changed that the planner should consider.
+    /// Whether something changed that the planner should consider.
     pub needs_planning: bool,
-    /// The next snapshot ends all backoffs.
+    /// Whether the next snapshot ends the jobs' backoffs for lack of capacity.
     end_backoffs: bool,
-    /// The last snapshot had jobs with pending tasks.
+    /// Whether the last snapshot had jobs with pending tasks.
     has_pending_jobs: bool,
     arrivals: ArrivalRates,
 
@@ -199,7 +199,8 @@
 }
 
 impl Scheduler {
-    /// The state that follows from a watch cache that holds this term's leader key.
+    /// The state at the start of a term, by the records in the watch cache; the cache already
+    /// contains this term's leader key.
     pub fn new(
         term: Term,
         cluster: &ClusterSettings,
@@ -224,7 +225,7 @@
             provisioning: ProvisioningRequests::default(),
             terminations: Terminations::default(),
             direct_commands: DirectCommands::default(),
-            starts: StartQueue::new(cluster.limits.cpu_share),
+            start_queue: StartQueue::new(cluster.limits.cpu_share),
             effects: vec![],
             needs_planning: true,
             end_backoffs: false,
@@ -234,7 +235,7 @@
             read_delay: ReadDelay::default(),
             partition: PartitionDetector::default(),
         };
-        // Since when a job has been ready is not recorded.
+        // The records do not show since when jobs have been ready; the start of the term is used.
         let ready_at = scheduler.term.began_wall_ms;
         for (id, job) in &watch_cache.jobs {
             scheduler.apply_job(id, job, &watch_cache.dependencies, ready_at, now);
@@ -247,16 +248,16 @@
         self.term.epoch
     }
 
-    /// The condition of each of the leader's writes: the leader key is still its own.
+    /// The condition of each of the leader's writes: the leader key still has this term's version.
     pub fn term_condition(&self) -> Condition {
         Condition::new(self.term.key, self.term.key_version)
     }
 
-    /// How much was examined since the term began.
+    /// Jobs and machines examined since the term began.
     pub fn work_counts(&self) -> WorkCounts {
         WorkCounts {
             records_considered: self.dirty_jobs.considered(),
-            starts_considered: self.starts.considered(),
+            starts_considered: self.start_queue.considered(),
         }
     }
 
@@ -274,18 +275,19 @@
         self.needs_planning = true;
     }
 
-    /// The effects that have accumulated since the last call, in order.
+    /// Returns the effects that have accumulated since the last call, in order.
     pub fn take_effects(&mut self) -> Vec<Effect> {
         std::mem::take(&mut self.effects)
     }
 
-    /// Capacity became free somewhere: jobs that back off for lack of it are planned again.
+    /// Lets jobs that back off for lack of capacity be planned again, because capacity became
+    /// free.
     fn retry_backed_off(&mut self) {
         self.end_backoffs = true;
         self.needs_planning = true;
     }
 
-    /// How many jobs, tasks and machines there are. Walks all of them.
+    /// The numbers of jobs, placed tasks and machines. Iterates over all of them.
     pub fn summary(&self) -> SchedulerSummary {
         let placed_tasks: usize = self.jobs.values().map(|job| job.placements.len()).sum();
         let has_reported = |machine: &&Machine| machine.last_status_at.is_some();
--- a/src/scheduler/placement.rs
+++ b/src/scheduler/placement.rs
@@ -1,4 +1,5 @@
-//! The placement of a task: the machine that it is bound to, and how far its start and stop are.
+//! The placement of a task: the machine that it is bound to, and the progress of its start and
+//! stop.
 
 use std::fmt;
 use std::sync::Arc;
@@ -8,7 +9,7 @@
 use crate::machine::TaskPhase;
 use crate::wire::Incarnation;
 
-/// Names a task: its job and its number.
+/// Identifies a task by its job and its number.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) struct TaskKey {
     pub job: Arc<str>,
@@ -30,32 +31,32 @@
     }
 }
 
-/// The request to stop a task.
+/// A request to stop a task.
 #[derive(Debug, Clone)]
 pub(super) struct StopRequest {
-    /// The checkpoint grace period.
+    /// The checkpoint grace period that the stop command carries.
     pub grace_s: f64,
-    /// Since when the task is being stopped.
-    pub since: u64,
-    /// When the command was last sent.
+    /// When the stop with this grace period was first sent.
+    pub requested_at: u64,
+    /// When the stop command was last sent.
     pub sent_at: Option<u64>,
 }
 
-/// How a start was sent.
+/// How a start command was sent.
 #[derive(Debug, Clone, Copy)]
 pub(super) enum StartDelivery {
-    /// In the answer to this heartbeat. Such an answer is accepted at once or never, so a
-    /// later heartbeat shows the outcome.
-    Answer {
+    /// In the response to this heartbeat. The agent accepts such a response at once or never, so
+    /// a later heartbeat shows the outcome.
+    HeartbeatResponse {
         incarnation: Incarnation,
         serial: u64,
     },
-    /// Straight to the agent, once only. Unless the agent shows the outcome, it may still be
-    /// executed until the agent's incarnation ends.
+    /// Directly to the agent, and not repeated. Until a status shows the outcome, the command
+    /// may still be executed, for as long as the agent's incarnation lasts.
     Direct { incarnation: Incarnation, at: u64 },
 }
 
-/// A task that is bound to a machine: it may be there.
+/// A task that is bound to a machine: it may be on that machine, or may be started there.
 #[derive(Debug, Clone)]
 pub struct Placement {
     /// The task's number.
@@ -64,26 +65,27 @@
     pub attempt: u64,
     /// The machine's name.
     pub machine: Arc<str>,
-    /// The job's change that added it; 0 if an earlier leader did.
+    /// The number of the job's change that added the placement; 0 if an earlier leader added it.
     pub(super) change: u64,
-    /// How its start was last sent, unless that is known to have had no effect.
+    /// How the start was last sent; `None` if it was not, or is known to have had no effect.
     pub(super) delivery: Option<StartDelivery>,
-    /// How often its start was sent.
+    /// How often the start was sent.
     pub(super) start_attempts: u32,
-    /// It is recorded and certainly not on its machine: it is to be started there under the
-    /// attempt that it has.
+    /// The placement is committed and the task is certainly not on its machine: it is to be
+    /// started there again with the same attempt number.
     pub(super) restarts_in_place: bool,
-    /// Its phase by the last status that shows it.
+    /// The task's phase in the last status that contains the task.
     pub phase: Option<TaskPhase>,
-    /// When its start was last sent, or when it was placed.
+    /// When the start was last sent; before that, when the task was placed.
     pub(super) since: u64,
+    /// When a status first showed the task as running.
     pub(super) running_since: Option<u64>,
-    /// Set once it is being stopped.
+    /// Set once the task is being stopped.
     pub(super) stop: Option<StopRequest>,
 }
 
 impl Placement {
-    /// A placement that the job's change `change` added; 0 if an earlier leader did.
+    /// A placement that the job's change number `change` adds; 0 if an earlier leader added it.
     pub(super) fn new(
         task: u32,
         attempt: u64,
@@ -106,22 +108,23 @@
         }
     }
 
-    /// Its start has not been sent: the machine cannot know of it.
+    /// Whether the start has not been sent, so that the agent cannot know of the task.
     pub(super) fn is_start_pending(&self) -> bool {
         (self.change > 0 || self.restarts_in_place)
             && self.delivery.is_none()
             && self.phase.is_none()
     }
 
-    /// Whether its start may be sent this way, once its change is recorded. A restart under the
-    /// same attempt must not be sent directly: it could be executed late, after the task has
-    /// exited and was cleared again.
+    /// Whether the start may be sent this way, once its change is committed. A restart with the
+    /// same attempt number must not be sent directly: it could be executed late, after the task
+    /// has exited again and was cleared.
     pub(super) fn may_start(&self, delivery: StartDelivery) -> bool {
         let is_direct = matches!(delivery, StartDelivery::Direct { .. });
         self.is_start_pending() && self.stop.is_none() && !(is_direct && self.restarts_in_place)
     }
 
-    /// It is certainly not on its machine: its start may be sent again.
+    /// Lets the start be sent again with the same attempt number; the task is certainly not on
+    /// its machine.
     pub(super) fn restart_in_place(&mut self) {
         self.restarts_in_place = true;
         self.delivery = None;
@@ -134,7 +137,7 @@
         self.since = now;
     }
 
-    /// Whether this direct start is its own and no status has shown an outcome yet.
+    /// Whether `start` is this placement's direct start and no status has shown its outcome yet.
     pub(super) fn awaits_direct_start(&self, start: &DirectStart) -> bool {
         self.task == start.task
             && self.attempt == start.attempt
--- a/src/scheduler/start_queue.rs
+++ b/src/scheduler/start_queue.rs
@@ -1,29 +1,29 @@
-//! Machines with starts that are recorded and may not have been sent.
+//! Queue of the machines with committed starts that may not have been sent.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
 use crate::rate_limit::TokenBucket;
 
-/// Starts that a whole core sends per second to agents without a heartbeat to answer; a part
-/// of a core accordingly fewer. Each needs a connection of its own.
-const DIRECT_STARTS_PER_CORE: f64 = 600.0;
+/// Machines per second to which a controller with a whole core sends direct starts; with a share
+/// of a core proportionally fewer. Each of them needs a connection of its own.
+const DIRECT_STARTS_PER_CORE_PER_S: f64 = 600.0;
 
-/// Machines with recorded starts that may not be on their way, and the rate limit for sending
-/// such starts directly.
+/// Machines with committed starts that may not be in flight, and the rate limit for sending such
+/// starts directly.
 #[derive(Debug)]
 pub(super) struct StartQueue {
     machines: BTreeSet<Arc<str>>,
-    /// Those added since [`StartQueue::take_new`] was last called.
+    /// Machines added since [`StartQueue::take_new`] was last called.
     new_machines: Vec<Arc<str>>,
     direct_limit: TokenBucket,
-    /// How many machines were considered for direct starts.
+    /// Number of machines considered for direct starts since the term began.
     considered: u64,
 }
 
 impl StartQueue {
     pub(super) fn new(cpu_share: f64) -> StartQueue {
-        let rate = (cpu_share * DIRECT_STARTS_PER_CORE).max(1.0);
+        let rate = (cpu_share * DIRECT_STARTS_PER_CORE_PER_S).max(1.0);
         StartQueue {
             machines: BTreeSet::new(),
             new_machines: vec![],
@@ -32,7 +32,7 @@
         }
     }
 
-    /// A machine has recorded starts that may not be on their way.
+    /// Adds a machine with committed starts that may not be in flight.
     pub(super) fn insert(&mut self, machine: Arc<str>) {
         self.new_machines.push(machine.clone());
         self.machines.insert(machine);
@@ -46,13 +46,14 @@
         self.machines.contains(machine)
     }
 
-    /// The machines that were added since the last call.
+    /// Returns the machines that were added since the last call.
     pub(super) fn take_new(&mut self) -> Vec<Arc<str>> {
         std::mem::take(&mut self.new_machines)
     }
 
-    /// Removes the next machine to consider for direct starts. `None` if there is none or the
-    /// rate limit is reached: the machines that are left may send a heartbeat first.
+    /// Removes and returns the next machine to consider for direct starts. `None` if there is
+    /// none or the rate limit is reached; the remaining machines may send a heartbeat before the
+    /// next call, and then get their starts in the response.
     pub(super) fn pop_within_limit(&mut self, now: u64) -> Option<Arc<str>> {
         if self.direct_limit.available(now, 0.0) == 0 {
             return None;
--- a/src/scheduler/starts.rs
+++ b/src/scheduler/starts.rs
@@ -1,4 +1,4 @@
-//! Sending recorded starts, and direct commands.
+//! Sends the starts of committed placements, and direct commands.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -10,12 +10,12 @@
 use crate::wire;
 use crate::wire::Incarnation;
 
-/// Why starts that were sent straight to an agent were certainly not executed.
+/// Why starts that were sent directly to an agent were certainly not executed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StartFailure {
     /// No connection was established.
     NotSent,
-    /// The agent has rejected the commands.
+    /// The agent rejected the commands.
     Rejected,
 }
 
@@ -24,7 +24,7 @@
 pub enum StartPermission {
     /// Its lease is certainly valid, and its watch cache recent.
     Granted,
-    /// It may no longer lead, or not know of recent changes.
+    /// It may have lost leadership, or its watch cache may lack recent changes.
     Withheld,
 }
 
@@ -48,18 +48,18 @@
 }
 
 impl Scheduler {
-    /// Whether a machine may have recorded starts that are not on their way.
+    /// Whether a machine may have committed starts that are not in flight.
     pub fn is_startable(&self, machine: &str) -> bool {
-        self.starts.contains(machine)
+        self.start_queue.contains(machine)
     }
 
-    /// Machines that have become startable since the last call: heartbeats of theirs that are
-    /// held back are answered now.
+    /// Machines that have become startable since the last call: the caller now sends the
+    /// heartbeat responses to them that it has delayed.
     pub fn take_newly_startable(&mut self) -> Vec<Arc<str>> {
-        self.starts.take_new()
+        self.start_queue.take_new()
     }
 
-    /// Direct starts were certainly not executed: they may be sent again.
+    /// Handles direct starts that were certainly not executed: they may be sent again.
     pub fn on_start_failed(
         &mut self,
         machine: &str,
@@ -84,25 +84,25 @@
                 continue;
             };
             placement.delivery = None;
-            self.starts.insert(placement.machine.clone());
+            self.start_queue.insert(placement.machine.clone());
             self.needs_planning = true;
         }
     }
 
-    /// The starts of a job may have become due: its machines are considered with their next
-    /// answers.
+    /// Queues the machines on which a job has committed starts that are to be sent: the starts
+    /// go into the next heartbeat responses, or are sent directly.
     pub(super) fn mark_startable_machines(&mut self, id: &str) {
         let Some(job) = self.jobs.get(id) else { return };
         let is_due = |placement: &&Placement| {
             placement.is_start_pending() && job.record.is_committed(placement.change)
         };
         for placement in job.placements.iter().filter(is_due) {
-            self.starts.insert(placement.machine.clone());
+            self.start_queue.insert(placement.machine.clone());
         }
     }
 
-    /// A recorded task that is certainly not on its machine may be started there under its
-    /// attempt.
+    /// Lets a task with a committed placement that is certainly not on its machine be started
+    /// there again with the same attempt number.
     pub(super) fn restart_in_place(&mut self, task: &TaskKey) {
         let job = self.jobs.get_mut(&*task.job);
         if let Some(placement) = job.and_then(|job| job.placement_mut(task.task)) {
@@ -110,14 +110,14 @@
         }
     }
 
-    /// The starts that are due on a machine; they count as sent from here on.
+    /// Returns the starts that are due on a machine, and marks them as sent.
     pub(super) fn take_starts(
         &mut self,
         name: &str,
         delivery: StartDelivery,
         now: u64,
     ) -> Vec<DirectStart> {
-        self.starts.remove(name);
+        self.start_queue.remove(name);
         let Some(machine) = self.machines.get(name) else {
             return vec![];
         };
@@ -152,14 +152,15 @@
         starts
     }
 
-    /// Sends starts without a heartbeat to answer straight to the agents that have our epoch.
+    /// Sends queued starts directly to the agents that have this term's epoch, without waiting
+    /// for a heartbeat to respond to.
     pub fn send_direct_starts(&mut self, permission: StartPermission, now: u64) {
         if permission == StartPermission::Withheld || self.is_overloaded(now) {
             return;
         }
-        while let Some(name) = self.starts.pop_within_limit(now) {
+        while let Some(name) = self.start_queue.pop_within_limit(now) {
             let Some(target) = self.direct_start_target(&name, now) else {
-                // The answer to its next heartbeat carries them.
+                // The response to its next heartbeat carries these starts.
                 continue;
             };
             let delivery = StartDelivery::Direct {
@@ -170,7 +171,7 @@
             if starts.is_empty() {
                 continue;
             }
-            self.starts.charge(now);
+            self.start_queue.charge(now);
             if let Some(machine) = self.machines.get_mut(&*name) {
                 machine.direct_start_at = Some(now);
             }
@@ -184,6 +185,8 @@
         }
     }
 
+    /// Where direct starts for a machine are sent. `None` if the agent is unreachable, or the
+    /// machine may not get tasks now.
     fn direct_start_target(&self, name: &str, now: u64) -> Option<AgentTarget> {
         let machine = self.machines.get(name)?;
         let target = AgentTarget::of(machine)?;
@@ -200,7 +203,7 @@
             let Some(target) = AgentTarget::of(machine) else {
                 continue;
             };
-            commands.truncate(super::COMMANDS_MAX);
+            commands.truncate(super::COMMANDS_PER_MESSAGE_MAX);
             self.effects.push(Effect::Commands {
                 machine: name,
                 address: target.address,
@@ -212,6 +215,7 @@
     }
 }
 
+/// The command that starts a task on its agent.
 pub(super) fn start_command(start: &DirectStart) -> wire::Command {
     wire::start_command(task_name(&start.job, start.task), start.attempt)
 }
--- a/src/scheduler/stops.rs
+++ b/src/scheduler/stops.rs
@@ -1,11 +1,11 @@
-//! Stopping tasks.
+//! Stops tasks, at once or with a grace period for a checkpoint.
 
 use super::placement::{StopRequest, TaskKey};
 use super::Scheduler;
 use crate::job::Shape;
 use crate::wire;
 
-/// Added to the time that a task needs to save a checkpoint when it is stopped.
+/// Added to the grace period that a job specifies for saving a checkpoint.
 const CHECKPOINT_MARGIN_S: f64 = 0.5;
 
 impl Scheduler {
@@ -25,7 +25,8 @@
         }
     }
 
-    /// Stops a task, which may save a checkpoint within `grace_s` seconds.
+    /// Stops a task, which may save a checkpoint within `grace_s` seconds. An earlier stop with
+    /// the same or a shorter grace period stays in force.
     pub(super) fn stop_task(&mut self, task: &TaskKey, grace_s: f64, now: u64) {
         let Some(job) = self.jobs.get_mut(&*task.job) else {
             return;
@@ -34,18 +35,18 @@
             return;
         };
         if placement.is_start_pending() {
-            // Its start was not sent, and will not be: no status could ever confirm that the
-            // task is absent, so the placement is removed here.
+            // The start was not sent and never will be, so no status could confirm that the task
+            // is absent. The placement is removed here instead.
             self.remove_placement(task, now);
             return;
         }
-        let stopping = placement.stop.as_ref();
-        if stopping.is_some_and(|stop| stop.grace_s <= grace_s) {
+        let previous_stop = placement.stop.as_ref();
+        if previous_stop.is_some_and(|stop| stop.grace_s <= grace_s) {
             return;
         }
         placement.stop = Some(StopRequest {
             grace_s,
-            since: now,
+            requested_at: now,
             sent_at: Some(now),
         });
         let command = wire::stop_command(task.to_string(), placement.attempt, grace_s);
@@ -56,7 +57,7 @@
         self.direct_commands.push(name, command);
     }
 
-    /// Stops a task so that it can save a checkpoint; a gang is always stopped as a whole.
+    /// Stops a task with a grace period for a checkpoint; a gang is always stopped as a whole.
     pub(super) fn stop_gracefully(&mut self, task: &TaskKey, now: u64) {
         let Some(job) = self.jobs.get(&*task.job) else {
             return;
--- a/src/scheduler/task_exits.rs
+++ b/src/scheduler/task_exits.rs
@@ -1,4 +1,4 @@
-//! What follows from the exit of a task.
+//! Handles the exit of a task, by its cause.
 
 use tracing::{debug, warn};
 
@@ -9,25 +9,25 @@
 use crate::machine::{ExitCause, Machine, TerminationReason};
 
 impl Scheduler {
-    /// A task has exited, or its start was refused.
+    /// Handles a task that has exited, or whose start the agent refused.
     pub(super) fn on_exit(&mut self, task: &TaskKey, machine: &str, cause: ExitCause, now: u64) {
         debug!(%task, machine, ?cause, "task exited");
         match cause {
             ExitCause::Done => self.on_task_done(task, machine),
             ExitCause::Error => self.on_task_error(task, machine, now),
             ExitCause::InsufficientCapacity | ExitCause::InUse | ExitCause::UnknownTask => {
-                let rest = RefusalRest {
+                let backoff = RefusalRest {
                     unit_s: self.cluster.workers.report_s / 4.0,
                     max_s: f64::INFINITY,
                 };
-                self.rest_after_refusal(&task.job, &rest, now);
+                self.back_off_after_refusal(&task.job, &backoff, now);
             }
             ExitCause::GangTimeout => {
-                let rest = RefusalRest {
+                let backoff = RefusalRest {
                     unit_s: 1.0,
                     max_s: self.operator.backoff_max_s,
                 };
-                self.rest_after_refusal(&task.job, &rest, now);
+                self.back_off_after_refusal(&task.job, &backoff, now);
             }
             ExitCause::Stopped { .. } | ExitCause::GangMemberLost => {}
         }
@@ -39,7 +39,7 @@
             return;
         };
         match job.spec.shape {
-            // They complete together: if one is done, all are.
+            // The tasks of a gang complete together: if one is done, all are.
             Shape::Gang => job.done.fill(job.spec.tasks),
             Shape::Array => job.done.insert(task.task),
             Shape::Service => {}
@@ -50,20 +50,20 @@
         }
     }
 
-    /// A job that has failed on several machines on which no other job has, and that has never
-    /// run, is itself at fault: it rests, and machines are not blamed for it. Many tasks that
-    /// fail together count once.
+    /// Attributes a failure to the machine or to the job. A job that has failed on several
+    /// machines on which no other job has, and that has never run, is itself at fault: it backs
+    /// off, and no machine is drained for it. Many tasks that fail together count once.
     fn on_task_error(&mut self, task: &TaskKey, machine: &str, now: u64) {
         let heartbeat_interval_s = self.cluster.workers.report_s;
         let Some(job) = self.jobs.get_mut(&*task.job) else {
             return;
         };
-        let has_run = has_shown_that_it_runs(job, to_ms(heartbeat_interval_s), now);
+        let has_run = has_run_before(job, to_ms(heartbeat_interval_s), now);
         let is_first_machine = job.retry.avoid_machine(machine);
-        let is_job_trusted = has_run || is_first_machine;
+        let is_job_presumed_sound = has_run || is_first_machine;
         let machine = self.machines.get_mut(machine);
-        let is_machine_at_fault =
-            machine.is_some_and(|machine| blame_machine(machine, task, is_job_trusted));
+        let is_machine_at_fault = machine
+            .is_some_and(|machine| record_task_failure(machine, task, is_job_presumed_sound));
         if !is_machine_at_fault {
             let lease_s = self.cluster.workers.lease_s;
             job.retry
@@ -71,20 +71,20 @@
         }
     }
 
-    fn rest_after_refusal(&mut self, id: &str, rest: &RefusalRest, now: u64) {
+    fn back_off_after_refusal(&mut self, id: &str, backoff: &RefusalRest, now: u64) {
         if let Some(job) = self.jobs.get_mut(id) {
-            job.retry.rest_after_refusal(rest, now);
+            job.retry.rest_after_refusal(backoff, now);
         }
     }
 }
 
-/// Counts a failed task against its machine. Returns whether the machine is at fault; it is
-/// then drained.
-fn blame_machine(machine: &mut Machine, task: &TaskKey, is_job_trusted: bool) -> bool {
+/// Records a failed task on its machine. Returns whether the machine is at fault; it is then
+/// drained.
+fn record_task_failure(machine: &mut Machine, task: &TaskKey, is_job_presumed_sound: bool) -> bool {
     machine.failed_jobs.insert(task.job.clone());
-    let is_at_fault = is_job_trusted || machine.failed_jobs.len() > 1;
+    let is_at_fault = is_job_presumed_sound || machine.failed_jobs.len() > 1;
     if is_at_fault && machine.termination_reason.is_none() {
-        warn!(machine = %machine.name, %task, "draining machine after a task error");
+        warn!(machine = %machine.name, %task, "draining machine: a task on it failed");
         machine.termination_reason = Some(TerminationReason::TaskFailed);
         machine.view = None;
     }
@@ -92,12 +92,12 @@
 }
 
 /// Whether a job has completed a task, or run for a heartbeat interval.
-fn has_shown_that_it_runs(job: &Job, heartbeat_interval_ms: u64, now: u64) -> bool {
-    let long_ago = |since: u64| now > since + heartbeat_interval_ms;
-    let ran = |running_since: Option<u64>| running_since.is_some_and(long_ago);
+fn has_run_before(job: &Job, heartbeat_interval_ms: u64, now: u64) -> bool {
+    let exceeds_interval = |since: u64| now > since + heartbeat_interval_ms;
+    let has_run = |running_since: Option<u64>| running_since.is_some_and(exceeds_interval);
     !job.done.is_empty()
         || job
             .placements
             .iter()
-            .any(|placement| ran(placement.running_since))
+            .any(|placement| has_run(placement.running_since))
 }
--- a/src/scheduler/task_observation.rs
+++ b/src/scheduler/task_observation.rs
@@ -1,14 +1,14 @@
-//! What a status proves about a bound task.
+//! Interprets what a status proves about a bound task.
 //!
-//! Statuses and commands overtake each other in the network, so that a task that is not in a
-//! status may still be started by a command that is on its way.
+//! Statuses and commands overtake each other in the network, so a task that is absent from a
+//! status may still be started by a command that is in flight.
 
 use super::agent_status::StatusOrigin;
 use super::placement::{Placement, StartDelivery};
 use crate::machine::{ReportedTask, TaskPhase};
 use crate::wire::AgentStatus;
 
-/// A status as it was received.
+/// A status, how it was received and when.
 #[derive(Clone, Copy)]
 pub(super) struct ReceivedStatus<'a> {
     pub status: &'a AgentStatus,
@@ -16,15 +16,15 @@
     pub now: u64,
 }
 
-/// What a status says of a bound task.
+/// What a status shows of a bound task.
 pub(super) enum TaskObservation {
-    /// The status may be older than the last start: it says nothing.
+    /// The status may be older than the last start, and is no evidence about this task.
     Outdated,
     /// The task is present, in this phase.
     Present(TaskPhase),
-    /// The task is absent, and cannot be started by a command that is still on its way.
+    /// The task is absent, and no command in flight can start it.
     ConfirmedAbsent,
-    /// The task is absent, but a start may still be on its way.
+    /// The task is absent, but a start may still be in flight.
     MayStillStart,
 }
 
@@ -35,7 +35,7 @@
         reported: Option<&ReportedTask>,
         received: ReceivedStatus,
     ) -> TaskObservation {
-        if overtakes_second_start(placement, received) {
+        if may_predate_second_start(placement, received) {
             return TaskObservation::Outdated;
         }
         match reported {
@@ -46,10 +46,10 @@
     }
 }
 
-/// Whether a status may have overtaken the answer that carries a second start. Such a start
-/// has the attempt of the first one: the status may show how the first one ended.
-fn overtakes_second_start(placement: &Placement, received: ReceivedStatus) -> bool {
-    let Some(StartDelivery::Answer {
+/// Whether a status may have overtaken the heartbeat response that carries a second start. That
+/// start has the attempt number of the first one: the status may show how the first one ended.
+fn may_predate_second_start(placement: &Placement, received: ReceivedStatus) -> bool {
+    let Some(StartDelivery::HeartbeatResponse {
         incarnation,
         serial,
     }) = placement.delivery
@@ -61,22 +61,23 @@
     placement.restarts_in_place && status.incarnation == incarnation && !is_later_heartbeat
 }
 
-/// Whether a status that lacks a task proves that the task is not on the machine and will not
-/// be started there by a command that is still on its way.
+/// Whether a status that lacks a task proves that the task is not on the machine, and that no
+/// command in flight will start it there.
 fn confirms_absence(placement: &Placement, received: ReceivedStatus) -> bool {
     if placement.phase.is_some() {
         return true;
     }
     let ReceivedStatus { status, origin, .. } = received;
     match (placement.change, placement.delivery) {
-        // An earlier leader's start is no longer accepted once the agent has seen this epoch.
+        // The agent has seen this epoch, and so rejects starts from earlier leaders.
         (0, None) => !placement.restarts_in_place,
         (_, None) => false,
-        // A start travels in the answer to a heartbeat, and the next heartbeat is sent after
-        // the answer was accepted or dropped. Other bodies may overtake the answer.
+        // The start was sent in the response to a heartbeat, and the agent sends the next
+        // heartbeat only after it has accepted or dropped that response. Other messages may
+        // overtake the response.
         (
             _,
-            Some(StartDelivery::Answer {
+            Some(StartDelivery::HeartbeatResponse {
                 incarnation,
                 serial,
             }),
@@ -84,8 +85,7 @@
             let is_later = (status.incarnation, status.serial) > (incarnation, serial);
             origin == StatusOrigin::Heartbeat && is_later
         }
-        // A start that went straight to the agent may be held back in the network until the
-        // incarnation has ended.
+        // The network may delay a direct start for as long as the agent's incarnation lasts.
         (_, Some(StartDelivery::Direct { incarnation, .. })) => status.incarnation > incarnation,
     }
 }
