--- a/src/scheduler/agent_status.rs
+++ b/src/scheduler/agent_status.rs
@@ -141,16 +141,16 @@
     ) -> Option<StatusEffects> {
         let status = received.status;
         let machine = self.machines.get(&status.machine)?;
-        let has_our_epoch = status.epoch >= self.term.epoch;
+        let has_current_epoch = status.epoch >= self.term.epoch;
         let mut effects = StatusEffects {
-            may_start: machine.is_retained() && has_our_epoch,
+            may_start: machine.is_retained() && has_current_epoch,
             freed_capacity: is_newly_free(machine, received, schedulability),
             start_pending: false,
         };
         // A status with an older epoch may be a copy from before an earlier leader cleared a
         // task and started it again with the same attempt number, or may come from an
         // incarnation that has ended: it is no evidence about the state of tasks.
-        if has_our_epoch {
+        if has_current_epoch {
             for bound_task in machine.bound_tasks.clone() {
                 self.apply_task(&bound_task, received, &mut effects);
             }
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -30,8 +30,8 @@
 //! - review the state periodically: `reconcile`, `reachability`, `gangs`, `probes`, `scale_in`;
 //! - send commands: `commands`, `starts`.
 //!
-//! Decisions that need no access to the scheduler are in modules of their own: `objectives`, `spot_queue`,
-//! `task_observation`, `termination_review`.
+//! Decisions that need no access to the scheduler are in modules of their own: `objectives`,
+//! `spot_queue`, `task_observation`, `termination_review`.
 
 mod agent_status;
 mod arrivals;
--- a/src/scheduler/partition.rs
+++ b/src/scheduler/partition.rs
@@ -3,7 +3,7 @@
 use super::reachability::Reachability;
 use crate::time_units::to_ms;
 
-/// If other controllers recently redirected at least one agent for this many silent machines, the
+/// If other controllers recently redirected at least one agent per this many silent machines, the
 /// machines are silent because of this controller's network.
 const SILENT_MACHINES_PER_REDIRECT: usize = 4;
 /// With fewer machines that should report, their silence does not tell which side is cut off.
@@ -47,8 +47,9 @@
         // With many machines, some status arrives in any half heartbeat interval.
         let half_interval_ms = to_ms(heartbeat_interval_s / 2.0);
         let has_recent_status = now < self.last_status_at + half_interval_ms;
-        self.redirected_elsewhere.map_or(!has_recent_status, |n| {
-            n as usize * SILENT_MACHINES_PER_REDIRECT >= silent
-        })
+        self.redirected_elsewhere
+            .map_or(!has_recent_status, |redirected| {
+                redirected as usize * SILENT_MACHINES_PER_REDIRECT >= silent
+            })
     }
 }
--- a/src/scheduler/placement.rs
+++ b/src/scheduler/placement.rs
@@ -51,8 +51,9 @@
         incarnation: Incarnation,
         serial: u64,
     },
-    /// Directly to the agent, and not repeated. Until a status shows the outcome, the command
-    /// may still be executed, for as long as the agent's incarnation lasts.
+    /// Directly to the agent, and not repeated while the outcome is unknown. Until a status shows
+    /// the outcome, the command may still be executed, for as long as the agent's incarnation
+    /// lasts.
     Direct { incarnation: Incarnation, at: u64 },
 }
 
--- a/src/scheduler/read_delay.rs
+++ b/src/scheduler/read_delay.rs
@@ -1,7 +1,7 @@
 //! Tracks the delay with which this controller reads the messages that it receives.
 //!
 //! While this delay is long, machines may look silent, or show no effect of heartbeat responses,
-//! through no fault of theirs.
+//! through no fault of theirs; they must not be treated as unreachable for that.
 
 use crate::time_units::to_ms;
 
--- a/src/scheduler/record_capacity.rs
+++ b/src/scheduler/record_capacity.rs
@@ -6,21 +6,21 @@
 use crate::plan::TaskBinding;
 use crate::settings::StoreLimits;
 
-/// Bytes of a run in a JSON record, beside the machine's name: its numbers and separators.
+/// Bytes of a run in a JSON record, excluding the machine's name: its numbers and separators.
 const JSON_RUN_OVERHEAD_BYTES: f64 = 26.0;
-/// Bytes of a JSON record, beside its runs.
+/// Bytes of a JSON record, excluding its runs.
 const JSON_RECORD_OVERHEAD_BYTES: f64 = 2000.0;
 /// Bytes of the shortest packed run.
 const PACKED_RUN_MIN_BYTES: f64 = 4.0;
 /// Assumed length of a machine's name while no machine is known, in bytes.
 const DEFAULT_NAME_BYTES: usize = 16;
-/// At least this many runs may be put into a JSON record.
+/// Lower bound of the limit for runs in a JSON record: this many always fit.
 const RUNS_MIN: f64 = 4.0;
-/// Bytes of the longest packed run, beside the machine's name.
+/// Bytes of the longest packed run, excluding the machine's name.
 const PACKED_RUN_OVERHEAD_MAX_BYTES: usize = 16;
 /// Bytes by which a record's counters may grow.
 const COUNTER_GROWTH_BYTES: usize = 40;
-/// Runs added to the estimate of a record's length, in place of everything beside its runs.
+/// Runs added to the estimate of a record's length, to account for everything but its runs.
 const ESTIMATE_OVERHEAD_RUNS: usize = 40;
 /// The exact length of a record is not computed while its estimate is less than the limit for a
 /// value divided by this.
@@ -75,10 +75,11 @@
         if !needs_exact_check || worst_bytes < value_bytes / ESTIMATE_VALUE_DIVISOR {
             return true;
         }
-        // Tasks that end scattered over the job split runs, and counters grow.
-        let split_runs_bytes =
+        // The record grows when tasks end in scattered order, and when counters get longer.
+        let scattered_ends_bytes =
             (job.spec.tasks as usize / 4).min(PACKED_RUN_OVERHEAD_MAX_BYTES * runs);
-        packed_length(job, bindings, epoch) + split_runs_bytes + COUNTER_GROWTH_BYTES <= value_bytes
+        packed_length(job, bindings, epoch) + scattered_ends_bytes + COUNTER_GROWTH_BYTES
+            <= value_bytes
     }
 }
 
--- a/src/scheduler/record_state.rs
+++ b/src/scheduler/record_state.rs
@@ -44,7 +44,7 @@
     urgent_change: u64,
     /// The last change that is committed; 0 if none of this term is.
     committed_change: u64,
-    /// Since when the oldest uncommitted change is pending.
+    /// Since when uncommitted changes are pending; the commit of earlier changes restarts it.
     pending_since: u64,
     /// The tasks that were done as of the last committed change.
     committed_done: TaskSet,
--- a/src/scheduler/records.rs
+++ b/src/scheduler/records.rs
@@ -55,7 +55,7 @@
             let is_newer = job.record.on_own_record(writer.change, &record.done);
             self.dirty_jobs.update(job);
             if is_newer {
-                self.mark_startable_machines(id);
+                self.queue_committed_starts(id);
             }
         }
         if record.cancelled {
@@ -150,7 +150,7 @@
         }
         self.dirty_jobs.update(job);
         if is_committed {
-            self.mark_startable_machines(id);
+            self.queue_committed_starts(id);
         }
     }
 
--- a/src/scheduler/starts.rs
+++ b/src/scheduler/starts.rs
@@ -91,7 +91,7 @@
 
     /// Queues the machines on which a job has committed starts that are to be sent: the starts
     /// go into the next heartbeat responses, or are sent directly.
-    pub(super) fn mark_startable_machines(&mut self, id: &str) {
+    pub(super) fn queue_committed_starts(&mut self, id: &str) {
         let Some(job) = self.jobs.get(id) else { return };
         let is_due = |placement: &&Placement| {
             placement.is_start_pending() && job.record.is_committed(placement.change)
