--- a/examples/scheduling_cost.rs
+++ b/examples/scheduling_cost.rs
@@ -125,7 +125,7 @@
         let origin = StatusOrigin::Heartbeat;
         self.scheduler.on_agent_status(report, origin, self.now);
         self.scheduler
-            .answer_commands(report, StartPermission::Granted, self.now)
+            .heartbeat_response_commands(report, StartPermission::Granted, self.now)
     }
 
     /// Advances the clocks.
--- a/src/controller/heartbeats.rs
+++ b/src/controller/heartbeats.rs
@@ -58,8 +58,9 @@
         let origin = StatusOrigin::Heartbeat;
         let freed = scheduler.on_agent_status(&agent_status, origin, now);
         let has_freed_capacity = freed == FreedCapacity::UsableByPendingTasks;
-        let may_get_starts =
-            certain && has_freed_capacity && !scheduler.is_startable(&agent_status.machine);
+        let may_get_starts = certain
+            && has_freed_capacity
+            && !scheduler.may_have_unsent_starts(&agent_status.machine);
         self.agents.record_accepted(now);
         if !may_get_starts {
             return self.answer_heartbeat(connection, &agent_status);
@@ -99,7 +100,7 @@
         let batch = wire::CommandBatch {
             epoch: scheduler.epoch(),
             incarnation: None,
-            commands: scheduler.answer_commands(agent_status, permission, now),
+            commands: scheduler.heartbeat_response_commands(agent_status, permission, now),
         };
         trace!(
             machine = agent_status.machine,
@@ -119,7 +120,7 @@
         let now = self.clock.steady_ms();
         let heartbeats = match &mut self.scheduler {
             Some(scheduler) => {
-                let startable = scheduler.take_newly_startable();
+                let startable = scheduler.take_machines_with_new_starts();
                 self.agents.take_answerable(&startable, now)
             }
             None => self.agents.take_deferred(),
--- a/src/controller/peers.rs
+++ b/src/controller/peers.rs
@@ -128,8 +128,8 @@
         };
         let reachability = scheduler.reachability(now);
         // One machine alone may be at fault itself: it is terminated first.
-        let all_silent = reachability.up > 0 && reachability.silent == reachability.up;
-        if !all_silent || !(reachability.up > 1 || scheduler.has_terminated_unreachable()) {
+        let all_silent = reachability.total > 0 && reachability.silent == reachability.total;
+        if !all_silent || !(reachability.total > 1 || scheduler.has_terminated_unreachable()) {
             return false;
         }
         // Any heartbeat, also an old copy, shows that there is a way here.
--- a/src/scheduler/agent_status.rs
+++ b/src/scheduler/agent_status.rs
@@ -78,7 +78,7 @@
         };
         self.complete_status(&status.machine, effects.start_pending, now);
         if schedulability == Schedulability::BecameSchedulable {
-            self.retry_backed_off();
+            self.retry_backed_off_jobs();
         }
         if effects.freed_capacity && effects.may_start && self.has_pending_jobs {
             FreedCapacity::UsableByPendingTasks
--- a/src/scheduler/bindings.rs
+++ b/src/scheduler/bindings.rs
@@ -48,7 +48,7 @@
         if let Some(machine) = self.machines.get_mut(&*placement.machine) {
             machine.unbind(&task.job, Some(task.task));
         }
-        self.retry_backed_off();
+        self.retry_backed_off_jobs();
     }
 
     /// The job and the placement of a bound task.
--- a/src/scheduler/commands.rs
+++ b/src/scheduler/commands.rs
@@ -26,7 +26,7 @@
 
 impl Scheduler {
     /// Commands for the response to a heartbeat; starts only with permission.
-    pub fn answer_commands(
+    pub fn heartbeat_response_commands(
         &mut self,
         status: &AgentStatus,
         permission: StartPermission,
--- a/src/scheduler/decisions.rs
+++ b/src/scheduler/decisions.rs
@@ -80,7 +80,7 @@
             return;
         };
         let is_gang = job.is_gang();
-        if job.cancelled || job.is_waiting || (is_gang && !job.placements.is_empty()) {
+        if job.cancelled || job.waits_for_dependencies || (is_gang && !job.placements.is_empty()) {
             return;
         }
         let team = teams.get(&job.spec.team).cloned().unwrap_or_default();
--- a/src/scheduler/dependency_links.rs
+++ b/src/scheduler/dependency_links.rs
@@ -41,11 +41,15 @@
 impl Scheduler {
     /// All dependencies of a job are recorded as done since the time of day `at`.
     pub fn dependencies_done(&mut self, id: &str, at: u64) {
-        if let Some(job) = self.jobs.get_mut(id).filter(|job| job.is_waiting) {
+        if let Some(job) = self
+            .jobs
+            .get_mut(id)
+            .filter(|job| job.waits_for_dependencies)
+        {
             debug!(job = id, "job is ready");
-            job.is_waiting = false;
+            job.waits_for_dependencies = false;
             job.ready_at = job.submitted_at.max(at);
-            self.retry_backed_off();
+            self.retry_backed_off_jobs();
         }
     }
 
--- a/src/scheduler/gangs.rs
+++ b/src/scheduler/gangs.rs
@@ -50,7 +50,7 @@
         self.jobs.get(id).is_some_and(|job| {
             job.is_gang()
                 && !job.cancelled
-                && job.is_whole()
+                && job.is_fully_placed()
                 && job.placements.iter().all(not_begun)
                 && now <= job.placed_at + self.gang_wait_ms(job)
         })
@@ -99,7 +99,7 @@
     fn review_gang(&self, job: &Job, review: &mut GangReview, now: u64) {
         let is_running = |placement: &Placement| placement.phase == Some(TaskPhase::Running);
         let has_started = job.placements.iter().any(is_running);
-        let is_whole = job.is_whole();
+        let is_whole = job.is_fully_placed();
         if is_whole && (has_started || now <= job.placed_at + self.gang_wait_ms(job)) {
             return;
         }
@@ -121,7 +121,9 @@
     /// gone.
     fn may_notice_loss(&self, job: &Job, now: u64) -> bool {
         let placements = job.placements.iter();
-        let since = placements.map(|placement| placement.since).max();
+        let since = placements
+            .map(|placement| placement.placed_or_sent_at)
+            .max();
         let notice_ms = to_ms(2.0 * self.cluster.workers.gang_peer_s);
         now < since.unwrap_or(now) + notice_ms
     }
--- a/src/scheduler/job.rs
+++ b/src/scheduler/job.rs
@@ -22,7 +22,7 @@
     /// Wall-clock time of the submission, in milliseconds.
     pub submitted_at: u64,
     /// Whether some dependency may not be done yet: the job then holds and requests no capacity.
-    pub(super) is_waiting: bool,
+    pub(super) waits_for_dependencies: bool,
     /// Wall-clock time since when the job could have started, in milliseconds; its objectives
     /// count from then.
     pub(super) ready_at: u64,
@@ -66,7 +66,7 @@
             submitted_priority: record.spec.priority,
             submitted_at: record.submitted_at,
             // A job only begins once all its dependencies are done.
-            is_waiting: !record.spec.dependencies.is_empty() && !has_begun,
+            waits_for_dependencies: !record.spec.dependencies.is_empty() && !has_begun,
             ready_at: record.submitted_at,
             due_at_s: None,
             cancelled: record.cancelled,
@@ -89,7 +89,7 @@
     }
 
     /// Whether each task has a placement.
-    pub(super) fn is_whole(&self) -> bool {
+    pub(super) fn is_fully_placed(&self) -> bool {
         self.placements.len() as u64 == u64::from(self.spec.tasks)
     }
 
@@ -135,7 +135,7 @@
 
     /// How many tasks have no placement and may get one.
     pub(super) fn pending_count(&self) -> u64 {
-        if self.cancelled || self.is_waiting {
+        if self.cancelled || self.waits_for_dependencies {
             return 0;
         }
         let done_or_placed = self.done.len() + self.placements.len() as u64;
--- a/src/scheduler/job_views.rs
+++ b/src/scheduler/job_views.rs
@@ -79,7 +79,7 @@
         };
         let sound: Vec<&Placement> = job.placements.iter().filter(is_sound).collect();
         let all_sound = sound.len() == job.placements.len();
-        if job.cancelled || (job.is_whole() && all_sound) {
+        if job.cancelled || (job.is_fully_placed() && all_sound) {
             return None;
         }
         let mut zones = ZoneCounts::new();
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -282,7 +282,7 @@
 
     /// Lets jobs that back off for lack of capacity be planned again, because capacity became
     /// free.
-    fn retry_backed_off(&mut self) {
+    fn retry_backed_off_jobs(&mut self) {
         self.end_backoffs = true;
         self.needs_planning = true;
     }
--- a/src/scheduler/partition.rs
+++ b/src/scheduler/partition.rs
@@ -40,8 +40,8 @@
         heartbeat_interval_s: f64,
         now: u64,
     ) -> bool {
-        let Reachability { silent, up } = reachability;
-        if up < PARTITION_MACHINES_MIN || silent * 2 <= up {
+        let Reachability { silent, total } = reachability;
+        if total < PARTITION_MACHINES_MIN || silent * 2 <= total {
             return false;
         }
         // With many machines, some status arrives in any half heartbeat interval.
--- a/src/scheduler/placement.rs
+++ b/src/scheduler/placement.rs
@@ -78,7 +78,7 @@
     /// The task's phase in the last status that contains the task.
     pub phase: Option<TaskPhase>,
     /// When the start was last sent; before that, when the task was placed.
-    pub(super) since: u64,
+    pub(super) placed_or_sent_at: u64,
     /// When a status first showed the task as running.
     pub(super) running_since: Option<u64>,
     /// Set once the task is being stopped.
@@ -103,7 +103,7 @@
             start_attempts: 0,
             restarts_in_place: false,
             phase: None,
-            since: now,
+            placed_or_sent_at: now,
             running_since: None,
             stop: None,
         }
@@ -135,7 +135,7 @@
     pub(super) fn on_start_sent(&mut self, delivery: StartDelivery, now: u64) {
         self.delivery = Some(delivery);
         self.start_attempts += 1;
-        self.since = now;
+        self.placed_or_sent_at = now;
     }
 
     /// Whether `start` is this placement's direct start and no status has shown its outcome yet.
--- a/src/scheduler/probes.rs
+++ b/src/scheduler/probes.rs
@@ -1,6 +1,6 @@
 //! Asking machines directly that should send heartbeats and do not.
 
-use super::reconcile::RECONCILE_SHARE;
+use super::reconcile::RECONCILE_INTERVAL_RATIO;
 use super::{to_ms, Effect, Scheduler};
 use crate::epoch::Epoch;
 use crate::machine::{CloudStatus, Machine};
@@ -97,7 +97,7 @@
     /// send one by themselves: on a small share of a processor a new leader must not spend it
     /// all on probes.
     fn probes_per_tick(&self) -> usize {
-        let tick_s = self.cluster.workers.gang_peer_s * RECONCILE_SHARE;
+        let tick_s = self.cluster.workers.gang_peer_s * RECONCILE_INTERVAL_RATIO;
         let affordable = self.cluster.limits.cpu_share * PROBES_PER_CORE * tick_s;
         1 + (self.machines.len() / PROBE_PARTS).min(affordable as usize)
     }
--- a/src/scheduler/reachability.rs
+++ b/src/scheduler/reachability.rs
@@ -14,7 +14,7 @@
     /// Machines that cannot be reached.
     pub silent: usize,
     /// All machines that should report.
-    pub up: usize,
+    pub total: usize,
 }
 
 impl Scheduler {
@@ -40,9 +40,12 @@
         let silent_s = (agents.report_s * SILENT_AFTER_HEARTBEAT_INTERVALS)
             .min(lost_after_s * SILENT_TO_TERMINATED_RATIO);
         let silent_ms = to_ms(silent_s);
-        let mut reachability = Reachability { silent: 0, up: 0 };
+        let mut reachability = Reachability {
+            silent: 0,
+            total: 0,
+        };
         for machine in self.machines.values().filter(|machine| machine.is_up()) {
-            reachability.up += 1;
+            reachability.total += 1;
             if machine.silent_ms(self.began_at, now) > silent_ms || machine.ineffective_answers > 0
             {
                 reachability.silent += 1;
--- a/src/scheduler/reconcile.rs
+++ b/src/scheduler/reconcile.rs
@@ -6,7 +6,7 @@
 
 /// Interval at which machines and gangs are reviewed, as a ratio of the time within which the
 /// tasks of a gang notice that one of them is gone.
-pub(super) const RECONCILE_SHARE: f64 = 0.1;
+pub(super) const RECONCILE_INTERVAL_RATIO: f64 = 0.1;
 /// Safety margin for stopping tasks before a spot machine is reclaimed, in addition to half a
 /// heartbeat interval.
 const INTERRUPTION_MARGIN_MS: u64 = 500;
@@ -16,7 +16,7 @@
     /// are written.
     pub fn tick(&mut self, now: u64, revision: u64, spare_writes: usize) {
         if now >= self.next_reconcile_at {
-            let interval_ms = to_ms(self.cluster.workers.gang_peer_s * RECONCILE_SHARE);
+            let interval_ms = to_ms(self.cluster.workers.gang_peer_s * RECONCILE_INTERVAL_RATIO);
             self.next_reconcile_at = now + interval_ms;
             self.drain_interrupted_machines(now);
             self.review_gangs(now);
--- a/src/scheduler/spot_queue.rs
+++ b/src/scheduler/spot_queue.rs
@@ -85,7 +85,8 @@
     pub(super) fn spot_tasks_on_demand(&self, wall_ms: u64) -> HashMap<Arc<str>, u32> {
         let mut queue = SpotQueue::default();
         let jobs = self.jobs.values();
-        for job in jobs.filter(|job| job.spec.spot && !job.cancelled && !job.is_waiting) {
+        for job in jobs.filter(|job| job.spec.spot && !job.cancelled && !job.waits_for_dependencies)
+        {
             queue.add(job, wall_ms);
         }
         if queue.waiting.is_empty() {
--- a/src/scheduler/starts.rs
+++ b/src/scheduler/starts.rs
@@ -49,13 +49,13 @@
 
 impl Scheduler {
     /// Whether a machine may have committed starts that are not in flight.
-    pub fn is_startable(&self, machine: &str) -> bool {
+    pub fn may_have_unsent_starts(&self, machine: &str) -> bool {
         self.start_queue.contains(machine)
     }
 
     /// Machines that have become startable since the last call: the caller now sends the
     /// heartbeat responses to them that it has delayed.
-    pub fn take_newly_startable(&mut self) -> Vec<Arc<str>> {
+    pub fn take_machines_with_new_starts(&mut self) -> Vec<Arc<str>> {
         self.start_queue.take_new()
     }
 
--- a/src/scheduler/team_usage.rs
+++ b/src/scheduler/team_usage.rs
@@ -14,7 +14,7 @@
                 continue;
             };
             view.add_tasks(Resources::of(&job.spec), job.placements.len());
-            if !job.is_waiting {
+            if !job.waits_for_dependencies {
                 let unfinished = (u64::from(job.spec.tasks) - job.done.len()) as f64;
                 view.requested_cpus += job.spec.cpus * unfinished;
                 view.requested_gpus += job.spec.gpus * unfinished;
--- a/tests/unit/agent_status.rs
+++ b/tests/unit/agent_status.rs
@@ -122,7 +122,7 @@
         scheduler.on_agent_status(&status, StatusOrigin::Heartbeat, 1200);
         assert_eq!(scheduler.jobs["run-1"].placements.len(), 1, "{status:?}");
         assert_eq!(
-            scheduler.answer_commands(&status, StartPermission::Granted, 1200),
+            scheduler.heartbeat_response_commands(&status, StartPermission::Granted, 1200),
             [],
             "no task may be cleared"
         );
@@ -167,7 +167,7 @@
             "{cpus} {limit}"
         );
         assert_eq!(scheduler.jobs["run-2"].placements.len(), 1);
-        let starts = scheduler.answer_commands(&status, StartPermission::Granted, 1500);
+        let starts = scheduler.heartbeat_response_commands(&status, StartPermission::Granted, 1500);
         assert_eq!(starts.len(), kept);
     }
 }
@@ -182,7 +182,7 @@
     let status = reports(3, 2, alone());
     scheduler.on_agent_status(&status, StatusOrigin::Heartbeat, 1500);
     let verbs: Vec<CommandVerb> = scheduler
-        .answer_commands(&status, StartPermission::Granted, 1500)
+        .heartbeat_response_commands(&status, StartPermission::Granted, 1500)
         .into_iter()
         .map(|command| command.verb)
         .collect();
@@ -213,7 +213,7 @@
     scheduler.on_agent_status(&status, StatusOrigin::Heartbeat, 2000);
     assert_eq!(
         scheduler
-            .answer_commands(&status, StartPermission::Granted, 2000)
+            .heartbeat_response_commands(&status, StartPermission::Granted, 2000)
             .len(),
         1,
         "the task must be cleared"
@@ -304,7 +304,7 @@
             let status = report("m-0", serial, 1);
             scheduler.on_agent_status(&status, StatusOrigin::Heartbeat, now);
             // The answer has the leader's epoch, and the next heartbeat does not show it.
-            scheduler.answer_commands(&status, StartPermission::Granted, now);
+            scheduler.heartbeat_response_commands(&status, StartPermission::Granted, now);
         }
         assert_eq!(
             scheduler.machines["m-0"].ineffective_answers, ineffective_answers,
--- a/tests/unit/scalability.rs
+++ b/tests/unit/scalability.rs
@@ -17,7 +17,7 @@
         let mut up = report(&format!("m-{number:06}"), 1, 2);
         up.tasks = vec![task(&format!("run-{number:06}/0"), 1, "running", None)];
         scheduler.on_agent_status(&up, StatusOrigin::Heartbeat, 1000);
-        scheduler.answer_commands(&up, StartPermission::Granted, 1000);
+        scheduler.heartbeat_response_commands(&up, StartPermission::Granted, 1000);
     }
     scheduler.flush(1000, 1, 0);
     scheduler.take_effects();
@@ -53,7 +53,7 @@
         };
         next.tasks = vec![task(&format!("run-{number:06}/0"), 1, status, cause)];
         scheduler.on_agent_status(&next, StatusOrigin::Heartbeat, 9000);
-        scheduler.answer_commands(&next, StartPermission::Granted, 9000);
+        scheduler.heartbeat_response_commands(&next, StartPermission::Granted, 9000);
         scheduler.flush(9000, 1, 0);
         scheduler.send_direct_starts(StartPermission::Granted, 9000);
         records += records_written(&mut scheduler);
