--- a/src/scheduler/decisions.rs
+++ b/src/scheduler/decisions.rs
@@ -1,4 +1,4 @@
-//! From the planner's decision to placements, stops and provisioning requests.
+//! Applies the planner's decision: placements, preemptions, reservations and scale-out.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -14,21 +14,28 @@
     TaskBinding, TeamView,
 };
 
-/// The share of an array's new placements that is tried next if they do not fit into its record.
-const FITTING_PERCENT: usize = 75;
+/// When an array's new placements exceed its record's size limit, this percentage of them is
+/// tried next.
+const RECORD_FIT_RETRY_PERCENT: usize = 75;
 
 impl Scheduler {
-    /// Applies a decision of the planner, as far as it still holds: the state may have changed
-    /// since the snapshot. `calls`: at most how many provisioning requests may be sent now.
-    /// `wall_ms`: the time of day, in milliseconds.
-    pub fn apply_decision(&mut self, decision: Decision, calls: usize, now: u64, wall_ms: u64) {
+    /// Applies those parts of a decision that are still valid: the state may have changed since
+    /// the snapshot. `requests_max` limits the provisioning requests that may be sent now.
+    /// `wall_ms` is the time of day in milliseconds.
+    pub fn apply_decision(
+        &mut self,
+        decision: Decision,
+        requests_max: usize,
+        now: u64,
+        wall_ms: u64,
+    ) {
         let mut teams = self.team_views();
         for placement in &decision.placements {
             self.apply_placement(placement, &mut teams, now);
         }
         for stop in &decision.stops {
             let task = TaskKey::new(&stop.job, stop.task);
-            info!(%task, preemptor = %stop.preemptor, "preempting task");
+            info!(%task, preemptor = %stop.preemptor, "stopping task for preemption");
             self.stop_gracefully(&task, now);
         }
         for reservation in decision.reservations {
@@ -49,7 +56,7 @@
                 machine.needed_at = now;
             }
         }
-        self.scale_out(&decision.unmet, calls, PlanTime { now, wall_ms });
+        self.scale_out(&decision.unmet, requests_max, PlanTime { now, wall_ms });
     }
 
     fn apply_reservation(&mut self, reservation: PlannedReservation, now: u64) {
@@ -88,7 +95,7 @@
         if is_gang && valid.len() < planned.tasks.len() {
             return;
         }
-        let bindings = self.fitting_bindings(job, valid);
+        let bindings = self.bindings_within_record_limit(job, valid);
         if bindings.is_empty() {
             return;
         }
@@ -97,7 +104,8 @@
         self.record_placements(&planned.job, bindings, now);
     }
 
-    /// Those of the planned tasks that may still be bound to their machines.
+    /// The planned bindings that are still possible: machine and team have the capacity, and the
+    /// task is still pending.
     fn valid_bindings(
         &self,
         job: &Job,
@@ -138,14 +146,18 @@
         self.is_placeable(machine, now) && is_allowed(&job.spec, machine_type, zone, machine.spot)
     }
 
-    /// As many of the bindings as the job's record has capacity for; of a gang, all or none.
-    fn fitting_bindings(&self, job: &Job, mut bindings: Vec<TaskBinding>) -> Vec<TaskBinding> {
+    /// The bindings that fit in the job's record; for a gang, all or none.
+    fn bindings_within_record_limit(
+        &self,
+        job: &Job,
+        mut bindings: Vec<TaskBinding>,
+    ) -> Vec<TaskBinding> {
         let epoch = self.term.epoch;
         while !bindings.is_empty() && !self.record_capacity.fits(job, &bindings, epoch) {
             if job.is_gang() {
                 return vec![];
             }
-            bindings.truncate(bindings.len() * FITTING_PERCENT / 100);
+            bindings.truncate(bindings.len() * RECORD_FIT_RETRY_PERCENT / 100);
         }
         bindings
     }
@@ -162,7 +174,7 @@
         job.next_attempt += 1;
         let change = job.record.add_urgent_change(now);
         self.dirty_jobs.update(job);
-        debug!(job = %id, attempt, ?bindings, "placing tasks");
+        debug!(job = %id, attempt, ?bindings, "placing tasks on machines");
         for binding in bindings {
             let placement = Placement::new(binding.task, attempt, binding.machine, change, now);
             self.add_placement(id, placement, now);
--- a/src/scheduler/gangs.rs
+++ b/src/scheduler/gangs.rs
@@ -1,4 +1,5 @@
-//! Gangs that form, or fail to.
+//! Supervises gangs from placement until all tasks run: formation timeouts, lost tasks and
+//! stale reservations.
 
 use std::sync::Arc;
 
@@ -7,26 +8,25 @@
 use crate::machine::{Machine, TaskPhase};
 use crate::plan::fetch_s;
 
-/// Heartbeat intervals that a gang may take until all its tasks have their image, in addition
-/// to the fetches.
-const GANG_WAIT_INTERVALS: f64 = 4.0;
-/// The same in multiples of the time that the slowest fetch should take.
-const GANG_WAIT_FETCHES: f64 = 3.0;
+/// Part of the formation timeout, in heartbeat intervals.
+const FORMATION_TIMEOUT_INTERVALS: f64 = 4.0;
+/// Part of the formation timeout, in multiples of the slowest image fetch's nominal duration.
+const FORMATION_TIMEOUT_FETCHES: f64 = 3.0;
 
 /// The result of a review of all gangs.
 #[derive(Default)]
 struct GangReview {
     /// Tasks to be stopped.
     stops: Vec<TaskKey>,
-    /// Gangs that did not form in time.
+    /// Gangs whose formation timed out.
     timed_out: Vec<Arc<str>>,
-    /// Tasks whose start was never sent and cannot be sent any more.
-    lost: Vec<TaskKey>,
+    /// Tasks whose start command was not sent and no longer can be.
+    unsendable_starts: Vec<TaskKey>,
 }
 
 impl Scheduler {
-    /// How long a gang may take until all its tasks have their image.
-    fn gang_wait_ms(&self, job: &Job) -> u64 {
+    /// The formation timeout: how long a gang may take until all its tasks have their image.
+    fn formation_timeout_ms(&self, job: &Job) -> u64 {
         let machines = job
             .placements
             .iter()
@@ -35,34 +35,38 @@
             .filter_map(|machine| self.catalog.machine_type(&machine.machine_type))
             .map(|machine_type| fetch_s(job.spec.image_gb, machine_type.fetch_gb_per_s))
             .fold(0.0, f64::max);
-        // Over a slow link the fetch may take many times as long as it should: stopped in the
-        // middle of it each time, the gang would never begin.
-        let patience = f64::from(1 + job.failed_formations);
+        // On a slow link a fetch may take many times its nominal duration. With a fixed timeout
+        // it would be interrupted every time, and the gang would never start.
+        let timeout_multiplier = f64::from(1 + job.failed_formations);
         let report_s = self.cluster.workers.report_s;
-        to_ms(patience * (GANG_WAIT_INTERVALS * report_s + GANG_WAIT_FETCHES * slowest_fetch_s))
+        to_ms(
+            timeout_multiplier
+                * (FORMATION_TIMEOUT_INTERVALS * report_s
+                    + FORMATION_TIMEOUT_FETCHES * slowest_fetch_s),
+        )
     }
 
-    /// Whether a gang may still form: a task of it that timed out while waiting for the images
-    /// of the others is started again in place, and joins them.
+    /// Whether a gang is placed in full and within its formation timeout. If one of its tasks
+    /// times out waiting for the other tasks' images, it is restarted on the same machine and
+    /// rejoins the gang.
     pub(super) fn is_gang_forming(&self, id: &str, now: u64) -> bool {
-        let not_begun =
+        let is_unstarted =
             |placement: &Placement| placement.stop.is_none() && placement.running_since.is_none();
         self.jobs.get(id).is_some_and(|job| {
             job.is_gang()
                 && !job.cancelled
                 && job.is_whole()
-                && job.placements.iter().all(not_begun)
-                && now <= job.placed_at + self.gang_wait_ms(job)
+                && job.placements.iter().all(is_unstarted)
+                && now <= job.placed_at + self.formation_timeout_ms(job)
         })
     }
 
-    /// Stops gangs that do not form in time, or that lost a task before they began; they are
-    /// queued again. Removes placements whose start was never sent when their machine falls
-    /// silent or is terminated.
+    /// Stops and requeues gangs whose formation timed out or that lost a task. Removes placements
+    /// whose start was not sent before their machine became silent or was marked for termination.
     pub(super) fn review_gangs(&mut self, now: u64) {
         let mut review = GangReview::default();
         for job in self.jobs.values() {
-            self.find_lost_starts(job, &mut review, now);
+            self.find_unsendable_starts(job, &mut review, now);
             if job.is_gang() && !job.cancelled && !job.placements.is_empty() {
                 self.review_gang(job, &mut review, now);
             }
@@ -75,23 +79,25 @@
         for task in review.stops {
             self.stop_task(&task, 0.0, now);
         }
-        for task in review.lost {
+        for task in review.unsendable_starts {
             self.remove_placement(&task, now);
         }
         self.release_stale_reservations(now);
     }
 
-    fn find_lost_starts(&self, job: &Job, review: &mut GangReview, now: u64) {
+    fn find_unsendable_starts(&self, job: &Job, review: &mut GangReview, now: u64) {
         let silence_tolerance_ms = self.silence_tolerance_ms();
         let placements = job.placements.iter();
         for placement in placements.filter(|placement| placement.is_start_pending()) {
             let machine = self.machines.get(&*placement.machine);
-            let is_lost = machine.is_none_or(|machine| {
+            let is_unsendable = machine.is_none_or(|machine| {
                 !machine.is_retained()
                     || machine.silent_ms(self.began_at, now) > silence_tolerance_ms
             });
-            if is_lost {
-                review.lost.push(TaskKey::new(&job.id, placement.task));
+            if is_unsendable {
+                review
+                    .unsendable_starts
+                    .push(TaskKey::new(&job.id, placement.task));
             }
         }
     }
@@ -100,10 +106,10 @@
         let is_running = |placement: &Placement| placement.phase == Some(TaskPhase::Running);
         let has_started = job.placements.iter().any(is_running);
         let is_whole = job.is_whole();
-        if is_whole && (has_started || now <= job.placed_at + self.gang_wait_ms(job)) {
+        if is_whole && (has_started || now <= job.placed_at + self.formation_timeout_ms(job)) {
             return;
         }
-        if !is_whole && has_started && self.may_notice_loss(job, now) {
+        if !is_whole && has_started && self.may_detect_loss(job, now) {
             return;
         }
         let placements = job.placements.iter();
@@ -117,18 +123,18 @@
         review.stops.extend(unstopped);
     }
 
-    /// Whether the other tasks of a running gang may still notice by themselves that one is
-    /// gone.
-    fn may_notice_loss(&self, job: &Job, now: u64) -> bool {
+    /// Whether the remaining tasks of a running gang may still detect the lost task and exit by
+    /// themselves.
+    fn may_detect_loss(&self, job: &Job, now: u64) -> bool {
         let placements = job.placements.iter();
         let since = placements.map(|placement| placement.since).max();
-        let notice_ms = to_ms(2.0 * self.cluster.workers.gang_peer_s);
-        now < since.unwrap_or(now) + notice_ms
+        let detection_ms = to_ms(2.0 * self.cluster.workers.gang_peer_s);
+        now < since.unwrap_or(now) + detection_ms
     }
 
-    /// Releases reservations that have become useless: one of the machines is gone, or all
-    /// victims have exited and the gang still has no placements. The gang may then choose
-    /// victims anew.
+    /// Releases a gang's reservations if one of the reserved machines is gone, or if all preempted
+    /// tasks have exited and the gang still has no placements. The planner may then select other
+    /// tasks to preempt.
     fn release_stale_reservations(&mut self, now: u64) {
         let stale = self
             .jobs
@@ -141,17 +147,17 @@
     }
 
     fn has_stale_reservation(&self, job: &Job, now: u64) -> bool {
-        let settle_ms = to_ms(2.0 * self.cluster.workers.report_s);
-        let has_settled = now > job.reserved_at + settle_ms;
+        let grace_ms = to_ms(2.0 * self.cluster.workers.report_s);
+        let is_grace_over = now > job.reserved_at + grace_ms;
         job.reserved_machines.iter().any(|name| {
             self.machines.get(&**name).is_none_or(|machine| {
-                !machine.is_retained() || (has_settled && !self.has_victims(machine))
+                !machine.is_retained() || (is_grace_over && !self.has_stopping_tasks(machine))
             })
         })
     }
 
-    /// Whether a task on the machine is being stopped.
-    fn has_victims(&self, machine: &Machine) -> bool {
+    /// Whether a task on the machine is still being stopped.
+    fn has_stopping_tasks(&self, machine: &Machine) -> bool {
         machine.bound_tasks.iter().any(|task| {
             let placement = self.placement_of(task);
             placement.is_some_and(|(_, placement)| placement.stop.is_some())
--- a/src/scheduler/machine_views.rs
+++ b/src/scheduler/machine_views.rs
@@ -1,4 +1,4 @@
-//! The planner's view of machines.
+//! Builds the planner's views of machines.
 
 use std::collections::HashSet;
 use std::sync::Arc;
@@ -10,21 +10,21 @@
 use crate::plan::{lowest_priority, MachineView, Resources, TaskView};
 use crate::wire::MachineType;
 
-/// What stopping a task that never saves costs, beside its progress.
+/// Cost of stopping a task without checkpoints, in addition to its lost progress.
 const STOP_COST_S: f64 = 1.0;
 
 /// The views of all machines.
 pub(super) struct MachineViews {
-    /// The machines that may get tasks.
+    /// The machines on which tasks may be placed.
     pub views: Vec<Arc<MachineView>>,
-    /// The names of those that no gang may rely on.
+    /// The names of machines that are being terminated or reclaimed.
     pub unreliable: HashSet<Arc<str>>,
 }
 
 impl Scheduler {
-    /// Whether tasks may be placed on a machine. It must have been heard with our epoch: a
-    /// status that shows an older one may be a late copy from a machine that no longer exists,
-    /// or come from one that our answers do not reach.
+    /// Whether tasks may be placed on a machine. Its latest status must show this leader's epoch:
+    /// one with an older epoch may be a late copy from a machine that no longer exists, or come
+    /// from a machine that this controller's answers do not reach.
     pub(super) fn is_placeable(&self, machine: &Machine, now: u64) -> bool {
         let silence_tolerance_ms = self.silence_tolerance_ms();
         let last_heartbeat_at = machine.last_heartbeat_at.or(machine.up_since).unwrap_or(0);
@@ -39,7 +39,7 @@
             && now.saturating_sub(last_heartbeat_at.max(self.began_at)) <= silence_tolerance_ms
     }
 
-    /// The free resources of a machine; every task that may be on it counts as used.
+    /// The free resources of a machine. Every task that may be on it counts as using its resources.
     pub(super) fn free_resources(&self, machine: &Machine) -> Resources {
         let Some(machine_type) = self.catalog.machine_type(&machine.machine_type) else {
             return Resources::default();
@@ -51,7 +51,7 @@
         for orphan in machine.orphans() {
             match self.jobs.get(&orphan.job) {
                 Some(job) => free.sub(Resources::of(&job.spec)),
-                // Its size is no longer known: nothing may be placed beside it.
+                // The orphan's resources are unknown: nothing else may be placed on the machine.
                 None => free = Resources::default(),
             }
         }
@@ -61,7 +61,7 @@
     /// The views of all machines; those of machines that have not changed are reused.
     pub(super) fn machine_views(&mut self, time: PlanTime) -> MachineViews {
         let mut views = Vec::with_capacity(self.machines.len());
-        let mut renewed = Vec::new();
+        let mut new_views = Vec::new();
         let mut unreliable = HashSet::new();
         for (name, machine) in &self.machines {
             if !machine.is_retained() {
@@ -75,11 +75,11 @@
                 views.push(view.clone());
             } else if let Some(machine_type) = self.catalog.machine_type(&machine.machine_type) {
                 let view = Arc::new(self.view_of_machine(machine, machine_type, time));
-                renewed.push((name.clone(), view.clone()));
+                new_views.push((name.clone(), view.clone()));
                 views.push(view);
             }
         }
-        for (name, view) in renewed {
+        for (name, view) in new_views {
             if let Some(machine) = self.machines.get_mut(&name) {
                 machine.view = Some(view);
             }
@@ -128,12 +128,12 @@
             } else {
                 STOP_COST_S
             },
-            running_since_s: running_since.map(|at| time.wall_s_of(at)),
+            running_since_s: running_since.map(|at| time.to_wall_s(at)),
         })
     }
 
-    /// Images that a machine has or fetches: what is being fetched for one task serves the
-    /// next, too.
+    /// Images that a machine has or is fetching: later tasks can use an image that is being
+    /// fetched for an earlier one.
     fn present_images(&self, machine: &Machine) -> Vec<Arc<str>> {
         let mut images: Vec<Arc<str>> = machine.images.names().cloned().collect();
         for task in &machine.bound_tasks {
--- a/src/scheduler/scale_out.rs
+++ b/src/scheduler/scale_out.rs
@@ -1,4 +1,4 @@
-//! Which machines are provisioned for unmet demand.
+//! Scale-out: provisions machines for unmet demand.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -11,16 +11,16 @@
 use crate::machine::Machine;
 use crate::plan::UnmetDemand;
 
-/// At most how many machines one request may rent.
+/// The highest number of machines in one provisioning request.
 const PROVISION_BATCH_MAX: u64 = 50;
-/// Boot times after which a booting machine no longer counts as incoming.
-const OVERDUE_BOOTS: f64 = 1.6;
+/// Boot times after which a machine that is still booting no longer counts as incoming.
+const LATE_BOOT_MULTIPLIER: f64 = 1.6;
 
 impl Scheduler {
-    /// Provisions machines for unmet demand, with at most `calls` requests. Demand beyond them
-    /// is not kept: the next plan computes it anew.
-    pub(super) fn scale_out(&mut self, unmet: &[UnmetDemand], calls: usize, time: PlanTime) {
-        if calls == 0 || !self.is_settled(time.now) || !self.has_machine_list {
+    /// Provisions machines for unmet demand with at most `requests_max` requests. Demand beyond
+    /// that is not stored; the next plan computes it again.
+    pub(super) fn scale_out(&mut self, unmet: &[UnmetDemand], requests_max: usize, time: PlanTime) {
+        if requests_max == 0 || !self.has_list_caught_up(time.now) || !self.has_machine_list {
             return;
         }
         let demands = self.demands(unmet, time);
@@ -29,20 +29,20 @@
         }
         log_demands(&demands);
         let scale_out = self.plan_scale_out(&demands, time.now);
-        self.add_provisioning_requests(scale_out, calls, time.now);
+        self.add_provisioning_requests(scale_out, requests_max, time.now);
         self.send_provisioning_requests(time.now);
     }
 
-    /// Whether the machines that an earlier leader rented last are on the cloud's list by now:
-    /// before that they would be rented again.
-    fn is_settled(&self, now: u64) -> bool {
+    /// Whether the cloud's list, which lags, shows the latest machines that the previous leader
+    /// rented. Provisioning before that would rent them a second time.
+    fn has_list_caught_up(&self, now: u64) -> bool {
         let lag_ms = to_ms(self.cluster.cloud.list_lag_s);
         self.term.epoch <= Epoch::FIRST || now >= self.began_at + lag_ms
     }
 
     fn plan_scale_out(&self, demands: &[Demand], now: u64) -> Vec<MachinesToRent> {
         let is_sold_out = |kind: &MachineKind| self.provisioning.is_sold_out(kind, now);
-        // As many as the calls of a second may rent.
+        // As many as one second's requests may rent at the cloud's rate limit.
         let machines_max = PROVISION_BATCH_MAX * (self.cluster.cloud.rps as u64).max(1);
         cloud::plan_scale_out(
             demands,
@@ -53,18 +53,18 @@
         )
     }
 
-    /// Adds the requests that rent these machines, at most `calls`.
+    /// Adds at most `requests_max` provisioning requests for these machines.
     fn add_provisioning_requests(
         &mut self,
         scale_out: Vec<MachinesToRent>,
-        calls: usize,
+        requests_max: usize,
         now: u64,
     ) {
         let prefix = format!("{}-{}", self.term.member, self.term.epoch);
-        let mut calls_left = calls;
+        let mut requests_left = requests_max;
         for MachinesToRent { kind, mut count } in scale_out {
-            while count > 0 && calls_left > 0 {
-                calls_left -= 1;
+            while count > 0 && requests_left > 0 {
+                requests_left -= 1;
                 let batch = count.min(PROVISION_BATCH_MAX);
                 count -= batch;
                 self.provisioning.add(&prefix, kind.clone(), batch, now);
@@ -72,7 +72,7 @@
         }
     }
 
-    /// The demand for machines, the hardest to place first.
+    /// The demand for machines, hardest to satisfy first.
     fn demands(&self, unmet: &[UnmetDemand], time: PlanTime) -> Vec<Demand> {
         let mut demands = Vec::new();
         let on_demand_tasks = self.spot_tasks_on_demand(time.wall_ms);
@@ -96,14 +96,14 @@
             }
         }
         demands.extend(self.standby_capacity(time.now).unmet);
-        // Tasks that cannot use spot machines are hard to place, and first. Then those for
-        // which on-demand machines are rented: otherwise such machines on their way would count
-        // for other tasks and be rented again by the next plan.
+        // Demand that cannot use spot machines comes first, as it is hardest to satisfy. Next is
+        // spot demand that may use on-demand machines: otherwise incoming on-demand machines would
+        // be counted towards other tasks, and the next plan would rent them again.
         demands.sort_by_key(|demand| (demand.spec.spot, demand.on_demand_price_ratio == 0.0));
         demands
     }
 
-    /// Machines that are rented and cannot have tasks yet.
+    /// Machines that are requested or rented but cannot run tasks yet.
     fn incoming_machines(&self, now: u64) -> Vec<IncomingMachines> {
         let mut counts: HashMap<MachineKind, u64> = HashMap::new();
         for machine in self.machines.values() {
@@ -131,24 +131,24 @@
     }
 
     fn is_booting_or_joining(&self, machine: &Machine, now: u64) -> bool {
-        let was_heard = machine.last_status_at.is_some();
-        if was_heard && machine.epoch >= self.term.epoch {
+        let has_reported = machine.last_status_at.is_some();
+        if has_reported && machine.epoch >= self.term.epoch {
             return false;
         }
         if machine.termination_reason.is_some() || machine.is_dead() {
             return false;
         }
-        if was_heard {
-            // One that was heard but does not have our epoch yet is joining.
+        if has_reported {
+            // It has sent a status but not yet with this leader's epoch, so it is still joining.
             return machine.bound_tasks.is_empty()
                 && machine.interruption_deadline.is_none()
                 && machine.ineffective_answers == 0;
         }
-        // One that takes far longer than usual may never come up: another is rented instead,
-        // and the one that comes up late terminated.
+        // A machine that takes far longer than usual may never boot. A replacement is rented, and
+        // if the late machine does boot, it is terminated once idle.
         let machine_type = self.catalog.machine_type(&machine.machine_type);
         let is_late = machine_type.is_some_and(|machine_type| {
-            now > machine.known_since + to_ms(OVERDUE_BOOTS * machine_type.boot_s)
+            now > machine.known_since + to_ms(LATE_BOOT_MULTIPLIER * machine_type.boot_s)
         });
         !is_late
     }
@@ -164,5 +164,8 @@
         let key = (demand.spec.class.as_str(), is_on_demand);
         *tasks.entry(key).or_default() += demand.count;
     }
-    debug!(?tasks, "demand by class and whether for on-demand machines");
+    debug!(
+        ?tasks,
+        "unmet demand: tasks by job class and on-demand eligibility"
+    );
 }
--- a/src/scheduler/snapshots.rs
+++ b/src/scheduler/snapshots.rs
@@ -1,4 +1,4 @@
-//! From the scheduling state to the planner's snapshot.
+//! Builds the planner's snapshot from the scheduling state.
 
 use std::collections::{HashMap, HashSet};
 use std::sync::Arc;
@@ -6,52 +6,53 @@
 use super::{to_ms, Scheduler};
 use crate::plan::{JobView, Snapshot};
 
-/// The time of a plan.
+/// The time at which a plan is made, on both clocks.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct PlanTime {
-    /// The steady clock, in milliseconds.
+    /// Steady clock, in milliseconds.
     pub now: u64,
-    /// The time of day, in milliseconds.
+    /// Time of day, in milliseconds.
     pub wall_ms: u64,
 }
 
 impl PlanTime {
-    /// The time of day in seconds, as the planner has it.
+    /// The time of day in seconds, which is the planner's clock.
     pub(super) fn now_s(self) -> f64 {
         self.wall_ms as f64 / 1000.0
     }
 
-    /// A time of the steady clock as a time of day, in seconds.
-    pub(super) fn wall_s_of(self, at: u64) -> f64 {
+    /// Converts a time on the steady clock to a time of day in seconds.
+    pub(super) fn to_wall_s(self, at: u64) -> f64 {
         self.now_s() - self.now.saturating_sub(at) as f64 / 1000.0
     }
 }
 
-/// What the views of all jobs depend on.
+/// Data shared by the views of all jobs.
 pub(super) struct SnapshotContext {
     pub time: PlanTime,
-    /// The few machines that no gang may rely on.
+    /// Machines that are being terminated or reclaimed: gangs need replacements for tasks there.
     pub unreliable: HashSet<Arc<str>>,
-    /// Zones of orphans, by the id of the job.
+    /// The zones of each job's orphaned tasks, by job id.
     pub orphan_zones: HashMap<String, Vec<Arc<str>>>,
-    /// At most how many runs a record holds.
+    /// The highest number of task runs that fit in a job record.
     pub runs_max: usize,
 }
 
 impl Scheduler {
-    /// Whether the state is complete enough to plan. Machines that were heard may get tasks
-    /// without the cloud's list, so if that cannot be had, the planner only waits for one
-    /// heartbeat interval; provisioning and termination wait for the list.
+    /// Whether the state is complete enough to plan. Machines that have sent a heartbeat may get
+    /// tasks without the cloud's machine list, so while the list is unavailable, planning starts
+    /// after one heartbeat interval. Provisioning and termination wait for the list.
     pub fn is_ready(&self, now: u64) -> bool {
-        let was_heard = now > self.began_at + to_ms(self.cluster.workers.report_s);
-        !self.catalog.is_empty() && (self.has_machine_list || was_heard)
+        let heartbeat_interval_elapsed = now > self.began_at + to_ms(self.cluster.workers.report_s);
+        !self.catalog.is_empty() && (self.has_machine_list || heartbeat_interval_elapsed)
     }
 
-    /// A snapshot to plan on. `wall_ms` is the time of day in milliseconds, as in job records.
+    /// Builds the planner's input. `wall_ms` is the time of day in milliseconds, as in job
+    /// records.
     pub fn snapshot(&mut self, now: u64, wall_ms: u64) -> Snapshot {
         let time = PlanTime { now, wall_ms };
         self.needs_planning = false;
-        self.end_due_backoffs();
+        self.apply_end_backoffs();
         for machine in self.machines.values_mut() {
             machine.update_orphans();
         }
@@ -76,7 +77,7 @@
         }
     }
 
-    fn end_due_backoffs(&mut self) {
+    fn apply_end_backoffs(&mut self) {
         if std::mem::take(&mut self.end_backoffs) {
             for job in self.jobs.values_mut() {
                 job.retry.end_backoff();
@@ -88,8 +89,8 @@
         let mut zones: HashMap<String, Vec<Arc<str>>> = HashMap::new();
         for machine in self.machines.values() {
             for orphan in machine.orphans() {
-                let of_job = zones.entry(orphan.job.clone()).or_default();
-                of_job.push(machine.zone.clone());
+                let job_zones = zones.entry(orphan.job.clone()).or_default();
+                job_zones.push(machine.zone.clone());
             }
         }
         zones
