--- a/src/scheduler/decisions.rs
+++ b/src/scheduler/decisions.rs
@@ -104,8 +104,8 @@
         self.record_placements(&planned.job, bindings, now);
     }
 
-    /// The planned bindings that are still possible: machine and team have the capacity, and the
-    /// task is still pending.
+    /// The planned bindings that are still possible: the task is pending, the machine accepts it
+    /// and has the capacity, and the team's quota allows it.
     fn valid_bindings(
         &self,
         job: &Job,
--- a/src/scheduler/dependency_links.rs
+++ b/src/scheduler/dependency_links.rs
@@ -1,4 +1,4 @@
-//! How priorities and deadlines pass from jobs to their dependencies.
+//! Propagates priorities and deadlines from jobs to their dependencies.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -7,7 +7,7 @@
 
 use super::{Job, Scheduler};
 
-/// The dependents of live jobs, by the id of the dependency.
+/// The live jobs that depend on a job, by that job's id.
 #[derive(Debug, Default)]
 pub(super) struct DependencyLinks {
     dependents: HashMap<String, Vec<Arc<str>>>,
@@ -25,7 +25,7 @@
         }
     }
 
-    /// Removes a job that is no longer live from its dependencies.
+    /// Removes a job that is no longer live from the dependents of its dependencies.
     pub(super) fn remove(&mut self, job: &Job) {
         for dependency in &job.spec.dependencies {
             if let Some(dependents) = self.dependents.get_mut(dependency) {
@@ -39,19 +39,20 @@
 }
 
 impl Scheduler {
-    /// All dependencies of a job are recorded as done since the time of day `at`.
+    /// Marks a job as ready, as all its dependencies have been recorded as done since the time of
+    /// day `at`, in milliseconds.
     pub fn dependencies_done(&mut self, id: &str, at: u64) {
         if let Some(job) = self.jobs.get_mut(id).filter(|job| job.is_waiting) {
-            debug!(job = id, "job is ready");
+            debug!(job = id, "all dependencies are done; job can be placed");
             job.is_waiting = false;
             job.ready_at = job.submitted_at.max(at);
             self.retry_backed_off();
         }
     }
 
-    /// Links a new job with its dependencies and dependents. A dependency is as urgent as the
-    /// job itself, and due in time for the job's own run: so the deadline of a chain's last
-    /// job, whenever it arrives, orders all jobs before it by the remaining critical path.
+    /// Links a new job with its dependencies and dependents. A dependency gets at least the job's
+    /// priority and is due in time for the job's own run. So the deadline of a chain's last job,
+    /// whenever it is submitted, orders all earlier jobs by the remaining critical path.
     pub(super) fn link_dependencies(&mut self, id: &str) {
         let Some(job) = self.jobs.get(id) else { return };
         let mut pending = self.dependency_links.dependents_of(id);
@@ -60,12 +61,13 @@
             self.dependency_links.add(job);
         }
         while let Some(id) = pending.pop() {
-            pending.extend(self.raise_dependencies(&id));
+            pending.extend(self.propagate_urgency(&id));
         }
     }
 
-    /// Passes a job's priority and deadline on; returns the dependencies that changed.
-    fn raise_dependencies(&mut self, id: &str) -> Vec<Arc<str>> {
+    /// Propagates a job's priority and deadline to its direct dependencies. Returns those that
+    /// changed.
+    fn propagate_urgency(&mut self, id: &str) -> Vec<Arc<str>> {
         let Some(job) = self.jobs.get(id) else {
             return vec![];
         };
@@ -98,7 +100,8 @@
     }
 }
 
-/// When a job has to start to meet its deadlines, in seconds of the time of day.
+/// The latest start that meets a job's own deadline and its dependents', in seconds of the time
+/// of day.
 fn latest_start_s(job: &Job) -> Option<f64> {
     let submitted_s = job.submitted_at as f64 / 1000.0;
     let own_due_s = job
--- a/src/scheduler/gangs.rs
+++ b/src/scheduler/gangs.rs
@@ -9,9 +9,9 @@
 use crate::plan::fetch_s;
 
 /// Part of the formation timeout, in heartbeat intervals.
-const FORMATION_TIMEOUT_INTERVALS: f64 = 4.0;
+const FORMATION_TIMEOUT_HEARTBEAT_INTERVALS: f64 = 4.0;
 /// Part of the formation timeout, in multiples of the slowest image fetch's nominal duration.
-const FORMATION_TIMEOUT_FETCHES: f64 = 3.0;
+const FORMATION_TIMEOUT_FETCH_MULTIPLIER: f64 = 3.0;
 
 /// The result of a review of all gangs.
 #[derive(Default)]
@@ -35,14 +35,15 @@
             .filter_map(|machine| self.catalog.machine_type(&machine.machine_type))
             .map(|machine_type| fetch_s(job.spec.image_gb, machine_type.fetch_gb_per_s))
             .fold(0.0, f64::max);
-        // On a slow link a fetch may take many times its nominal duration. With a fixed timeout
-        // it would be interrupted every time, and the gang would never start.
+        // On a slow link a fetch may take many times its nominal duration, so the timeout grows
+        // with each failed formation: a fixed one could interrupt every attempt, and the gang would
+        // never start.
         let timeout_multiplier = f64::from(1 + job.failed_formations);
         let report_s = self.cluster.workers.report_s;
         to_ms(
             timeout_multiplier
-                * (FORMATION_TIMEOUT_INTERVALS * report_s
-                    + FORMATION_TIMEOUT_FETCHES * slowest_fetch_s),
+                * (FORMATION_TIMEOUT_HEARTBEAT_INTERVALS * report_s
+                    + FORMATION_TIMEOUT_FETCH_MULTIPLIER * slowest_fetch_s),
         )
     }
 
--- a/src/scheduler/job_views.rs
+++ b/src/scheduler/job_views.rs
@@ -14,11 +14,11 @@
 /// Upper limit for the time until a job is overdue, however slowly machines boot. The largest
 /// jobs must start within four minutes, and part of that time is needed to free capacity.
 const OVERDUE_MAX_S: f64 = 0.75 * 240.0;
-/// Only the fraction 1 / this of an overdue array's tasks is planned.
+/// An overdue array is planned with at most one in this many of its tasks, rounded up.
 const OVERDUE_ARRAY_DIVISOR: u32 = 4;
 /// How long an array skips machines without its image, in multiples of the image's longest
 /// nominal fetch.
-const CACHE_WAIT_FETCHES: f64 = 1.0;
+const CACHE_WAIT_FETCH_MULTIPLIER: f64 = 1.0;
 
 impl Scheduler {
     /// The number of a job's tasks in each zone, orphans included; empty if its constraints do
@@ -98,7 +98,7 @@
         })
     }
 
-    /// The view of a job that is neither backing off, incomplete nor overdue.
+    /// The view of a job with all planning flags unset.
     fn base_view(
         &self,
         job: &Job,
@@ -133,7 +133,7 @@
 
     /// How long an array skips machines without its image, in milliseconds.
     fn cache_wait_ms(&self, job: &Job) -> u64 {
-        to_ms(CACHE_WAIT_FETCHES * self.catalog.longest_fetch_s(job.spec.image_gb))
+        to_ms(CACHE_WAIT_FETCH_MULTIPLIER * self.catalog.longest_fetch_s(job.spec.image_gb))
     }
 }
 
--- a/src/scheduler/machine_catalog.rs
+++ b/src/scheduler/machine_catalog.rs
@@ -7,7 +7,7 @@
 use crate::plan::fetch_s;
 use crate::wire::MachineType;
 
-/// The cloud's machine types, and one shared copy of their names and zones.
+/// The cloud's machine types, with their names and zones interned.
 #[derive(Debug)]
 pub(super) struct MachineCatalog {
     machine_types: Arc<Vec<MachineType>>,
@@ -48,7 +48,7 @@
         })
     }
 
-    /// The longest nominal boot time of any machine type, at least a second.
+    /// The longest nominal boot time of all machine types, at least 1 s.
     pub(super) fn longest_boot_s(&self) -> f64 {
         self.machine_types
             .iter()
@@ -56,7 +56,7 @@
             .fold(1.0, f64::max)
     }
 
-    /// The longest time that any machine type should take to fetch an image.
+    /// The longest nominal time of all machine types to fetch an image.
     pub(super) fn longest_fetch_s(&self, image_gb: f64) -> f64 {
         self.machine_types
             .iter()
@@ -64,8 +64,8 @@
             .fold(0.0, f64::max)
     }
 
-    /// The shared copy of the name of a machine type or zone, or `name` itself if the
-    /// catalog does not have it.
+    /// The interned copy of the name of a machine type or zone, or `name` itself if the catalog
+    /// does not contain it.
     pub(super) fn interned_name(&self, name: &Arc<str>) -> Arc<str> {
         let known = self.interned_names.iter().find(|known| *known == name);
         known.unwrap_or(name).clone()
--- a/src/scheduler/objectives.rs
+++ b/src/scheduler/objectives.rs
@@ -1,4 +1,4 @@
-//! When a job should start to meet its service-level objectives.
+//! Computes when a job should start to meet its service-level objectives.
 
 use super::Job;
 use crate::settings::{ObjectiveKind, ServiceLevelObjective};
@@ -7,12 +7,12 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 struct StartObjective {
     start_by_s: f64,
-    /// How late it may start before the objective counts as missed.
+    /// How much later the job may start before the objective counts as missed.
     tolerance_s: f64,
 }
 
 impl StartObjective {
-    /// To start by a time.
+    /// An objective to start by `start_by_s`.
     fn started_by(start_by_s: f64) -> StartObjective {
         StartObjective {
             start_by_s,
@@ -20,8 +20,8 @@
         }
     }
 
-    /// To be done by a time. Estimates are rough: a job that starts half a run time late may
-    /// still meet the objective.
+    /// An objective to be done by `at_s`. Run time estimates are rough, so a job that starts half
+    /// a run time late may still meet it.
     fn done_by(at_s: f64, run_s: f64) -> StartObjective {
         StartObjective {
             start_by_s: at_s - run_s,
@@ -34,16 +34,16 @@
     }
 }
 
-/// When a job should start to meet the next of its objectives that can still be met, in
-/// seconds of the time of day. Without any objective, jobs are served in the order in which
-/// they became ready; `boot_s` is the wait that they may have.
+/// When a job should start to meet the earliest of its objectives that can still be met, in
+/// seconds of the time of day; `None` if all are missed. A job without objectives should start
+/// within `boot_s` of becoming ready, so such jobs are served in the order of readiness.
 pub(super) fn start_by_s(
     job: &Job,
-    stated: &[ServiceLevelObjective],
+    configured: &[ServiceLevelObjective],
     boot_s: f64,
     now_s: f64,
 ) -> Option<f64> {
-    let objectives = start_objectives(job, stated);
+    let objectives = start_objectives(job, configured);
     if objectives.is_empty() {
         return Some(job.ready_at as f64 / 1000.0 + boot_s);
     }
@@ -54,8 +54,8 @@
         .min_by(f64::total_cmp)
 }
 
-/// A job's own deadline, that of its dependents, and the `stated` objectives for its class.
-fn start_objectives(job: &Job, stated: &[ServiceLevelObjective]) -> Vec<StartObjective> {
+/// A job's own deadline, that of its dependents, and the configured objectives for its class.
+fn start_objectives(job: &Job, configured: &[ServiceLevelObjective]) -> Vec<StartObjective> {
     let submitted_s = job.submitted_at as f64 / 1000.0;
     let run_s = job.spec.expected_s;
     let done_by = |at_s: f64| StartObjective::done_by(at_s, run_s);
@@ -64,15 +64,15 @@
         objectives.push(done_by(submitted_s + deadline_s));
     }
     objectives.extend(job.due_at_s.map(done_by));
-    let for_class = stated.iter().filter(|objective| {
+    let for_class = configured.iter().filter(|objective| {
         let class = objective.class.as_ref();
         class.is_none_or(|class| *class == job.spec.class)
     });
-    objectives.extend(for_class.filter_map(|objective| stated_objective(job, objective)));
+    objectives.extend(for_class.filter_map(|objective| configured_objective(job, objective)));
     objectives
 }
 
-fn stated_objective(job: &Job, objective: &ServiceLevelObjective) -> Option<StartObjective> {
+fn configured_objective(job: &Job, objective: &ServiceLevelObjective) -> Option<StartObjective> {
     let submitted_s = job.submitted_at as f64 / 1000.0;
     let ready_s = job.ready_at as f64 / 1000.0;
     let run_s = job.spec.expected_s;
--- a/src/scheduler/provisioning.rs
+++ b/src/scheduler/provisioning.rs
@@ -1,7 +1,7 @@
-//! Provisioning requests from the decision until the cloud has answered.
+//! Provisioning requests, from the scale-out decision to the cloud's answer.
 //!
-//! [`ProvisioningRequests`] owns the open requests and what the cloud has refused; the
-//! scheduler adds the machines that a request brings.
+//! [`ProvisioningRequests`] owns the open requests and the kinds of machine that the cloud has
+//! refused; the scheduler adds the machines that a request provisions.
 
 use std::collections::HashMap;
 
@@ -11,22 +11,22 @@
 use crate::cloud::MachineKind;
 use crate::machine::Machine;
 
-/// A kind that is sold out is tried again after this share of a boot time.
-const SOLD_OUT_BOOTS: f64 = 0.25;
-/// The same for a type that is not known, in seconds.
+/// A kind of machine that is sold out is requested again after this share of its boot time.
+const SOLD_OUT_BOOT_RATIO: f64 = 0.25;
+/// The same for a machine type that is missing in the catalog, in seconds.
 const SOLD_OUT_DEFAULT_S: f64 = 10.0;
-/// Pause after a failed attempt, for each attempt so far.
-const RETRY_MS: u64 = 1000;
-/// Further attempts do not lengthen the pause.
+/// The backoff after a failed attempt grows by this much with each attempt.
+const RETRY_STEP_MS: u64 = 1000;
+/// The highest number of steps in the backoff.
 const RETRY_STEPS_MAX: u32 = 4;
-/// Attempts after which a provisioning request is given up. It may still be executed: the
-/// machines then appear in the cloud's list and are used.
-const ATTEMPTS_MAX: u32 = 8;
+/// A provisioning request is abandoned when more attempts than this have failed. The cloud may
+/// still execute it; the machines then appear in the cloud's list and are used.
+const FAILED_ATTEMPTS_MAX: u32 = 8;
 
 /// An open provisioning request.
 #[derive(Debug, Clone)]
 pub(super) struct ProvisioningRequest {
-    /// Its unique name.
+    /// Unique among all terms.
     idempotency_key: String,
     pub kind: MachineKind,
     pub count: u64,
@@ -50,11 +50,11 @@
 pub enum ProvisioningOutcome {
     /// Machines were rented, perhaps fewer than requested.
     Provisioned(Vec<String>),
-    /// There are no machines of this kind, or the request was malformed.
+    /// The cloud has no capacity for this kind of machine, or the request was malformed.
     Unavailable,
-    /// The outcome is unknown, or the cloud is in trouble.
+    /// The request failed, or its outcome is unknown; it is retried.
     Failed,
-    /// It was never sent, and will not be.
+    /// The request was never sent and will not be.
     Cancelled,
 }
 
@@ -63,7 +63,7 @@
 pub(super) struct ProvisioningRequests {
     open: Vec<ProvisioningRequest>,
     last_number: u64,
-    /// Until when each kind is not tried again.
+    /// When each refused kind of machine may be requested again.
     sold_out_until: HashMap<MachineKind, u64>,
 }
 
@@ -73,7 +73,7 @@
         &self.open
     }
 
-    /// Adds a request to be sent. `prefix` makes its name unique among all terms.
+    /// Adds a request to be sent. `prefix` makes its idempotency key unique among all terms.
     pub(super) fn add(&mut self, prefix: &str, kind: MachineKind, count: u64, now: u64) {
         self.last_number += 1;
         self.open.push(ProvisioningRequest {
@@ -86,7 +86,7 @@
         });
     }
 
-    /// Adds a request that is already being sent.
+    /// Adds a request that is already in flight.
     fn adopt(&mut self, idempotency_key: &str, kind: MachineKind, count: u64, now: u64) {
         if self.position(idempotency_key).is_none() {
             self.open.push(ProvisioningRequest {
@@ -100,7 +100,7 @@
         }
     }
 
-    /// The requests that are due; each counts as in flight from here on.
+    /// Marks the requests that are due as in flight and returns their effects.
     fn take_due(&mut self, now: u64) -> impl Iterator<Item = Effect> + '_ {
         let due = self
             .open
@@ -118,7 +118,7 @@
         Some(self.open.remove(index))
     }
 
-    /// The outcome of an attempt is unknown: the request is sent again later, or given up.
+    /// Schedules another attempt after a failed one, or abandons the request.
     fn retry(&mut self, idempotency_key: &str, now: u64) {
         let Some(index) = self.position(idempotency_key) else {
             return;
@@ -127,13 +127,13 @@
         request.is_in_flight = false;
         request.failed_attempts += 1;
         let steps = u64::from(request.failed_attempts.min(RETRY_STEPS_MAX));
-        request.next_attempt_at = now + RETRY_MS * steps;
-        if request.failed_attempts > ATTEMPTS_MAX {
+        request.next_attempt_at = now + RETRY_STEP_MS * steps;
+        if request.failed_attempts > FAILED_ATTEMPTS_MAX {
             self.open.remove(index);
         }
     }
 
-    /// A request was not sent; it becomes due at `retry_at`.
+    /// Makes a request that was not sent due at `retry_at`.
     fn postpone(&mut self, idempotency_key: &str, retry_at: u64) {
         if let Some(index) = self.position(idempotency_key) {
             let request = &mut self.open[index];
@@ -148,27 +148,31 @@
             .position(|request| request.idempotency_key == idempotency_key)
     }
 
-    /// The cloud has no machines of a kind; `boot_s` is the type's boot time, if known.
+    /// Pauses requests for a kind of machine for which the cloud has no capacity. `boot_s` is the
+    /// machine type's boot time, if known.
     fn mark_sold_out(&mut self, kind: &MachineKind, boot_s: Option<f64>, now: u64) {
-        let pause_s = boot_s.map_or(SOLD_OUT_DEFAULT_S, |boot_s| boot_s * SOLD_OUT_BOOTS);
-        info!(?kind, "no capacity");
+        let pause_s = boot_s.map_or(SOLD_OUT_DEFAULT_S, |boot_s| boot_s * SOLD_OUT_BOOT_RATIO);
+        info!(
+            ?kind,
+            "cloud has no capacity for this kind of machine; pausing requests for it"
+        );
         let until = now + to_ms(pause_s);
         self.sold_out_until.insert(kind.clone(), until);
     }
 
-    /// Whether a kind was refused recently.
+    /// Whether requests for a kind of machine are paused because the cloud refused one.
     pub(super) fn is_sold_out(&self, kind: &MachineKind, now: u64) -> bool {
         self.sold_out_until.get(kind).is_some_and(|at| now < *at)
     }
 
-    /// Whether a kind has ever been refused.
+    /// Whether the cloud has refused a kind of machine at any time in this term.
     pub(super) fn has_been_sold_out(&self, kind: &MachineKind) -> bool {
         self.sold_out_until.contains_key(kind)
     }
 }
 
 impl Scheduler {
-    /// Sends provisioning requests that are due.
+    /// Sends the provisioning requests that are due.
     pub(super) fn send_provisioning_requests(&mut self, now: u64) {
         self.effects.extend(self.provisioning.take_due(now));
     }
@@ -195,8 +199,8 @@
         self.needs_planning = true;
     }
 
-    /// A provisioning request is recorded with the holder of the provisioning duty: its
-    /// machines will come, whichever leader requested them.
+    /// Adopts a provisioning request that is recorded with the holder of the provisioning duty:
+    /// its machines will be provisioned, whichever leader requested them.
     pub fn adopt_provisioning(
         &mut self,
         idempotency_key: &str,
@@ -207,7 +211,8 @@
         self.provisioning.adopt(idempotency_key, kind, count, now);
     }
 
-    /// The rate limit for calls to the cloud does not allow a provisioning request yet.
+    /// Postpones a provisioning request that the rate limit for calls to the cloud does not allow
+    /// yet.
     pub fn on_provisioning_postponed(&mut self, idempotency_key: &str, now: u64) {
         let retry_at = now + to_ms(1.0 / self.cluster.cloud.rps);
         self.provisioning.postpone(idempotency_key, retry_at);
@@ -215,7 +220,7 @@
 
     fn add_provisioned(&mut self, request: &ProvisioningRequest, names: Vec<String>, now: u64) {
         let kind = &request.kind;
-        info!(request = %request.idempotency_key, ?kind, machines = ?names, "machines rented");
+        info!(request = %request.idempotency_key, ?kind, machines = ?names, "machines provisioned");
         if (names.len() as u64) < request.count {
             self.mark_sold_out(kind, now);
         }
--- a/src/scheduler/quota_cache.rs
+++ b/src/scheduler/quota_cache.rs
@@ -1,23 +1,23 @@
-//! Whether each team is within its quota limit, cached until the usage changes: a new leader
-//! asks once for every start that it finds recorded.
+//! Caches whether each team is within its quota limit until any usage changes: a new leader checks
+//! the limit for every recorded start.
 
 use std::collections::HashMap;
 
 use crate::plan::TeamView;
 
-/// Results computed since the usage of any team last changed.
+/// The results for the teams' present usage.
 #[derive(Debug, Default)]
 pub(super) struct QuotaCache {
     is_within_limit: HashMap<String, bool>,
 }
 
 impl QuotaCache {
-    /// Drops all results, as the usage of a team may have changed.
+    /// Discards all results, as the usage of a team may have changed.
     pub(super) fn invalidate(&mut self) {
         self.is_within_limit.clear();
     }
 
-    /// The cached result for a team.
+    /// The cached result for a team; `None` if it has to be computed.
     pub(super) fn get(&self, team: &str) -> Option<bool> {
         self.is_within_limit.get(team).copied()
     }
--- a/src/scheduler/scale_in.rs
+++ b/src/scheduler/scale_in.rs
@@ -1,4 +1,4 @@
-//! Terminating machines: draining them, and sending the deletions.
+//! Scale-in: drains machines and requests their deletion.
 
 use std::sync::Arc;
 
@@ -8,9 +8,9 @@
 use super::{to_ms, Effect, Scheduler};
 use crate::machine::{TerminationClass, TerminationReason};
 
-/// A deletion that was not confirmed is sent again after this time.
+/// Interval at which an unconfirmed deletion request is sent again.
 pub(super) const TERMINATION_RETRY_MS: u64 = 4000;
-/// At most how many machines one deletion names.
+/// The highest number of machines in one deletion request.
 const TERMINATION_BATCH_MAX: usize = 100;
 
 /// A machine that is to be terminated.
@@ -20,13 +20,12 @@
 }
 
 impl Scheduler {
-    /// Whether machines were terminated in this term because they could not be reached.
+    /// Whether any machine was terminated in this term because it was silent or unreachable.
     pub fn has_terminated_unreachable(&self) -> bool {
         self.terminations.has_terminated_unreachable()
     }
 
-    /// Terminates machines that have no more use: they are gone, silent, unreachable, drained
-    /// or idle.
+    /// Terminates machines that are gone, silent, unreachable, drained or idle.
     pub(super) fn terminate_machines(&mut self, now: u64) {
         self.drain_recorded_terminations();
         for machine in self.machines.values_mut() {
@@ -70,8 +69,8 @@
         due.collect()
     }
 
-    /// The termination of machines is recorded: they get no more tasks, under this leader and
-    /// the next ones.
+    /// Handles a recorded termination: these machines get no more tasks, neither from this leader
+    /// nor from its successors.
     pub fn on_termination_recorded(&mut self, machines: &[String]) {
         self.terminations.record(machines);
         self.drain_recorded_terminations();
@@ -88,7 +87,7 @@
         }
     }
 
-    /// The termination of machines was rejected: those that were idle may get tasks again.
+    /// Handles a rejected termination: machines that were terminated as idle may get tasks again.
     pub fn on_termination_rejected(&mut self, machines: &[String]) {
         for name in machines {
             self.terminations.reject(name);
@@ -107,7 +106,7 @@
         }
     }
 
-    /// Drains a machine from now on. Returns whether its deletion is to be sent.
+    /// Starts to drain a machine. Returns whether its deletion request has to be sent now.
     fn begin_termination(&mut self, due: &DueTermination, now: u64) -> bool {
         let reason = due.reason;
         let Some(machine) = self.machines.get_mut(&*due.machine) else {
@@ -116,7 +115,7 @@
         if machine.termination_reason.is_none() {
             self.needs_planning = true;
         }
-        // One that was being drained and is lost meanwhile need not be empty any more.
+        // A machine that is lost while it drains is terminated even if it still has tasks.
         if machine.termination_reason.is_none() || reason.class() == TerminationClass::Lost {
             machine.termination_reason = Some(reason);
         }
@@ -131,16 +130,16 @@
                 TerminationReason::Silent | TerminationReason::Unreachable
             );
             if is_unreachable {
-                self.terminations.note_unreachable();
+                self.terminations.mark_terminated_unreachable();
             }
         }
         machine.termination_sent_at = Some(now);
         true
     }
 
-    /// The rate limit for calls to the cloud does not allow a deletion yet. It is requested
-    /// again as soon as a call may be made, not only when an answer would be overdue: after the
-    /// loss of a third of the fleet there are many calls.
+    /// The rate limit for calls to the cloud does not allow a deletion yet. It is retried as soon
+    /// as the next call is allowed instead of after `TERMINATION_RETRY_MS`, because the loss of a
+    /// third of the fleet needs many calls.
     pub fn on_termination_postponed(&mut self, machines: &[String], now: u64) {
         let retry_at = now + to_ms(1.0 / self.cluster.cloud.rps);
         for name in machines {
--- a/src/scheduler/spot_queue.rs
+++ b/src/scheduler/spot_queue.rs
@@ -1,4 +1,4 @@
-//! Which spot jobs are worth an on-demand machine, because the spot machines would take too
+//! Selects spot tasks that may use on-demand machines, because the spot machines would take too
 //! long to work off the queue.
 
 use std::collections::HashMap;
@@ -11,7 +11,7 @@
 /// A spot job with pending tasks.
 struct WaitingJob {
     id: Arc<str>,
-    /// Time left until it has to start to meet its deadline; infinite without a deadline.
+    /// Time until it has to start to meet its deadline; infinite without a deadline.
     slack_s: f64,
     pending_tasks: f64,
 }
@@ -19,13 +19,13 @@
 /// All live spot jobs.
 #[derive(Default)]
 struct SpotQueue {
-    /// Those with pending tasks.
+    /// The jobs with pending tasks.
     waiting: Vec<WaitingJob>,
-    /// Number of tasks that are pending or placed.
+    /// The number of tasks that are pending or placed.
     tasks: f64,
-    /// Their expected run time.
+    /// The total expected run time of these tasks.
     work_s: f64,
-    /// Their resources.
+    /// The total resources of these tasks.
     resources: Resources,
 }
 
@@ -40,37 +40,38 @@
         if pending_tasks > 0.0 {
             let age_s = (job.submitted_at as f64 - wall_ms as f64) / 1000.0;
             let deadline_s = job.spec.deadline_s;
-            let left_s = deadline_s.map_or(f64::INFINITY, |deadline_s| deadline_s + age_s);
+            let until_deadline_s =
+                deadline_s.map_or(f64::INFINITY, |deadline_s| deadline_s + age_s);
             self.waiting.push(WaitingJob {
                 id: job.id.clone(),
-                slack_s: left_s - job.spec.expected_s,
+                slack_s: until_deadline_s - job.spec.expected_s,
                 pending_tasks,
             });
         }
     }
 
-    /// Which of the waiting jobs wait longer than `longest_s`, the least slack first, with how
-    /// many tasks of each have to go elsewhere to shorten the wait to that. `all_refused`: the
-    /// cloud has refused every kind of spot machine.
+    /// The number of tasks of each waiting job that have to run elsewhere so that no wait exceeds
+    /// `wait_max_s`; jobs with the least slack come first. `all_refused` tells whether the cloud
+    /// has refused every kind of spot machine.
     fn excess_tasks(
         mut self,
         task_slots: f64,
-        longest_s: f64,
+        wait_max_s: f64,
         all_refused: impl FnOnce() -> bool,
     ) -> HashMap<Arc<str>, u32> {
         let mean_s = self.work_s / self.tasks;
         self.waiting.sort_by(|a, b| a.slack_s.total_cmp(&b.slack_s));
         let is_stuck = task_slots == 0.0 && all_refused();
         let pending: f64 = self.waiting.iter().map(|job| job.pending_tasks).sum();
-        let mut lacking = (pending * mean_s / longest_s - task_slots).ceil();
-        let mut ahead = 0.0;
+        let mut excess_left = (pending * mean_s / wait_max_s - task_slots).ceil();
+        let mut tasks_ahead = 0.0;
         let mut excess = HashMap::new();
         for job in self.waiting {
-            ahead += job.pending_tasks;
-            let waits_long = task_slots > 0.0 && ahead / task_slots * mean_s > longest_s;
-            if lacking > 0.0 && (is_stuck || waits_long) {
-                let count = job.pending_tasks.min(lacking);
-                lacking -= count;
+            tasks_ahead += job.pending_tasks;
+            let waits_long = task_slots > 0.0 && tasks_ahead / task_slots * mean_s > wait_max_s;
+            if excess_left > 0.0 && (is_stuck || waits_long) {
+                let count = job.pending_tasks.min(excess_left);
+                excess_left -= count;
                 excess.insert(job.id, count as u32);
             }
         }
@@ -79,9 +80,10 @@
 }
 
 impl Scheduler {
-    /// Spot jobs that are worth an on-demand machine: at the rate at which the spot machines
-    /// that are up or on their way work off the queue, they would wait very long. For each, how
-    /// many of its tasks: in all, as many as shorten the wait to what is bearable.
+    /// The number of tasks of each spot job that may use on-demand machines. These are the jobs
+    /// that would wait longer than `ordinary_wait_boots` boot times at the rate at which running
+    /// and incoming spot machines work off the queue; in total, as many tasks as bring the wait
+    /// down to that limit.
     pub(super) fn spot_tasks_on_demand(&self, wall_ms: u64) -> HashMap<Arc<str>, u32> {
         let mut queue = SpotQueue::default();
         let jobs = self.jobs.values();
@@ -93,12 +95,12 @@
         }
         let mean_resources = queue.resources.scaled(1.0 / queue.tasks);
         let task_slots = self.spot_task_slots(mean_resources);
-        let longest_s = self.operator.ordinary_wait_boots * self.catalog.longest_boot_s();
-        queue.excess_tasks(task_slots, longest_s, || self.all_spot_refused())
+        let wait_max_s = self.operator.ordinary_wait_boots * self.catalog.longest_boot_s();
+        queue.excess_tasks(task_slots, wait_max_s, || self.all_spot_refused())
     }
 
-    /// How many tasks of the mean size fit on the spot machines, including those on their way,
-    /// plus the spot tasks that on-demand machines currently run.
+    /// The number of tasks of the mean size that fit on running and incoming spot machines, plus
+    /// the spot tasks that on-demand machines currently run.
     fn spot_task_slots(&self, task: Resources) -> f64 {
         let slots_on = |name: &str| {
             let machine_type = self.catalog.machine_type(name);
@@ -130,7 +132,7 @@
         on_demand_tasks as f64 + present.sum::<f64>() + incoming.sum::<f64>()
     }
 
-    /// Whether every kind of spot machine has been refused.
+    /// Whether the cloud has refused every kind of spot machine at some time in this term.
     fn all_spot_refused(&self) -> bool {
         let mut kinds = self.catalog.spot_kinds();
         kinds.all(|kind| self.provisioning.has_been_sold_out(&kind))
--- a/src/scheduler/standby_capacity.rs
+++ b/src/scheduler/standby_capacity.rs
@@ -1,5 +1,5 @@
-//! Standby capacity: on-demand machines that are held ready for jobs that spot machines must
-//! not run.
+//! Standby capacity: on-demand machines that are kept for jobs that must not run on spot
+//! machines.
 
 use std::collections::HashSet;
 use std::sync::Arc;
@@ -13,28 +13,29 @@
 /// The standby capacity of all job classes.
 #[derive(Default)]
 pub(super) struct StandbyCapacity {
-    /// Machines that are held ready.
+    /// Existing machines that are kept.
     pub machines: HashSet<Arc<str>>,
-    /// Standby capacity that has yet to be provisioned.
+    /// Demand for machines that still have to be provisioned.
     pub unmet: Vec<Demand>,
 }
 
-/// A machine that could be held ready, and how many tasks of the class fit on it.
+/// A machine that could be kept, and how many tasks of the class fit on it.
 struct StandbyCandidate<'a> {
     machine: &'a Machine,
     task_slots: usize,
 }
 
 impl Scheduler {
-    /// The standby capacity, sized by how often such jobs arrived recently.
+    /// The standby capacity, sized by the recent arrival rate of such jobs.
     pub(super) fn standby_capacity(&self, now: u64) -> StandbyCapacity {
         let mut standby_capacity = StandbyCapacity::default();
         let boot_s = self.catalog.longest_boot_s();
         for arrivals in self.arrivals.iter() {
-            let tasks = arrivals.per_second(now, boot_s) * boot_s * self.operator.reserve_boots;
-            let wanted = tasks.round() as usize;
-            if wanted > 0 {
-                self.add_standby_for(arrivals, wanted, &mut standby_capacity);
+            let tasks =
+                arrivals.tasks_per_second(now, boot_s) * boot_s * self.operator.reserve_boots;
+            let target_slots = tasks.round() as usize;
+            if target_slots > 0 {
+                self.add_standby_for(arrivals, target_slots, &mut standby_capacity);
             }
         }
         standby_capacity
@@ -43,7 +44,7 @@
     fn add_standby_for(
         &self,
         arrivals: &ArrivalRate,
-        wanted: usize,
+        target_slots: usize,
         standby_capacity: &mut StandbyCapacity,
     ) {
         let machines = self.machines.values();
@@ -51,38 +52,39 @@
             .filter_map(|machine| self.standby_candidate(machine, arrivals))
             .filter(|candidate| !standby_capacity.machines.contains(&candidate.machine.name))
             .collect();
-        // The more images a machine has, the sooner tasks begin there.
+        // Tasks start sooner on machines that already have their image, so machines with the most
+        // images come first.
         candidates.sort_by(|a, b| {
             let most_images = b.machine.images.count().cmp(&a.machine.images.count());
             most_images.then(a.machine.name.cmp(&b.machine.name))
         });
-        let mut held = 0;
+        let mut kept_slots = 0;
         for candidate in candidates {
-            if held >= wanted {
+            if kept_slots >= target_slots {
                 break;
             }
-            held += candidate.task_slots;
+            kept_slots += candidate.task_slots;
             let name = candidate.machine.name.clone();
             standby_capacity.machines.insert(name);
         }
-        if wanted > held {
+        if target_slots > kept_slots {
             standby_capacity.unmet.push(Demand {
                 spec: arrivals.spec.clone(),
-                count: (wanted - held) as u32,
+                count: (target_slots - kept_slots) as u32,
                 zones: ZoneCounts::new(),
                 on_demand_price_ratio: 0.0,
             });
         }
     }
 
-    /// A machine as standby capacity for a class, if it can be.
+    /// The machine as standby capacity for a job class; `None` if it is unsuitable.
     fn standby_candidate<'a>(
         &self,
         machine: &'a Machine,
         arrivals: &ArrivalRate,
     ) -> Option<StandbyCandidate<'a>> {
         let spec = &arrivals.spec;
-        // Each plan asks for all machines: the cheap checks come first.
+        // Runs for every machine in each plan, so the cheap checks come first.
         let is_usable = !machine.spot
             && machine.termination_reason.is_none()
             && machine.bound_tasks.iter().all(|task| task.spot)
--- a/src/scheduler/team_usage.rs
+++ b/src/scheduler/team_usage.rs
@@ -1,4 +1,4 @@
-//! What each team uses of its quota.
+//! Computes each team's quota usage.
 
 use std::collections::HashMap;
 
@@ -6,7 +6,7 @@
 use crate::plan::{Resources, TeamView};
 
 impl Scheduler {
-    /// The usage of each team, including every task that may be on a machine.
+    /// The quota and usage of each team. Every task that may be on a machine counts as usage.
     pub(super) fn team_views(&self) -> HashMap<String, TeamView> {
         let mut views = self.unused_team_views();
         for job in self.jobs.values() {
@@ -33,7 +33,7 @@
         views
     }
 
-    /// The teams with their quotas, and without usage.
+    /// The quota of each team, with zero usage.
     fn unused_team_views(&self) -> HashMap<String, TeamView> {
         let teams = self.cluster.teams.iter().map(|team| {
             let view = TeamView {
@@ -48,8 +48,8 @@
         teams.collect()
     }
 
-    /// Whether a team uses no more than its quota limit, including every task that may be on a
-    /// machine.
+    /// Whether a team's usage is within its quota limit. Every task that may be on a machine counts
+    /// as usage.
     pub(super) fn is_team_within_limit(&mut self, team: &str) -> bool {
         let limits = self.cluster.teams.iter().find(|limits| limits.name == team);
         if !limits.is_some_and(|limits| limits.cpus_max > 0.0 || limits.gpus_max > 0.0) {
--- a/src/scheduler/termination_review.rs
+++ b/src/scheduler/termination_review.rs
@@ -1,5 +1,4 @@
-//! Whether, and why, a machine is to be terminated: a decision on what is known of the machine,
-//! without any effect.
+//! Decides whether and why a machine has to be terminated. The decision has no side effects.
 
 use std::collections::{BTreeMap, HashSet};
 use std::sync::Arc;
@@ -10,19 +9,19 @@
 use crate::machine::{BoundTask, CloudStatus, ExitCause, Machine, TaskPhase, TerminationReason};
 use crate::settings::{AgentTimings, OperatorSettings};
 
-/// Heartbeats in a row that show no effect of the answers, after which a machine counts as
-/// unreachable.
+/// Consecutive heartbeats showing that the answers had no effect, after which a machine counts
+/// as unreachable.
 const INEFFECTIVE_ANSWERS_MAX: u32 = 2;
-/// Leases after which a silent machine is terminated in any case.
-const EXPIRED_LEASES: f64 = 2.0;
-/// Heartbeat intervals after which a machine that is not listed any more counts as silent.
-const UNLISTED_INTERVALS: f64 = 2.5;
-/// Boot times after which a machine is not expected to come up any more.
-const NEVER_BOOTED_BOOTS: f64 = 3.5;
-/// The boot time of a machine whose type is not known.
-const BOOT_DEFAULT_S: f64 = 60.0;
+/// Agent leases after which a silent machine is terminated even during a network partition.
+const SILENT_LEASE_MULTIPLIER: f64 = 2.0;
+/// Heartbeat intervals of silence after which a machine that is no longer listed is terminated.
+const UNLISTED_HEARTBEAT_INTERVALS: f64 = 2.5;
+/// Boot times after which a machine that has not booted is terminated.
+const BOOT_TIMEOUT_MULTIPLIER: f64 = 3.5;
+/// The boot time assumed for a machine whose type is missing in the catalog.
+const DEFAULT_BOOT_S: f64 = 60.0;
 
-/// What a review of all machines is based on.
+/// The state on which a review of all machines is based.
 pub(super) struct TerminationReview<'a> {
     pub jobs: &'a BTreeMap<String, Job>,
     pub catalog: &'a MachineCatalog,
@@ -32,29 +31,29 @@
     pub has_machine_list: bool,
     /// When the term began.
     pub began_at: u64,
-    /// For how long a machine may be silent and still get new tasks.
+    /// How long a machine may be silent and still get new tasks.
     pub silence_tolerance_ms: u64,
-    /// After this silence machines count as lost.
+    /// How long a machine may be silent before it counts as lost.
     pub lost_after_ms: u64,
-    /// It is probably this controller that is cut off.
+    /// This controller is probably cut off by the network.
     pub is_partitioned: bool,
-    /// Machines that are held ready as standby capacity.
+    /// Machines that are kept as standby capacity.
     pub standby_machines: HashSet<Arc<str>>,
     pub now: u64,
 }
 
 impl TerminationReview<'_> {
-    /// Why a machine is to be terminated, if it is.
+    /// Why a machine has to be terminated; `None` if it is kept.
     pub(super) fn find_reason(&self, machine: &Machine) -> Option<TerminationReason> {
         let silent_ms = machine.silent_ms(self.began_at, self.now);
-        let not_listed_ms = to_ms(self.agents.report_s * UNLISTED_INTERVALS);
+        let unlisted_ms = to_ms(self.agents.report_s * UNLISTED_HEARTBEAT_INTERVALS);
         if machine.cloud_status == CloudStatus::Failed {
             return Some(TerminationReason::Failed);
         }
         if self.is_interrupted(machine) {
             return Some(TerminationReason::SpotInterruption);
         }
-        if machine.cloud_status == CloudStatus::Gone && silent_ms > not_listed_ms {
+        if machine.cloud_status == CloudStatus::Gone && silent_ms > unlisted_ms {
             return Some(TerminationReason::NotListed);
         }
         let is_drained = !machine.is_occupied() && !self.has_unrecorded_result(machine);
@@ -65,12 +64,12 @@
             return self.find_reason_while_up(machine, silent_ms);
         }
         if machine.cloud_status == CloudStatus::NotListed && machine.machine_type.is_empty() {
-            // Only a record names it: it was not seen since this leader began.
+            // Only a job record names the machine; it has not been seen in this term.
             let is_unknown =
                 self.has_machine_list && silent_ms > self.lost_after_ms && !self.is_partitioned;
             return is_unknown.then_some(TerminationReason::Unknown);
         }
-        let boot_ms = to_ms(self.boot_s_of(machine) * NEVER_BOOTED_BOOTS);
+        let boot_ms = to_ms(self.boot_s_of(machine) * BOOT_TIMEOUT_MULTIPLIER);
         (self.now > machine.known_since + boot_ms).then_some(TerminationReason::NeverBooted)
     }
 
@@ -83,25 +82,26 @@
     }
 
     fn find_reason_while_up(&self, machine: &Machine, silent_ms: u64) -> Option<TerminationReason> {
-        // After that no task is left on it, whichever side was cut off. And of an empty one
-        // nothing is lost even if the fault is ours.
-        let expired_ms = to_ms(self.agents.lease_s * EXPIRED_LEASES);
-        let has_nothing_to_lose = !machine.is_occupied() || silent_ms > expired_ms;
-        if silent_ms > self.lost_after_ms && (!self.is_partitioned || has_nothing_to_lose) {
+        // After `expired_ms` the agent's lease has ended and its tasks have stopped, whichever
+        // side is cut off. An empty machine can be terminated without losing work even if this
+        // controller is the one that is cut off.
+        let expired_ms = to_ms(self.agents.lease_s * SILENT_LEASE_MULTIPLIER);
+        let has_no_running_task = !machine.is_occupied() || silent_ms > expired_ms;
+        if silent_ms > self.lost_after_ms && (!self.is_partitioned || has_no_running_task) {
             return Some(TerminationReason::Silent);
         }
-        let is_unreachable =
-            machine.ineffective_answers >= INEFFECTIVE_ANSWERS_MAX || self.has_lost_start(machine);
+        let is_unreachable = machine.ineffective_answers >= INEFFECTIVE_ANSWERS_MAX
+            || self.has_unconfirmed_start(machine);
         if is_unreachable && !self.is_partitioned {
             return Some(TerminationReason::Unreachable);
         }
-        let is_idle = self.is_idle_for_long(machine)
+        let is_idle = self.is_idle_timeout_over(machine)
             && !self.standby_machines.contains(&machine.name)
             && !self.has_unrecorded_result(machine);
         is_idle.then_some(TerminationReason::Idle)
     }
 
-    fn is_idle_for_long(&self, machine: &Machine) -> bool {
+    fn is_idle_timeout_over(&self, machine: &Machine) -> bool {
         let idle_boots = if machine.spot {
             self.operator.idle_boots_spot
         } else {
@@ -118,11 +118,11 @@
 
     fn boot_s_of(&self, machine: &Machine) -> f64 {
         let machine_type = self.catalog.machine_type(&machine.machine_type);
-        machine_type.map_or(BOOT_DEFAULT_S, |machine_type| machine_type.boot_s)
+        machine_type.map_or(DEFAULT_BOOT_S, |machine_type| machine_type.boot_s)
     }
 
-    /// Whether a task was done on a machine and that is not recorded yet: if this leader ends
-    /// now, the machine's status is all that the next leader has of it.
+    /// Whether a task has finished on a machine and its result is not committed yet. If this
+    /// leader fails now, the next one can learn the result only from the machine's status.
     fn has_unrecorded_result(&self, machine: &Machine) -> bool {
         machine.reported_tasks.iter().any(|task| {
             let is_unrecorded =
@@ -132,17 +132,17 @@
         })
     }
 
-    /// Whether the outcome of a direct start has been unknown for longer than the machine's
-    /// next heartbeats took.
-    fn has_lost_start(&self, machine: &Machine) -> bool {
+    /// Whether the outcome of a direct start is still unknown although the machine's next
+    /// heartbeats should have shown it.
+    fn has_unconfirmed_start(&self, machine: &Machine) -> bool {
         machine.direct_start_at.is_some()
             && machine
                 .bound_tasks
                 .iter()
-                .any(|task| self.is_start_lost(task))
+                .any(|task| self.is_start_unconfirmed(task))
     }
 
-    fn is_start_lost(&self, task: &BoundTask) -> bool {
+    fn is_start_unconfirmed(&self, task: &BoundTask) -> bool {
         let job = self.jobs.get(&*task.job);
         let Some(placement) = job.and_then(|job| job.placement(task.task)) else {
             return false;
--- a/src/scheduler/terminations.rs
+++ b/src/scheduler/terminations.rs
@@ -1,11 +1,11 @@
-//! Terminations of machines beyond the machine's own state: those that the store records and
-//! those that the cloud has confirmed.
+//! Terminations that the store records or the cloud has confirmed. They outlive the state of the
+//! machine itself.
 
 use std::collections::{BTreeSet, HashMap};
 
-/// How long terminated machines are remembered, beyond the lag of the cloud's list: statuses
-/// of machines that no longer exist may arrive minutes late.
-const TERMINATED_MEMORY_MS: u64 = 600_000;
+/// How long confirmed terminations are retained, in addition to the lag of the cloud's list:
+/// statuses of machines that no longer exist may arrive minutes late.
+const TERMINATED_RETENTION_MS: u64 = 600_000;
 
 /// The outcome of a request to terminate machines.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -21,19 +21,19 @@
 pub(super) struct Terminations {
     /// Machines that are recorded with the holder of the termination duty.
     recorded: BTreeSet<String>,
-    /// Machines whose deletion the cloud has confirmed, and when.
+    /// When the cloud confirmed each machine's deletion.
     confirmed_at: HashMap<String, u64>,
-    /// Whether a machine was terminated because it could not be reached.
+    /// Whether a machine was terminated because it was silent or unreachable.
     has_terminated_unreachable: bool,
 }
 
 impl Terminations {
-    /// The store records that these machines are to be terminated.
+    /// Adds machines whose termination the store records.
     pub(super) fn record(&mut self, machines: &[String]) {
         self.recorded.extend(machines.iter().cloned());
     }
 
-    /// A recorded termination was rejected.
+    /// Removes a recorded termination that was rejected.
     pub(super) fn reject(&mut self, machine: &str) {
         self.recorded.remove(machine);
     }
@@ -47,25 +47,26 @@
         self.recorded.iter()
     }
 
-    /// The cloud has confirmed that a machine is permanently deleted.
+    /// Replaces a recorded termination by a confirmed one: the machine is permanently deleted.
     pub(super) fn confirm(&mut self, machine: &str, now: u64) {
         self.confirmed_at.insert(machine.to_string(), now);
         self.recorded.remove(machine);
     }
 
-    /// Whether a machine is permanently deleted: what still arrives from or about it is late.
+    /// Whether a machine is permanently deleted; statuses and list entries of it are out of date.
     pub(super) fn is_confirmed(&self, machine: &str) -> bool {
         self.confirmed_at.contains_key(machine)
     }
 
-    /// Forgets machines that neither the cloud's list nor a late status can show any more.
+    /// Removes confirmed terminations of machines that neither the cloud's list nor a late status
+    /// can show any more.
     pub(super) fn forget_old(&mut self, list_lag_ms: u64, now: u64) {
-        let memory_ms = 4 * list_lag_ms + TERMINATED_MEMORY_MS;
-        self.confirmed_at.retain(|_, at| now < *at + memory_ms);
+        let retention_ms = 4 * list_lag_ms + TERMINATED_RETENTION_MS;
+        self.confirmed_at.retain(|_, at| now < *at + retention_ms);
     }
 
-    /// A machine is terminated because it could not be reached.
-    pub(super) fn note_unreachable(&mut self) {
+    /// Records that a machine is terminated because it was silent or unreachable.
+    pub(super) fn mark_terminated_unreachable(&mut self) {
         self.has_terminated_unreachable = true;
     }
 
