--- a/src/scheduler/probes.rs
+++ b/src/scheduler/probes.rs
@@ -99,7 +99,7 @@
     /// core, unlimited probes would take all of a new leader's processor time.
     fn probes_per_tick(&self) -> usize {
         let tick_s = self.cluster.workers.gang_peer_s * RECONCILE_SHARE;
-        let affordable = self.cluster.limits.cpu_share * PROBES_PER_CORE_PER_S * tick_s;
-        1 + (self.machines.len() / PROBE_BATCH_DIVISOR).min(affordable as usize)
+        let affordable_probes = self.cluster.limits.cpu_share * PROBES_PER_CORE_PER_S * tick_s;
+        1 + (self.machines.len() / PROBE_BATCH_DIVISOR).min(affordable_probes as usize)
     }
 }
--- a/src/scheduler/provisioning.rs
+++ b/src/scheduler/provisioning.rs
@@ -101,7 +101,7 @@
     }
 
     /// Marks the requests that are due as in flight and returns their effects.
-    fn take_due(&mut self, now: u64) -> impl Iterator<Item = Effect> + '_ {
+    fn begin_due_attempts(&mut self, now: u64) -> impl Iterator<Item = Effect> + '_ {
         let due = self
             .open
             .iter_mut()
@@ -113,7 +113,7 @@
     }
 
     /// Removes and returns an open request.
-    fn take(&mut self, idempotency_key: &str) -> Option<ProvisioningRequest> {
+    fn remove(&mut self, idempotency_key: &str) -> Option<ProvisioningRequest> {
         let index = self.position(idempotency_key)?;
         Some(self.open.remove(index))
     }
@@ -174,7 +174,8 @@
 impl Scheduler {
     /// Sends the provisioning requests that are due.
     pub(super) fn send_provisioning_requests(&mut self, now: u64) {
-        self.effects.extend(self.provisioning.take_due(now));
+        self.effects
+            .extend(self.provisioning.begin_due_attempts(now));
     }
 
     /// Applies the outcome of a provisioning request.
@@ -188,7 +189,7 @@
             self.provisioning.retry(idempotency_key, now);
             return;
         }
-        let Some(request) = self.provisioning.take(idempotency_key) else {
+        let Some(request) = self.provisioning.remove(idempotency_key) else {
             return;
         };
         match outcome {
--- a/src/scheduler/spot_queue.rs
+++ b/src/scheduler/spot_queue.rs
@@ -61,15 +61,16 @@
     ) -> HashMap<Arc<str>, u32> {
         let mean_s = self.work_s / self.tasks;
         self.waiting.sort_by(|a, b| a.slack_s.total_cmp(&b.slack_s));
-        let is_stuck = task_slots == 0.0 && all_refused();
+        let has_no_spot_capacity = task_slots == 0.0 && all_refused();
         let pending: f64 = self.waiting.iter().map(|job| job.pending_tasks).sum();
         let mut excess_left = (pending * mean_s / wait_max_s - task_slots).ceil();
         let mut tasks_ahead = 0.0;
         let mut excess = HashMap::new();
         for job in self.waiting {
             tasks_ahead += job.pending_tasks;
-            let waits_long = task_slots > 0.0 && tasks_ahead / task_slots * mean_s > wait_max_s;
-            if excess_left > 0.0 && (is_stuck || waits_long) {
+            let exceeds_wait_max =
+                task_slots > 0.0 && tasks_ahead / task_slots * mean_s > wait_max_s;
+            if excess_left > 0.0 && (has_no_spot_capacity || exceeds_wait_max) {
                 let count = job.pending_tasks.min(excess_left);
                 excess_left -= count;
                 excess.insert(job.id, count as u32);
--- a/src/scheduler/team_usage.rs
+++ b/src/scheduler/team_usage.rs
@@ -8,7 +8,7 @@
 impl Scheduler {
     /// The quota and usage of each team. Every task that may be on a machine counts as usage.
     pub(super) fn team_views(&self) -> HashMap<String, TeamView> {
-        let mut views = self.unused_team_views();
+        let mut views = self.team_views_without_usage();
         for job in self.jobs.values() {
             let Some(view) = views.get_mut(&job.spec.team) else {
                 continue;
@@ -34,7 +34,7 @@
     }
 
     /// The quota of each team, with zero usage.
-    fn unused_team_views(&self) -> HashMap<String, TeamView> {
+    fn team_views_without_usage(&self) -> HashMap<String, TeamView> {
         let teams = self.cluster.teams.iter().map(|team| {
             let view = TeamView {
                 cpus_max: team.cpus_max,
--- a/src/scheduler/termination_review.rs
+++ b/src/scheduler/termination_review.rs
@@ -56,7 +56,7 @@
         if machine.cloud_status == CloudStatus::Gone && silent_ms > unlisted_ms {
             return Some(TerminationReason::NotListed);
         }
-        let is_drained = !machine.is_occupied() && !self.has_unrecorded_result(machine);
+        let is_drained = !machine.is_occupied() && !self.has_uncommitted_result(machine);
         if machine.termination_reason.is_some() && is_drained {
             return machine.termination_reason;
         }
@@ -97,7 +97,7 @@
         }
         let is_idle = self.is_idle_timeout_over(machine)
             && !self.standby_machines.contains(&machine.name)
-            && !self.has_unrecorded_result(machine);
+            && !self.has_uncommitted_result(machine);
         is_idle.then_some(TerminationReason::Idle)
     }
 
@@ -123,12 +123,12 @@
 
     /// Whether a task has finished on a machine and its result is not committed yet. If this
     /// leader fails now, the next one can learn the result only from the machine's status.
-    fn has_unrecorded_result(&self, machine: &Machine) -> bool {
+    fn has_uncommitted_result(&self, machine: &Machine) -> bool {
         machine.reported_tasks.iter().any(|task| {
-            let is_unrecorded =
+            let is_uncommitted =
                 |job: &Job| !job.cancelled && !job.record.committed_done().contains(task.task);
             task.phase == TaskPhase::Exited(ExitCause::Done)
-                && self.jobs.get(&task.job).is_some_and(is_unrecorded)
+                && self.jobs.get(&task.job).is_some_and(is_uncommitted)
         })
     }
 
