--- a/src/controller/dependencies.rs
+++ b/src/controller/dependencies.rs
@@ -84,7 +84,7 @@
                 continue;
             };
             match event {
-                DependencyEvent::Ready(id) => scheduler.dependencies_done(&id, wall),
+                DependencyEvent::Ready(id) => scheduler.on_dependencies_done(&id, wall),
                 DependencyEvent::Cancelled(id) => scheduler.mark_cancelled(&id, now),
             }
         }
--- a/src/controller/planning.rs
+++ b/src/controller/planning.rs
@@ -64,7 +64,7 @@
             return None;
         }
         let scheduler = self.scheduler.as_mut()?;
-        if !scheduler.is_ready(now.steady) {
+        if !scheduler.is_ready_to_plan(now.steady) {
             return None;
         }
         // Without changes a plan now and then, so that backoffs end without an event.
--- a/src/scheduler/decisions.rs
+++ b/src/scheduler/decisions.rs
@@ -143,7 +143,7 @@
 
     fn may_place_on(&self, job: &Job, machine: &Machine, now: u64) -> bool {
         let (machine_type, zone) = (&machine.machine_type, &machine.zone);
-        self.is_placeable(machine, now) && is_allowed(&job.spec, machine_type, zone, machine.spot)
+        self.accepts_tasks(machine, now) && is_allowed(&job.spec, machine_type, zone, machine.spot)
     }
 
     /// The bindings that fit in the job's record; for a gang, all or none.
--- a/src/scheduler/dependency_links.rs
+++ b/src/scheduler/dependency_links.rs
@@ -41,7 +41,7 @@
 impl Scheduler {
     /// Marks a job as ready, as all its dependencies have been recorded as done since the time of
     /// day `at`, in milliseconds.
-    pub fn dependencies_done(&mut self, id: &str, at: u64) {
+    pub fn on_dependencies_done(&mut self, id: &str, at: u64) {
         if let Some(job) = self
             .jobs
             .get_mut(id)
--- a/src/scheduler/machine_list.rs
+++ b/src/scheduler/machine_list.rs
@@ -29,7 +29,7 @@
                 machine.cloud_status = CloudStatus::Gone;
             }
         }
-        self.terminations.forget_old(lag_ms, now);
+        self.terminations.remove_expired(lag_ms, now);
         self.needs_planning = true;
     }
 
--- a/src/scheduler/machine_views.rs
+++ b/src/scheduler/machine_views.rs
@@ -25,7 +25,7 @@
     /// Whether tasks may be placed on a machine. Its latest status must show this leader's epoch:
     /// one with an older epoch may be a late copy from a machine that no longer exists, or come
     /// from a machine that this controller's answers do not reach.
-    pub(super) fn is_placeable(&self, machine: &Machine, now: u64) -> bool {
+    pub(super) fn accepts_tasks(&self, machine: &Machine, now: u64) -> bool {
         let silence_tolerance_ms = self.silence_tolerance_ms();
         let last_heartbeat_at = machine.last_heartbeat_at.or(machine.up_since).unwrap_or(0);
         machine.is_retained()
@@ -68,7 +68,7 @@
                 unreliable.insert(machine.name.clone());
                 continue;
             }
-            if !self.is_placeable(machine, time.now) {
+            if !self.accepts_tasks(machine, time.now) {
                 continue;
             }
             if let Some(view) = &machine.view {
--- a/src/scheduler/records.rs
+++ b/src/scheduler/records.rs
@@ -28,7 +28,7 @@
     ) {
         self.apply_record(id, live, now);
         if !dependencies.is_waiting(id) {
-            self.dependencies_done(id, ready_at);
+            self.on_dependencies_done(id, ready_at);
         }
         if dependencies.is_cancelled(id) {
             self.mark_cancelled(id, now);
--- a/src/scheduler/retry_state.rs
+++ b/src/scheduler/retry_state.rs
@@ -12,10 +12,10 @@
 /// The highest number of failed planning cycles that lengthen the backoff.
 const FAILED_CYCLES_MAX: u32 = 8;
 
-/// The retry delay of a job after a refused start, in seconds: `unit_s` doubled with each
+/// The retry delay of a job after a refused start, in seconds: `base_s` doubled with each
 /// failure, up to `max_s`.
-pub(super) struct RefusalRest {
-    pub unit_s: f64,
+pub(super) struct RefusedStartDelay {
+    pub base_s: f64,
     pub max_s: f64,
 }
 
@@ -63,7 +63,12 @@
 
     /// Delays the job after an error of one of its tasks; the delay doubles with each error, up to
     /// one lease. Errors during the delay are not counted again.
-    pub(super) fn rest_after_error(&mut self, heartbeat_interval_s: f64, lease_s: f64, now: u64) {
+    pub(super) fn delay_after_task_error(
+        &mut self,
+        heartbeat_interval_s: f64,
+        lease_s: f64,
+        now: u64,
+    ) {
         if now < self.retry_after {
             return;
         }
@@ -74,10 +79,10 @@
     }
 
     /// Delays the job after a refused start; the delay doubles each time.
-    pub(super) fn rest_after_refusal(&mut self, delay: &RefusalRest, now: u64) {
+    pub(super) fn delay_after_refused_start(&mut self, delay: &RefusedStartDelay, now: u64) {
         self.failures += 1;
         let doublings = self.failures.min(REFUSED_START_DOUBLINGS_MAX);
-        let delay_s = (delay.unit_s * f64::from(1u32 << doublings)).min(delay.max_s);
+        let delay_s = (delay.base_s * f64::from(1u32 << doublings)).min(delay.max_s);
         self.retry_after = now + to_ms(delay_s);
     }
 
--- a/src/scheduler/snapshots.rs
+++ b/src/scheduler/snapshots.rs
@@ -42,7 +42,7 @@
     /// Whether the state is complete enough to plan. Machines that have sent a heartbeat may get
     /// tasks without the cloud's machine list, so while the list is unavailable, planning starts
     /// after one heartbeat interval. Provisioning and termination wait for the list.
-    pub fn is_ready(&self, now: u64) -> bool {
+    pub fn is_ready_to_plan(&self, now: u64) -> bool {
         let heartbeat_interval_elapsed = now > self.began_at + to_ms(self.cluster.workers.report_s);
         !self.catalog.is_empty() && (self.has_machine_list || heartbeat_interval_elapsed)
     }
--- a/src/scheduler/starts.rs
+++ b/src/scheduler/starts.rs
@@ -190,7 +190,7 @@
     fn direct_start_target(&self, name: &str, now: u64) -> Option<AgentTarget> {
         let machine = self.machines.get(name)?;
         let target = AgentTarget::of(machine)?;
-        let is_usable = now >= machine.unreachable_until && self.is_placeable(machine, now);
+        let is_usable = now >= machine.unreachable_until && self.accepts_tasks(machine, now);
         is_usable.then_some(target)
     }
 
--- a/src/scheduler/task_exits.rs
+++ b/src/scheduler/task_exits.rs
@@ -3,7 +3,7 @@
 use tracing::{debug, warn};
 
 use super::placement::TaskKey;
-use super::retry_state::RefusalRest;
+use super::retry_state::RefusedStartDelay;
 use super::{to_ms, Job, Scheduler};
 use crate::job::Shape;
 use crate::machine::{ExitCause, Machine, TerminationReason};
@@ -16,15 +16,15 @@
             ExitCause::Done => self.on_task_done(task, machine),
             ExitCause::Error => self.on_task_error(task, machine, now),
             ExitCause::InsufficientCapacity | ExitCause::InUse | ExitCause::UnknownTask => {
-                let backoff = RefusalRest {
-                    unit_s: self.cluster.workers.report_s / 4.0,
+                let backoff = RefusedStartDelay {
+                    base_s: self.cluster.workers.report_s / 4.0,
                     max_s: f64::INFINITY,
                 };
                 self.back_off_after_refusal(&task.job, &backoff, now);
             }
             ExitCause::GangTimeout => {
-                let backoff = RefusalRest {
-                    unit_s: 1.0,
+                let backoff = RefusedStartDelay {
+                    base_s: 1.0,
                     max_s: self.operator.backoff_max_s,
                 };
                 self.back_off_after_refusal(&task.job, &backoff, now);
@@ -67,13 +67,13 @@
         if !is_machine_at_fault {
             let lease_s = self.cluster.workers.lease_s;
             job.retry
-                .rest_after_error(heartbeat_interval_s, lease_s, now);
+                .delay_after_task_error(heartbeat_interval_s, lease_s, now);
         }
     }
 
-    fn back_off_after_refusal(&mut self, id: &str, backoff: &RefusalRest, now: u64) {
+    fn back_off_after_refusal(&mut self, id: &str, backoff: &RefusedStartDelay, now: u64) {
         if let Some(job) = self.jobs.get_mut(id) {
-            job.retry.rest_after_refusal(backoff, now);
+            job.retry.delay_after_refused_start(backoff, now);
         }
     }
 }
--- a/tests/job_dependencies/scheduling.rs
+++ b/tests/job_dependencies/scheduling.rs
@@ -75,8 +75,8 @@
         assert_eq!(&*snapshot.jobs[0].id, "run-1");
         assert_eq!(snapshot.jobs[0].spec.priority, Priority::High);
         assert_eq!(snapshot.jobs[0].start_by_s, Some(1182.0 - 15.0));
-        scheduler.dependencies_done("run-2", 1_050_000);
-        scheduler.dependencies_done("run-3", 1_050_000);
+        scheduler.on_dependencies_done("run-2", 1_050_000);
+        scheduler.on_dependencies_done("run-3", 1_050_000);
         let snapshot = scheduler.snapshot(2000, 1_060_000);
         let start_by = |id: &str| {
             let job = snapshot.jobs.iter().find(|job| *job.id == *id);
--- a/tests/unit/snapshots.rs
+++ b/tests/unit/snapshots.rs
@@ -70,7 +70,7 @@
     let mut scheduler = control_with("[]", "8.0");
     let record = JobRecord::new(spec(Shape::Gang, 2, 4.0, Priority::Normal), 1_000_000);
     add_record(&mut scheduler, "run-1", record);
-    assert!(!scheduler.is_ready(2000) && scheduler.is_ready(9500));
+    assert!(!scheduler.is_ready_to_plan(2000) && scheduler.is_ready_to_plan(9500));
     let mut plan = |now: u64| {
         let decision = cycle(scheduler.snapshot(now, 1_000_000));
         let placed = decision.placements.len();
