--- a/src/controller/user_replies.rs
+++ b/src/controller/user_replies.rs
@@ -1,4 +1,4 @@
-//! Responses to users, directly or through the controller that forwarded the request.
+//! Sends responses to users, directly or through the peer that forwarded the request.
 
 use prost::Message;
 
@@ -40,7 +40,7 @@
         self.respond_to_caller(caller, HttpResponse::new(status, body));
     }
 
-    /// Responds to a user, or to the controller that forwarded the user's request.
+    /// Responds to a user, or to the peer that forwarded the user's request.
     pub(super) fn respond_to_caller(&mut self, caller: Caller, response: HttpResponse) {
         let response = match caller.origin {
             RequestOrigin::User => response,
--- a/src/controller/user_request_parser.rs
+++ b/src/controller/user_request_parser.rs
@@ -1,4 +1,4 @@
-//! Reads users' requests: which job, and what is wanted of it.
+//! Parses users' requests into a job id and an operation.
 
 use thiserror::Error;
 
@@ -7,7 +7,7 @@
 use crate::net::status;
 use crate::wire::{self, MalformedSubmission};
 
-/// Why a request can't be read. The texts go to users.
+/// Why a request can't be parsed. Users get the text as the response's body.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub(super) enum RequestError {
     #[error("no such path")]
@@ -34,7 +34,7 @@
     }
 }
 
-/// A request that was read.
+/// A request that was parsed.
 #[derive(Debug, Clone)]
 pub(super) struct ParsedRequest {
     /// The job's id.
@@ -42,11 +42,11 @@
     pub request: UserRequest,
 }
 
-/// Reads a request.
+/// Parses a request.
 ///
 /// # Errors
 ///
-/// If the path or the method is not of this service, or a submission is malformed.
+/// If the service has no such path, job or method, or a submission is malformed.
 pub(super) fn parse_request(
     method: &str,
     path: &str,
--- a/src/controller/user_request_table.rs
+++ b/src/controller/user_request_table.rs
@@ -1,34 +1,38 @@
-//! Users' requests in progress, each with what it waits for, and the limit on their number.
+//! Table of users' requests in progress, with admission control and timeouts.
 
 use std::collections::BTreeMap;
 
 use super::user_types::{Caller, PendingRequest, RequestStage, UserRequest};
 use crate::admission::{AdmissionLimit, ResponseTimes};
 
-/// What a response to a user may take before the limit on requests in progress falls.
-const TARGET_MS: u64 = 500;
-/// Sockets for each request in progress.
+/// Longest response time that does not lower the limit on requests in progress.
+const RESPONSE_TIME_TARGET_MS: u64 = 500;
+/// Sockets of the process for each request that may be in progress.
 const SOCKETS_PER_REQUEST: usize = 4;
-/// A user gives up after 5 s, or 2 s for a poll.
-const SUBMIT_MS: u64 = 3500;
-const POLL_MS: u64 = 1700;
+/// Timeout of submissions and cancellations; users give up after 5 s.
+const SUBMIT_TIMEOUT_MS: u64 = 3500;
+/// Timeout of polls; users give up after 2 s.
+const POLL_TIMEOUT_MS: u64 = 1700;
 
-/// How recent the watch cache is.
+/// How far the watch cache has caught up with the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct CacheAge {
-    /// It holds all that was in the store at this event; 0 if it was never complete.
+    /// The cache holds all that was in the store at the event with this sequence number; 0 if
+    /// it was never complete.
     pub complete_as_of: u64,
+    /// The store's revision that the cache has reached.
     pub revision: u64,
 }
 
 impl CacheAge {
-    /// Whether a request that waits for the watch cache can be decided with it.
-    fn satisfies(&self, after: u64, revision: u64) -> bool {
-        after <= self.complete_as_of && revision <= self.revision
+    /// Whether the cache was read after an event and has reached a revision, as a request in
+    /// [`RequestStage::AwaitCache`] needs.
+    fn satisfies(&self, after_event: u64, revision: u64) -> bool {
+        after_event <= self.complete_as_of && revision <= self.revision
     }
 }
 
-/// Users' requests in progress, by their numbers.
+/// Users' requests in progress, keyed by a number that is unique in this process.
 #[derive(Debug)]
 pub(super) struct UserRequestTable {
     requests: BTreeMap<u64, PendingRequest>,
@@ -37,21 +41,21 @@
 }
 
 impl UserRequestTable {
-    /// An empty table. `fd_limit`: sockets that the process may have.
+    /// An empty table. `fd_limit` is the maximum number of the process's sockets.
     pub(super) fn new(fd_limit: usize) -> UserRequestTable {
         UserRequestTable {
             requests: BTreeMap::new(),
             next_number: 1,
-            admission: AdmissionLimit::new(TARGET_MS, fd_limit / SOCKETS_PER_REQUEST),
+            admission: AdmissionLimit::new(RESPONSE_TIME_TARGET_MS, fd_limit / SOCKETS_PER_REQUEST),
         }
     }
 
-    /// Whether another request may begin.
+    /// Whether admission control lets another request begin.
     pub(super) fn admits(&self) -> bool {
         self.admission.admits(self.requests.len())
     }
 
-    /// Adds a request that waits for a watch cache read after the event `after`. Returns its
+    /// Adds a request that waits for a watch cache read after the event `after_event`. Returns its
     /// number.
     pub(super) fn insert(
         &mut self,
@@ -59,7 +63,7 @@
         job: String,
         request: UserRequest,
         body: Vec<u8>,
-        after: u64,
+        after_event: u64,
         now: u64,
     ) -> u64 {
         let number = self.next_number;
@@ -69,10 +73,13 @@
             job,
             request,
             since: now,
-            stage: RequestStage::AwaitCache { after, revision: 0 },
+            stage: RequestStage::AwaitCache {
+                after_event,
+                revision: 0,
+            },
             body,
             found_dependencies: vec![],
-            names_unknown_job: false,
+            has_unknown_dependency: false,
         };
         self.requests.insert(number, pending);
         number
@@ -82,30 +89,35 @@
         self.requests.get(&number)
     }
 
-    /// A request waits for something else from now on.
+    /// Sets what a request waits for.
     pub(super) fn set_stage(&mut self, number: u64, stage: RequestStage) {
         if let Some(pending) = self.requests.get_mut(&number) {
             pending.stage = stage;
         }
     }
 
-    /// A job that a submission names was found on record.
+    /// Records that the store has a job that a submission depends on.
     pub(super) fn add_found_dependency(&mut self, number: u64, dependency: String) {
         if let Some(pending) = self.requests.get_mut(&number) {
             pending.found_dependencies.push(dependency);
         }
     }
 
-    /// A submission names a job that was never accepted. Whether it was accepted itself is
-    /// told by a watch cache read after the event `after`.
-    pub(super) fn mark_unknown_dependency(&mut self, number: u64, after: u64) {
+    /// Records that a submission depends on a job that was never accepted. Whether the
+    /// submission itself was accepted earlier is decided with a watch cache read after the
+    /// event `after_event`.
+    pub(super) fn mark_unknown_dependency(&mut self, number: u64, after_event: u64) {
         if let Some(pending) = self.requests.get_mut(&number) {
-            pending.names_unknown_job = true;
-            pending.stage = RequestStage::AwaitCache { after, revision: 0 };
+            pending.has_unknown_dependency = true;
+            pending.stage = RequestStage::AwaitCache {
+                after_event,
+                revision: 0,
+            };
         }
     }
 
-    /// Removes a request that gets its response; the time that it took counts.
+    /// Removes a request that gets its response, and records its response time for admission
+    /// control.
     pub(super) fn finish(&mut self, number: u64, now: u64) -> Option<PendingRequest> {
         let pending = self.requests.remove(&number)?;
         let took_ms = now - pending.since;
@@ -113,39 +125,45 @@
         Some(pending)
     }
 
-    /// Removes a request that nobody can decide now; its time does not count.
+    /// Removes a request that no controller can decide now, without recording a response time.
     pub(super) fn remove(&mut self, number: u64) {
         self.requests.remove(&number);
     }
 
-    /// Whether a request waits for a watch cache that is newer than this.
-    pub(super) fn is_waiting_for_newer(&self, age: CacheAge) -> bool {
+    /// Whether any request waits for a watch cache that has caught up further than this.
+    pub(super) fn is_waiting_for_newer(&self, freshness: CacheAge) -> bool {
         let waits = |stage: RequestStage| match stage {
-            RequestStage::AwaitCache { after, revision } => !age.satisfies(after, revision),
+            RequestStage::AwaitCache {
+                after_event,
+                revision,
+            } => !freshness.satisfies(after_event, revision),
             _ => false,
         };
         self.requests.values().any(|pending| waits(pending.stage))
     }
 
-    /// The requests that wait for a watch cache, however old.
+    /// The requests that wait for the watch cache, whichever state of it they need.
     pub(super) fn waiting_for_cache(&self) -> Vec<u64> {
         self.numbers_where(|pending| matches!(pending.stage, RequestStage::AwaitCache { .. }))
     }
 
-    /// The requests that a watch cache of this age decides.
-    pub(super) fn decidable(&self, age: CacheAge) -> Vec<u64> {
+    /// The requests that can be decided with a watch cache that has caught up this far.
+    pub(super) fn decidable(&self, freshness: CacheAge) -> Vec<u64> {
         self.numbers_where(|pending| match pending.stage {
-            RequestStage::AwaitCache { after, revision } => age.satisfies(after, revision),
+            RequestStage::AwaitCache {
+                after_event,
+                revision,
+            } => freshness.satisfies(after_event, revision),
             _ => false,
         })
     }
 
-    /// The requests that have taken too long.
+    /// The requests that exceeded their timeout.
     pub(super) fn overdue(&self, now: u64) -> Vec<u64> {
         self.numbers_where(|pending| is_overdue(pending, now))
     }
 
-    /// The requests whose pause is over.
+    /// The requests whose retry delay is over.
     pub(super) fn resumable(&self, now: u64) -> Vec<u64> {
         self.numbers_where(|pending| {
             let is_over = matches!(pending.stage, RequestStage::Pause { until } if now >= until);
@@ -164,16 +182,16 @@
         self.admission.limit()
     }
 
-    /// The statistics of response times since the last call; `None` if there were none.
+    /// The statistics of response times since the last call; `None` if there were no responses.
     pub(super) fn take_response_times(&mut self) -> Option<ResponseTimes> {
         self.admission.take_response_times()
     }
 }
 
 fn is_overdue(pending: &PendingRequest, now: u64) -> bool {
-    let max_ms = match pending.request {
-        UserRequest::Poll => POLL_MS,
-        UserRequest::Submit(_) | UserRequest::Cancel => SUBMIT_MS,
+    let timeout_ms = match pending.request {
+        UserRequest::Poll => POLL_TIMEOUT_MS,
+        UserRequest::Submit(_) | UserRequest::Cancel => SUBMIT_TIMEOUT_MS,
     };
-    now > pending.since + max_ms
+    now > pending.since + timeout_ms
 }
--- a/src/controller/user_requests.rs
+++ b/src/controller/user_requests.rs
@@ -1,4 +1,4 @@
-//! Users' requests, from their arrival to the response.
+//! Handling of users' requests, from their arrival to the response.
 
 use prost::Message;
 use tracing::debug;
@@ -20,14 +20,14 @@
 use crate::write_queue::{CommitResult, WriteClass, WriteRequest};
 
 const FORWARD_TIMEOUT_MS: u64 = 1600;
-/// Pause before a change is tried again.
-const RETRY_MS: u64 = 150;
+/// Delay before a write that was rejected, or whose outcome is unknown, is tried again.
+const RETRY_DELAY_MS: u64 = 150;
 
 impl Controller {
-    /// Whether users should be sent here. They should not if the store is reachable for
-    /// another controller and not for this one, or if this one hears no other: they would
-    /// stay with it and get no response while it is cut off. An outage that all controllers
-    /// see leaves them healthy.
+    /// Whether health checks should route users to this controller. They should not if the
+    /// store is reachable for another controller and not for this one, or if this one hears
+    /// from no peer: users would stay with it and get no response while it is partitioned. A
+    /// store outage that all controllers see leaves them healthy.
     pub fn is_healthy(&self) -> bool {
         if !self.watch_cache.loaded || self.is_outdated() {
             return false;
@@ -47,11 +47,11 @@
         let ParsedRequest { job, request } = match parse_request(method, path, &body) {
             Ok(parsed) => parsed,
             Err(error) => {
-                debug!(%error, body = wire::readable(&body), "request refused");
+                debug!(%error, body = wire::readable(&body), "rejecting a malformed user request");
                 return self.respond_to_caller(caller, error.response());
             }
         };
-        // A final state never changes: no need to read anything.
+        // A final state never changes, so the watch cache may be outdated.
         if let Some(state) = self.watch_cache.final_state(&job) {
             let job_status = JobStatus::new(state.status());
             return self.respond_with_status(caller, &job, status::OK, job_status);
@@ -60,15 +60,17 @@
             let response = HttpResponse::error(status::TOO_MANY_REQUESTS, "too much at once");
             return self.respond_to_caller(caller, response.with_retry_after());
         }
-        let (after, now) = (self.clock.sequence(), self.clock.steady_ms());
-        let user = self.users.insert(caller, job, request, body, after, now);
+        let (after_event, now) = (self.clock.sequence(), self.clock.steady_ms());
+        let user = self
+            .users
+            .insert(caller, job, request, body, after_event, now);
         if !self.watch_cache.loaded || !self.is_store_reachable() || self.is_outdated() {
             return self.forward_user(user);
         }
         self.accept_new_job(user);
     }
 
-    /// Writes a job's cancellation.
+    /// Queues the write that marks a live job as cancelled.
     fn cancel_job(&mut self, user: u64, id: &str) {
         let Some(live) = self.watch_cache.jobs.get(id) else {
             return;
@@ -85,8 +87,8 @@
         self.store.push_write(request);
     }
 
-    /// Forwards a request to a controller for which the store is reachable, or asks the user
-    /// to try again.
+    /// Forwards a request to a peer for which the store is reachable. If there is none, or the
+    /// request was forwarded already, responds that the user should retry.
     pub(super) fn forward_user(&mut self, user: u64) {
         let Some(pending) = self.users.get(user) else {
             return;
@@ -106,14 +108,14 @@
             .call(PendingCall::Forward { user }, address, call);
     }
 
-    /// A read for users has failed: those who wait for it are forwarded.
+    /// Forwards the requests that wait for a read of the store, after it has failed.
     pub(super) fn forward_waiting_users(&mut self) {
         for user in self.users.waiting_for_cache() {
             self.forward_user(user);
         }
     }
 
-    /// How recent the watch cache is.
+    /// How far the watch cache has caught up with the store.
     pub(super) fn cache_age(&self) -> CacheAge {
         let complete = self.store_sync.complete_as_of();
         CacheAge {
@@ -122,10 +124,10 @@
         }
     }
 
-    /// The watch cache was updated: requests that waited for that are decided.
+    /// Decides the waiting requests for which the updated watch cache is recent enough.
     pub(super) fn resolve_waiting_users(&mut self) {
         if !self.watch_cache.loaded {
-            // It is being read anew, and lacks what is on later pages.
+            // The cache is being reloaded and lacks the pages that were not read yet.
             return;
         }
         for user in self.users.decidable(self.cache_age()) {
@@ -133,7 +135,7 @@
         }
     }
 
-    /// Decides with a watch cache that is newer than the request.
+    /// Decides a request with a watch cache that is newer than the request.
     fn resolve_user(&mut self, user: u64) {
         let Some(pending) = self.users.get(user) else {
             return;
@@ -144,7 +146,7 @@
             return self.finish_status(user, status::OK, JobStatus::new(state.status()));
         }
         if !self.watch_cache.jobs.contains_key(&job) {
-            // Neither live nor known to have ended: look.
+            // Neither live nor known to have ended: look the final state up in the store.
             return self.read_final(user, &job);
         }
         if self.watch_cache.is_cancelled(&job) {
@@ -154,9 +156,12 @@
             return self.cancel_job(user, &job);
         }
         if self.watch_cache.dependencies.has_unresolved(&job) {
-            // It may be cancelled by a job that is yet to be looked up.
-            let after = self.clock.sequence() + 1;
-            let stage = RequestStage::AwaitCache { after, revision: 0 };
+            // The outcome of a dependency that is still being looked up may cancel the job.
+            let after_event = self.clock.sequence() + 1;
+            let stage = RequestStage::AwaitCache {
+                after_event,
+                revision: 0,
+            };
             return self.users.set_stage(user, stage);
         }
         if let Some(live) = self.watch_cache.jobs.get(&job) {
@@ -204,25 +209,25 @@
                     _ => self.finish_status(user, status::CREATED, JobStatus::new(wire::PENDING)),
                 };
             }
-            // Another change came first: see what the records are now.
+            // Another write changed the records first: decide again with their new state.
             CommitResult::Conflict { revision, .. } => RequestStage::AwaitCache {
-                after: self.clock.sequence(),
+                after_event: self.clock.sequence(),
                 revision: *revision,
             },
             CommitResult::Rejected | CommitResult::Unknown => RequestStage::Pause {
-                until: self.clock.steady_ms() + RETRY_MS,
+                until: self.clock.steady_ms() + RETRY_DELAY_MS,
             },
         };
         self.users.set_stage(user, stage);
     }
 
-    /// Ends requests that have taken too long, and goes on with those that paused.
+    /// Ends requests that exceeded their timeout, and retries those whose delay is over.
     pub(super) fn users_tick(&mut self) {
         let now = self.clock.steady_ms();
         let overdue = self.users.overdue(now);
         let paused = self.users.resumable(now);
         for user in overdue {
-            // Its write may still get through; the user asks again.
+            // A write in flight may still be committed; the user's retry finds out.
             self.store
                 .cancel_writes(|owner| matches!(owner, WriteOwner::User(other) if *other == user));
             self.finish_user(user, HttpResponse::unavailable());
@@ -240,18 +245,21 @@
             return;
         };
         match pending.request {
-            // The same create: if the first one got through, this one fails on its condition
-            // and the job is found.
+            // Repeats the same create. If the first one was committed, the condition fails and
+            // the job is found in the watch cache.
             UserRequest::Submit(_) => self.create_job(user),
             UserRequest::Poll | UserRequest::Cancel => {
-                let after = self.clock.sequence();
-                let stage = RequestStage::AwaitCache { after, revision: 0 };
+                let after_event = self.clock.sequence();
+                let stage = RequestStage::AwaitCache {
+                    after_event,
+                    revision: 0,
+                };
                 self.users.set_stage(user, stage);
             }
         }
     }
 
-    /// Another controller has decided on a request that was forwarded to it.
+    /// Passes the response of the peer that a request was forwarded to on to the user.
     pub(super) fn on_forward_outcome(&mut self, user: u64, outcome: &Outcome) {
         let Some(reply) = responses::decode_peer::<ForwardedReply>(outcome) else {
             return self.finish_user(user, HttpResponse::unavailable());
@@ -270,7 +278,7 @@
     }
 }
 
-/// The message in which a request is forwarded.
+/// The message that forwards a request to a peer.
 fn forwarded_request(pending: &PendingRequest) -> ForwardedRequest {
     let job = &pending.job;
     let (method, path) = match &pending.request {
--- a/src/controller/user_submissions.rs
+++ b/src/controller/user_submissions.rs
@@ -5,7 +5,7 @@
 use super::commits::WriteOwner;
 use super::job_validation;
 use super::user_request_parser::RequestError;
-use super::user_types::{Refusal, RequestStage, UserRequest};
+use super::user_types::{RejectionReason, RequestStage, UserRequest};
 use super::Controller;
 use crate::job::{JobRecord, JobSpec};
 use crate::watch_cache::{final_key, job_key};
@@ -13,8 +13,8 @@
 use crate::write_queue::{WriteClass, WriteRequest};
 
 impl Controller {
-    /// Creates a job that is not known and can run. Any other request, also one that is to
-    /// be refused, waits for a newer watch cache: it may have been accepted before.
+    /// Starts to create a job that is new and can run. Any other request, also one to be
+    /// rejected, waits for a newer watch cache, since the job may have been accepted earlier.
     pub(super) fn accept_new_job(&mut self, user: u64) {
         let Some(pending) = self.users.get(user) else {
             return;
@@ -27,17 +27,19 @@
         }
         match self.check_runnable(spec) {
             Ok(()) => self.resolve_dependencies(user),
-            Err(refusal) => debug!(job = pending.job, reason = %refusal, "submission not accepted"),
+            Err(reason) => {
+                debug!(job = pending.job, %reason, "submission not accepted yet; waiting for a newer watch cache")
+            }
         }
     }
 
-    fn check_runnable(&self, spec: &JobSpec) -> Result<(), Refusal> {
+    fn check_runnable(&self, spec: &JobSpec) -> Result<(), RejectionReason> {
         let cluster = &self.settings.cluster;
         let machine_types = self.provider.machine_types();
         job_validation::check_runnable(spec, cluster, &machine_types, self.clock.wall_ms())
     }
 
-    /// Writes the record of a new job.
+    /// Queues the write of a new job's record, which fails if the job exists already.
     pub(super) fn create_job(&mut self, user: u64) {
         let Some(pending) = self.users.get(user) else {
             return;
@@ -60,7 +62,8 @@
         self.store.push_write(write);
     }
 
-    /// A job was never accepted: a submission is decided on, other requests end.
+    /// Handles a request for a job that was never accepted: decides a submission, and responds
+    /// to any other request that there is no such job.
     pub(super) fn on_unknown_job(&mut self, user: u64) {
         let Some(pending) = self.users.get(user) else {
             return;
@@ -69,12 +72,12 @@
             return self.finish_user(user, RequestError::NoSuchJob.response());
         };
         let decision = match self.check_runnable(spec) {
-            Ok(()) if pending.names_unknown_job => Err(Refusal::NamesUnknownJob),
+            Ok(()) if pending.has_unknown_dependency => Err(RejectionReason::UnknownDependency),
             decision => decision,
         };
         match decision {
             Ok(()) => self.resolve_dependencies(user),
-            Err(refusal) => self.finish_user(user, refusal.response()),
+            Err(reason) => self.finish_user(user, reason.response()),
         }
     }
 }
--- a/src/controller/user_types.rs
+++ b/src/controller/user_types.rs
@@ -1,4 +1,4 @@
-//! The types of users' requests in progress.
+//! Types of users' requests: origin, operation, stage, and reasons for rejection.
 
 use thiserror::Error;
 
@@ -10,7 +10,7 @@
 /// Where a user's request came from.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum RequestOrigin {
-    /// From the user.
+    /// Directly from the user.
     User,
     /// From another controller, which forwarded it. It is not forwarded again.
     Peer,
@@ -23,7 +23,7 @@
     pub origin: RequestOrigin,
 }
 
-/// What a user wants.
+/// The operation that a user requests on a job.
 #[derive(Debug, Clone)]
 pub(super) enum UserRequest {
     Submit(Box<JobSpec>),
@@ -34,15 +34,17 @@
 /// What a request in progress waits for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum RequestStage {
-    /// A watch cache read after this event and of at least this revision.
-    AwaitCache { after: u64, revision: u64 },
-    /// The outcome of a change.
+    /// A watch cache read after the event with this sequence number, and of at least this
+    /// revision.
+    AwaitCache { after_event: u64, revision: u64 },
+    /// The outcome of a write to the store.
     Commit,
-    /// The direct read of a key.
+    /// The direct read of a key of the store.
     Read,
     /// Another controller's response.
     Forwarded,
-    /// A short pause before trying again.
+    /// A delay before the request is retried, until this time in milliseconds of the steady
+    /// clock.
     Pause { until: u64 },
 }
 
@@ -52,11 +54,11 @@
     pub running: u64,
 }
 
-/// The state of a job as users see it.
+/// The state of a job as reported to users.
 pub(super) struct JobStatus {
-    /// The word for it in the protocol.
+    /// The state's name in the protocol.
     pub status: &'static str,
-    /// Its tasks, if it is live.
+    /// Task counts of a live job; `None` if it has ended, was cancelled or was just created.
     pub tasks: Option<TaskCounts>,
 }
 
@@ -78,7 +80,7 @@
         }
     }
 
-    /// A state that says nothing of tasks.
+    /// A state without task counts.
     pub(super) fn new(status: &'static str) -> JobStatus {
         JobStatus {
             status,
@@ -94,50 +96,52 @@
     /// The job's id.
     pub job: String,
     pub request: UserRequest,
+    /// When the request arrived, in milliseconds of the steady clock.
     pub since: u64,
     pub stage: RequestStage,
-    /// As it was received, to forward it.
+    /// The body as it was received, for forwarding.
     pub body: Vec<u8>,
-    /// Jobs that a submission names, found on record though not in the watch cache yet.
+    /// Dependencies of a submission that were found in the store although the watch cache does
+    /// not have them yet.
     pub found_dependencies: Vec<String>,
-    /// A submission names a job that was never accepted. If it was accepted itself, the
-    /// response has its state all the same.
-    pub names_unknown_job: bool,
+    /// Whether a submission depends on a job that was never accepted. If the submission itself
+    /// was accepted earlier, the response reports its state all the same.
+    pub has_unknown_dependency: bool,
 }
 
-/// Why a job is not accepted. The texts go to users.
+/// Why a submission is rejected. Users get the text as the response's body.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
-pub(super) enum Refusal {
+pub(super) enum RejectionReason {
     #[error("unknown team")]
     UnknownTeam,
     #[error("more than the team's limit")]
-    BeyondTeamLimit,
+    ExceedsTeamLimit,
     #[error("the machine types are not known yet")]
-    MachineTypesUnknown,
+    MachineTypesNotLoaded,
     #[error("fits no allowed machine type")]
-    FitsNoMachineType,
+    NoFittingMachineType,
     #[error("its names and lists are too long to be kept")]
-    TooLongToKeep,
+    RecordTooLarge,
     #[error("a gang of so many tasks is too large to be kept")]
-    GangTooLargeToKeep,
+    GangRecordTooLarge,
     #[error("names a job that was never accepted")]
-    NamesUnknownJob,
+    UnknownDependency,
 }
 
-impl Refusal {
+impl RejectionReason {
     fn status(self) -> u16 {
         match self {
-            Refusal::MachineTypesUnknown => status::UNAVAILABLE,
-            Refusal::TooLongToKeep => status::BAD_REQUEST,
+            RejectionReason::MachineTypesNotLoaded => status::UNAVAILABLE,
+            RejectionReason::RecordTooLarge => status::BAD_REQUEST,
             _ => status::UNPROCESSABLE,
         }
     }
 
-    /// The response to the user, who is asked to try again if that may help.
+    /// The response to the user; it has a retry time if a retry may succeed.
     pub(super) fn response(self) -> HttpResponse {
         let response = HttpResponse::error(self.status(), &self.to_string());
         match self {
-            Refusal::MachineTypesUnknown => response.with_retry_after(),
+            RejectionReason::MachineTypesNotLoaded => response.with_retry_after(),
             _ => response,
         }
     }
