--- a/src/controller/agent_gateway.rs
+++ b/src/controller/agent_gateway.rs
@@ -1,18 +1,18 @@
-//! Which agents came here: those that were redirected to the leader, and the heartbeats whose
-//! responses wait for starts.
+//! The agents that sent heartbeats to this controller: those that were redirected to the leader,
+//! and those whose responses wait for start commands.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
 use super::deferred_heartbeats::{DeferredHeartbeat, DeferredHeartbeats};
 
-/// For how long redirected agents are remembered.
-const REDIRECTED_MEMORY_MS: u64 = 60_000;
+/// For how long redirects are retained.
+const REDIRECT_RETENTION_MS: u64 = 60_000;
 
-/// Which agents came here.
+/// Recent contacts with agents. Times are in milliseconds of the steady clock.
 #[derive(Debug, Default)]
 pub(super) struct AgentGateway {
-    /// Agents that were redirected, and when.
+    /// The machines whose agents were redirected, with the time of the last redirect.
     redirected_at: BTreeMap<String, u64>,
     /// When a heartbeat was last accepted.
     accepted_at: Option<u64>,
@@ -20,15 +20,15 @@
 }
 
 impl AgentGateway {
-    /// The agent of a machine was redirected.
+    /// Records that the agent of a machine was redirected.
     pub(super) fn record_redirect(&mut self, machine: String, now: u64) {
         self.redirected_at.insert(machine, now);
     }
 
-    /// Drops redirects that are long past.
+    /// Drops redirects that are older than the retention period.
     pub(super) fn expire_redirects(&mut self, now: u64) {
         self.redirected_at
-            .retain(|_, at| now < *at + REDIRECTED_MEMORY_MS);
+            .retain(|_, at| now < *at + REDIRECT_RETENTION_MS);
     }
 
     /// How many agents were redirected within the last `span_ms`.
@@ -37,7 +37,7 @@
         times.filter(|at| now < **at + span_ms).count()
     }
 
-    /// A heartbeat was accepted.
+    /// Records that a heartbeat was accepted.
     pub(super) fn record_accepted(&mut self, now: u64) {
         self.accepted_at = Some(now);
     }
@@ -47,14 +47,14 @@
         self.accepted_at.is_some_and(|at| now < at + span_ms)
     }
 
-    /// Defers the response to a heartbeat. Returns an earlier one of the same machine, for
-    /// which nobody may wait any more.
+    /// Defers the response to a heartbeat. Returns an earlier one of the same machine, whose
+    /// connection the agent may have given up.
     pub(super) fn defer(&mut self, heartbeat: DeferredHeartbeat) -> Option<DeferredHeartbeat> {
         self.deferred.insert(heartbeat)
     }
 
-    /// The deferred heartbeats that are to be answered now: those of machines that have
-    /// starts, and then those whose time is over.
+    /// Removes and returns the deferred heartbeats that can be answered now: first those of
+    /// machines that have starts, then those whose deferral is over.
     pub(super) fn take_answerable(
         &mut self,
         startable: &[Arc<str>],
@@ -66,7 +66,7 @@
         heartbeats
     }
 
-    /// All deferred heartbeats.
+    /// Removes and returns all deferred heartbeats.
     pub(super) fn take_deferred(&mut self) -> Vec<DeferredHeartbeat> {
         self.deferred.take_all()
     }
--- a/src/controller/heartbeats.rs
+++ b/src/controller/heartbeats.rs
@@ -1,4 +1,4 @@
-//! Agents' heartbeats.
+//! Handling of agents' heartbeats: they are answered, deferred, or redirected to the leader.
 
 use tracing::{debug, trace};
 
@@ -10,18 +10,19 @@
 use crate::time_units::to_ms;
 use crate::wire::{self, AgentStatus};
 
-/// For how long the response to a heartbeat waits for starts, as a share of a heartbeat interval.
-const DEFER_HEARTBEAT_SHARE: f64 = 0.1;
-/// For this share of the time between a lease and `cancel_s`, heartbeats are answered although
-/// there may be cancellations that this controller does not know of.
-const UNKNOWN_CANCELLATIONS_SHARE: f64 = 0.75;
+/// For how long the response to a heartbeat waits for start commands, as a ratio of the heartbeat
+/// interval.
+const DEFERRAL_INTERVAL_RATIO: f64 = 0.1;
+/// For how long heartbeats are answered although there may be newer cancellations that this
+/// controller does not know of, as a ratio of the time between the lease and `cancel_s`.
+const CANCELLATIONS_AGE_RATIO: f64 = 0.75;
 
 impl Controller {
     pub(super) fn on_heartbeat(&mut self, connection: usize, body: &[u8]) {
         let agent_status = match wire::decode::<AgentStatus>(body) {
             Ok(agent_status) => agent_status,
             Err(error) => {
-                debug!(%error, "malformed heartbeat");
+                debug!(%error, "rejecting a malformed heartbeat");
                 let response = HttpResponse::empty(status::BAD_REQUEST);
                 return self.outbox.respond(connection, response);
             }
@@ -39,14 +40,15 @@
         self.accept_heartbeat(connection, agent_status);
     }
 
-    /// Whether no cancellation can run out that this controller does not know of: an agent
-    /// that hears nothing afterwards ends its tasks before that.
+    /// Whether the known cancellations are recent enough to answer a heartbeat. If they are, an
+    /// agent that gets no further response loses its lease and ends its tasks before `cancel_s`
+    /// has passed for any cancellation that this controller does not know of.
     fn has_recent_cancellations(&self) -> bool {
         let agents = &self.settings.cluster.workers;
-        let bound_s = (agents.cancel_s - agents.lease_s) * UNKNOWN_CANCELLATIONS_SHARE;
-        let bound_ms = to_ms(bound_s);
+        let age_max_s = (agents.cancel_s - agents.lease_s) * CANCELLATIONS_AGE_RATIO;
+        let age_max_ms = to_ms(age_max_s);
         let known_at = self.cancellations_known_as_of();
-        known_at.is_some_and(|at| self.clock.steady_ms() <= at + bound_ms)
+        known_at.is_some_and(|at| self.clock.steady_ms() <= at + age_max_ms)
     }
 
     fn accept_heartbeat(&mut self, connection: usize, agent_status: AgentStatus) {
@@ -64,7 +66,7 @@
         if !may_get_starts {
             return self.answer_heartbeat(connection, &agent_status);
         }
-        let defer_s = self.settings.cluster.workers.report_s * DEFER_HEARTBEAT_SHARE;
+        let defer_s = self.settings.cluster.workers.report_s * DEFERRAL_INTERVAL_RATIO;
         let earlier = self.agents.defer(DeferredHeartbeat {
             connection,
             status: agent_status,
@@ -75,7 +77,7 @@
         }
     }
 
-    /// Sends an agent to the leader, if that is known.
+    /// Redirects an agent to the leader, if that is known.
     fn redirect(&mut self, connection: usize, agent_status: AgentStatus) {
         let now = self.clock.steady_ms();
         self.agents.record_redirect(agent_status.machine, now);
@@ -88,12 +90,13 @@
         self.outbox.respond(connection, response);
     }
 
-    /// Answers a heartbeat that was accepted with the commands that there are.
+    /// Answers an accepted heartbeat with the pending commands for the agent.
     fn answer_heartbeat(&mut self, connection: usize, agent_status: &AgentStatus) {
         let now = self.clock.steady_ms();
         let permission = self.start_permission();
         let Some(scheduler) = &mut self.scheduler else {
-            // It led a moment ago: the next heartbeat finds out who does.
+            // This controller lost the leadership since it accepted the heartbeat. The agent's next
+            // heartbeat is redirected to the new leader.
             return self.outbox.respond(connection, HttpResponse::unavailable());
         };
         let batch = wire::CommandBatch {
@@ -113,8 +116,8 @@
         self.outbox.respond(connection, response);
     }
 
-    /// Answers deferred heartbeats as soon as starts for them are on record, or without them
-    /// when the time is over.
+    /// Answers deferred heartbeats as soon as starts for their machines are persisted, or
+    /// without starts when their deferral is over.
     pub(super) fn answer_deferred_heartbeats(&mut self) {
         let now = self.clock.steady_ms();
         let heartbeats = match &mut self.scheduler {
