--- a/src/controller/http.rs
+++ b/src/controller/http.rs
@@ -1,11 +1,11 @@
-//! HTTP requests that this controller sends, and its responses to those that it receives.
+//! HTTP requests that this controller sends, and responses to those that it receives.
 
 use crate::net::status;
 use crate::wire;
 
-/// When a client is to try again, in seconds: it waits at least as long in any case.
+/// Delay in seconds after which clients are asked to retry. They wait at least as long in any case.
 pub(super) const RETRY_AFTER_S: u32 = 1;
-/// Default timeout of a read of a single key of the store.
+/// Timeout of a read of a single key of the store, and of a watch request that does not block.
 pub(super) const READ_TIMEOUT_MS: u64 = 1000;
 
 const GET: &str = "GET";
@@ -44,7 +44,7 @@
         HttpCall::get(wire::key_path(key), READ_TIMEOUT_MS)
     }
 
-    /// Reads a page of the keys of the store under a prefix, behind the key `from`.
+    /// Reads a page of the store's keys under a prefix, starting behind the key `from`.
     pub(super) fn get_page(
         prefix: &str,
         from: Option<&str>,
@@ -63,18 +63,18 @@
         )
     }
 
-    /// Asks the store for a grant.
+    /// Creates a grant (a lease with a time to live) in the store.
     pub(super) fn create_grant(ttl_ms: u64, timeout_ms: u64) -> HttpCall {
         let body = wire::encode(&wire::GrantRequest { ttl_ms });
         HttpCall::post(wire::grants_path(), body, timeout_ms)
     }
 
-    /// Renews a grant.
+    /// Renews a grant of the store.
     pub(super) fn renew_grant(grant: u64, timeout_ms: u64) -> HttpCall {
         HttpCall::post(wire::renewal_path(grant), vec![], timeout_ms)
     }
 
-    /// Ends a grant.
+    /// Ends a grant of the store before it expires.
     pub(super) fn end_grant(grant: u64, timeout_ms: u64) -> HttpCall {
         HttpCall {
             method: DELETE,
@@ -89,13 +89,13 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) struct HttpResponse {
     pub status: u16,
-    /// When the client is to try again, in seconds.
+    /// Delay in seconds after which the client is asked to retry; `None` if it is not asked to.
     pub retry_after_s: Option<u32>,
     pub body: Vec<u8>,
 }
 
 impl HttpResponse {
-    /// A response with a body; the client is not asked to try again.
+    /// A response with a body; the client is not asked to retry.
     pub(super) fn new(status: u16, body: Vec<u8>) -> HttpResponse {
         HttpResponse {
             status,
@@ -114,18 +114,18 @@
         HttpResponse::new(status, vec![])
     }
 
-    /// Nothing can be said now: the client is to try again.
+    /// An empty response with status 503 (service unavailable), which asks the client to retry.
     pub(super) fn unavailable() -> HttpResponse {
         HttpResponse::empty(status::UNAVAILABLE).with_retry_after()
     }
 
-    /// A response that says what is wrong.
+    /// A response whose body states the reason of an error.
     pub(super) fn error(status: u16, reason: &str) -> HttpResponse {
         let body = wire::encode(&wire::ErrorReply { error: reason });
         HttpResponse::new(status, body)
     }
 
-    /// Asks the client to try again.
+    /// Asks the client to retry after [`RETRY_AFTER_S`].
     pub(super) fn with_retry_after(self) -> HttpResponse {
         HttpResponse {
             retry_after_s: Some(RETRY_AFTER_S),
--- a/src/controller/machine_list_reader.rs
+++ b/src/controller/machine_list_reader.rs
@@ -1,41 +1,42 @@
-//! Reading the cloud's list of machines page by page. Events and the time go in, the pages to
-//! ask for come out.
+//! Reads the cloud's list of machines page by page. The caller passes events and the time in and
+//! sends the requests for pages. Times are in milliseconds of the steady clock.
 
 use std::collections::HashSet;
 
 use crate::wire::{ListedMachine, MachineList};
 
-/// Pauses before a page is asked for again: the first, and how often it is doubled.
-const PAGE_RETRY_MS: u64 = 1000;
-const PAGE_DOUBLINGS_MAX: u32 = 3;
-/// Failures of one page after which the whole list is begun anew.
-const PAGE_TRIES_MAX: u32 = 6;
-/// How often the pause between two reads is doubled after invalid lists.
-const INVALID_DOUBLINGS_MAX: u32 = 2;
+/// Delay until a page is requested again after its first failure. Each further failure doubles it.
+const PAGE_BACKOFF_MS: u64 = 1000;
+/// How often the delay of a page is doubled at most.
+const PAGE_BACKOFF_DOUBLINGS_MAX: u32 = 3;
+/// Failures of one page in a row after which the whole list is read again.
+const PAGE_FAILURES_MAX: u32 = 6;
+/// How often the interval between two reads is doubled at most after invalid lists.
+const INVALID_LIST_DOUBLINGS_MAX: u32 = 2;
 
 /// Why a list is invalid.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-pub(super) enum ListError {
-    /// A page holds what an earlier one has held.
-    #[error("a page repeats {0}")]
-    Repeated(String),
-    /// A page says that there is more and holds nothing.
-    #[error("a page without machines says that there are more")]
-    Empty,
-    /// More machines than there is memory for.
-    #[error("it has more than {0} machines and does not end")]
-    Endless(usize),
+pub(super) enum InvalidListError {
+    /// The list has a machine twice.
+    #[error("machine {0} is listed twice")]
+    DuplicateMachine(String),
+    /// A page without machines claims that there are more pages.
+    #[error("a page without machines claims that more pages follow")]
+    EmptyPage,
+    /// The list has more machines than fit into memory.
+    #[error("the list has more than {0} machines")]
+    TooLong(usize),
 }
 
-/// What a page brought.
+/// The result of adding a page to the list.
 #[derive(Debug)]
 pub(super) enum PageResult {
-    /// There are more pages.
+    /// More pages follow.
     More,
     /// The list is complete.
     Complete(Vec<ListedMachine>),
-    /// The list is invalid: nothing of it counts.
-    Invalid(ListError),
+    /// The list is invalid; the machines read so far are discarded.
+    Invalid(InvalidListError),
 }
 
 /// Whether a page is the last one.
@@ -45,52 +46,56 @@
     Last,
 }
 
-/// A read in progress.
+/// A read of the list in progress.
 #[derive(Debug)]
 struct ListRead {
     started_at: u64,
+    /// Pages read so far.
     pages: u64,
     machines: Vec<ListedMachine>,
     names: HashSet<String>,
-    /// When the next page may be asked for; `None` while one is on its way.
+    /// When the next page may be requested; `None` while a request for it is in flight.
     next_page_at: Option<u64>,
-    /// Failures in a row of the next page.
+    /// Failures of the next page in a row.
     failures: u32,
 }
 
-/// Reads the list repeatedly, as the limit of calls to the cloud allows.
+/// Reads the list repeatedly, as the cloud's rate limit allows.
 #[derive(Debug, Default)]
 pub(super) struct MachineListReader {
-    next_at: u64,
+    /// When the next read of the list may begin.
+    next_read_at: u64,
     read: Option<ListRead>,
-    /// Pages of the last complete list.
-    pages: u64,
+    /// Number of pages of the last complete list.
+    last_list_pages: u64,
     /// Invalid lists in a row.
-    invalid: u32,
+    invalid_lists: u32,
 }
 
 impl MachineListReader {
-    /// Gives up a read in progress and begins anew.
+    /// Aborts a read in progress. The list is read again from its first page at `now`.
     pub(super) fn restart(&mut self, now: u64) {
-        self.next_at = now;
+        self.next_read_at = now;
         self.read = None;
     }
 
-    /// Whether a page is to be asked for.
+    /// Whether the next page is due to be requested.
     pub(super) fn is_due(&self, now: u64) -> bool {
         match &self.read {
             Some(read) => read.next_page_at.is_some_and(|at| now >= at),
-            None => now >= self.next_at,
+            None => now >= self.next_read_at,
         }
     }
 
-    /// A page is being read. `interval_ms`: time between two reads, for each page of
-    /// the list: a long one costs calls and time, and shows little that heartbeats don't.
-    /// Returns the last name that is known already.
+    /// Marks the next page as requested, and begins a read of the list if none is in progress.
+    /// Returns the last machine name read so far, behind which the page starts.
+    ///
+    /// `interval_ms` is the interval between two reads, per page of the list: a long list costs
+    /// calls and time, and shows little that heartbeats don't.
     pub(super) fn begin_page(&mut self, now: u64, interval_ms: u64) -> Option<String> {
         if self.read.is_none() {
-            let doublings = self.invalid.min(INVALID_DOUBLINGS_MAX);
-            self.next_at = now + ((interval_ms * self.pages.max(1)) << doublings);
+            let doublings = self.invalid_lists.min(INVALID_LIST_DOUBLINGS_MAX);
+            self.next_read_at = now + ((interval_ms * self.last_list_pages.max(1)) << doublings);
         }
         let read = self.read.get_or_insert_with(|| ListRead {
             started_at: now,
@@ -104,26 +109,27 @@
         read.machines.last().map(|machine| machine.name.clone())
     }
 
-    /// When the read in progress began: what belongs to an earlier one is dropped.
+    /// When the read in progress began. Pages of an earlier read are ignored.
     pub(super) fn started_at(&self) -> Option<u64> {
         self.read.as_ref().map(|read| read.started_at)
     }
 
-    /// A page was not read. It is read again, and after some failures the whole list.
+    /// Schedules a retry of a page that could not be read, or of the whole list after
+    /// [`PAGE_FAILURES_MAX`] failures.
     pub(super) fn on_failure(&mut self, now: u64) {
         let Some(read) = &mut self.read else {
             return;
         };
         read.failures += 1;
-        let doublings = (read.failures - 1).min(PAGE_DOUBLINGS_MAX);
-        let retry_at = now + (PAGE_RETRY_MS << doublings);
+        let doublings = (read.failures - 1).min(PAGE_BACKOFF_DOUBLINGS_MAX);
+        let retry_at = now + (PAGE_BACKOFF_MS << doublings);
         read.next_page_at = Some(retry_at);
-        if read.failures >= PAGE_TRIES_MAX {
+        if read.failures >= PAGE_FAILURES_MAX {
             self.restart(retry_at);
         }
     }
 
-    /// Adds a page. `machines_max`: more can't be held in memory.
+    /// Adds a page. A list with more than `machines_max` machines is invalid.
     pub(super) fn on_page(
         &mut self,
         page: MachineList,
@@ -142,35 +148,35 @@
                 PageResult::More
             }
             Ok(PageEnd::Last) => {
-                self.pages = read.pages;
-                self.invalid = 0;
+                self.last_list_pages = read.pages;
+                self.invalid_lists = 0;
                 PageResult::Complete(read.machines)
             }
             Err(error) => {
-                self.invalid += 1;
+                self.invalid_lists += 1;
                 PageResult::Invalid(error)
             }
         }
     }
 }
 
-/// Adds a page to those that were read.
+/// Adds the machines of a page to those read so far.
 fn add_page(
     read: &mut ListRead,
     page: MachineList,
     machines_max: usize,
-) -> Result<PageEnd, ListError> {
+) -> Result<PageEnd, InvalidListError> {
     if page.truncated && page.machines.is_empty() {
-        return Err(ListError::Empty);
+        return Err(InvalidListError::EmptyPage);
     }
     for machine in page.machines {
         if !read.names.insert(machine.name.clone()) {
-            return Err(ListError::Repeated(machine.name));
+            return Err(InvalidListError::DuplicateMachine(machine.name));
         }
         read.machines.push(machine);
     }
     if read.machines.len() > machines_max {
-        return Err(ListError::Endless(machines_max));
+        return Err(InvalidListError::TooLong(machines_max));
     }
     if page.truncated {
         Ok(PageEnd::More)
--- a/src/controller/provider_client.rs
+++ b/src/controller/provider_client.rs
@@ -1,6 +1,6 @@
-//! The client of the cloud provider: this controller's share of its rate limit, the machine
+//! Client of the cloud provider: this controller's share of the provider's rate limit, the machine
 //! types, the list of machines, and the requests to provision and to terminate machines, which
-//! are put together here and nowhere else.
+//! are built only here.
 
 use std::sync::Arc;
 
@@ -19,114 +19,118 @@
 use crate::time_units::to_ms;
 use crate::wire::{self, FencingToken, ListedMachine, MachineType};
 
-/// Share of the provider's limit that is used, all calls counted.
-const FULL_SHARE: f64 = 0.875;
-/// Shares of the limit once provisioning and terminating are with other controllers than the
-/// leader, which reads the list. Their bursts rarely coincide.
-const HOLDER_SHARE: f64 = 0.6;
-const LEADER_SHARE: f64 = 0.4;
-/// Calls a second that suffice for a call at a time, however low the limit is.
-const RATE_MIN: f64 = 1.5;
-
-/// Shares of a second's calls that these leave to others: the list and terminations need
-/// calls, too.
-const PROVISIONING_RESERVE: f64 = 0.25;
-const TYPES_RESERVE: f64 = 0.2;
-const LIST_RESERVE: f64 = 0.3;
-
-const TIMEOUT_MS: u64 = 4000;
-/// Most machines that a page of the list holds.
-const PAGE_MAX: u64 = 500;
-/// The part of the memory that a list may take while it is read, and what a machine of it
-/// takes, its name in the set of those read included.
-const LIST_MEMORY_SHARE: f64 = 1.0 / 16.0;
+/// Ratio of the provider's rate limit that a controller uses at most, for all its calls together.
+const USED_LIMIT_RATIO: f64 = 0.875;
+/// Ratios of the provider's rate limit when other controllers than the leader, which reads the
+/// list, provision and terminate machines. Their sum may exceed [`USED_LIMIT_RATIO`], since the
+/// bursts rarely coincide.
+const HOLDER_LIMIT_RATIO: f64 = 0.6;
+const LEADER_LIMIT_RATIO: f64 = 0.4;
+/// Lower bound of a share in calls per second, which still lets the token bucket hold one call.
+const SHARE_CALLS_PER_S_MIN: f64 = 1.5;
+
+/// Ratio of a second's calls that each kind of call leaves to the others, so that none starves
+/// the list or terminations.
+const PROVISIONING_RESERVE_RATIO: f64 = 0.25;
+const MACHINE_TYPES_RESERVE_RATIO: f64 = 0.2;
+const LIST_RESERVE_RATIO: f64 = 0.3;
+
+const CALL_TIMEOUT_MS: u64 = 4000;
+/// Maximum number of machines in a page of the list.
+const PAGE_MACHINES_MAX: u64 = 500;
+/// Ratio of the process's memory that a list may take while it is read.
+const LIST_MEMORY_RATIO: f64 = 1.0 / 16.0;
+/// Memory that a listed machine takes, including its name in the set of names read so far.
 const LISTED_MACHINE_BYTES: usize = 512;
-/// How often the machine types are read, before and after the first success.
-const TYPES_RETRY_MS: u64 = 2000;
-const TYPES_INTERVAL_MS: u64 = 60_000;
-/// How soon after an election they are read again.
-const TYPES_AFTER_ELECTION_MS: u64 = 1000;
-/// Least time between two reads of the list, for each of its pages.
-const LIST_INTERVAL_MS: u64 = 2000;
-
-/// Machines to be provisioned.
+/// Delay until the machine types are read again after a failure.
+const MACHINE_TYPES_RETRY_MS: u64 = 2000;
+/// Delay until the machine types are read again after a success.
+const MACHINE_TYPES_INTERVAL_MS: u64 = 60_000;
+/// Longest delay until the machine types are read again after an election.
+const MACHINE_TYPES_AFTER_ELECTION_MS: u64 = 1000;
+/// Lower bound of the interval between two reads of the list, per page of the list.
+const LIST_INTERVAL_MIN_MS: u64 = 2000;
+
+/// A request for machines of one kind.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) struct MachineRequest {
     pub kind: MachineKind,
-    /// How many at most.
+    /// Maximum number of machines.
     pub count: u64,
 }
 
-/// Which calls to the provider a controller makes, once duties are with their holders.
+/// Which calls to the provider a controller makes when controllers other than the leader may hold
+/// duties.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum ProviderRole {
-    /// It reads the list, if it leads.
+    /// It reads the list while it leads, and holds no duty.
     Reader,
-    /// It provisions or terminates machines.
+    /// It provisions or terminates machines and does not lead.
     Holder,
-    /// It does both.
+    /// It leads, and provisions or terminates machines.
     LeaderAndHolder,
 }
 
-/// The client of the cloud provider.
+/// Client of the cloud provider. Times are in milliseconds of the steady clock.
 #[derive(Debug)]
 pub(super) struct ProviderClient {
-    /// The provider's limit of calls a second.
+    /// The provider's rate limit, in calls per second.
     calls_per_s: f64,
+    /// This controller's share of the rate limit.
     limit: TokenBucket,
     machine_types: Arc<Vec<MachineType>>,
     next_machine_types_at: u64,
     machine_list: MachineListReader,
-    /// Time between two reads of the list, for each of its pages.
+    /// Interval between two reads of the list, per page of the list.
     list_interval_ms: u64,
-    /// How many machines a list may have, by the memory that there is.
+    /// Maximum number of machines in a list, so that it fits into memory.
     listed_machines_max: usize,
 }
 
 impl ProviderClient {
     pub(super) fn new(cluster: &ClusterSettings) -> ProviderClient {
         let lag_ms = to_ms(cluster.cloud.list_lag_s);
-        let list_bytes = cluster.limits.memory_part(LIST_MEMORY_SHARE);
+        let list_bytes = cluster.limits.memory_part(LIST_MEMORY_RATIO);
         ProviderClient {
             calls_per_s: cluster.cloud.rps,
-            limit: TokenBucket::new(cluster.cloud.rps * FULL_SHARE),
+            limit: TokenBucket::new(cluster.cloud.rps * USED_LIMIT_RATIO),
             machine_types: Arc::new(vec![]),
             next_machine_types_at: 0,
             machine_list: MachineListReader::default(),
-            list_interval_ms: (lag_ms / 2).max(LIST_INTERVAL_MS),
+            list_interval_ms: (lag_ms / 2).max(LIST_INTERVAL_MIN_MS),
             listed_machines_max: list_bytes / LISTED_MACHINE_BYTES,
         }
     }
 
-    /// Uses the share of the limit that belongs to a role from now on.
+    /// Sets this controller's share of the rate limit, by its role.
     pub(super) fn set_share(&mut self, role: ProviderRole, now: u64) {
         let share = match role {
-            ProviderRole::LeaderAndHolder => FULL_SHARE,
-            ProviderRole::Holder => HOLDER_SHARE,
-            ProviderRole::Reader => LEADER_SHARE,
+            ProviderRole::LeaderAndHolder => USED_LIMIT_RATIO,
+            ProviderRole::Holder => HOLDER_LIMIT_RATIO,
+            ProviderRole::Reader => LEADER_LIMIT_RATIO,
         };
-        let rate = (self.calls_per_s * share).max(RATE_MIN);
-        let rate = rate.min(self.calls_per_s * FULL_SHARE);
+        let rate = (self.calls_per_s * share).max(SHARE_CALLS_PER_S_MIN);
+        let rate = rate.min(self.calls_per_s * USED_LIMIT_RATIO);
         self.limit.set_rate(now, rate);
     }
 
-    /// Whether machines may be provisioned or terminated now, by the rate limit.
+    /// Uses up one call of the rate limit for provisioning or terminating machines. Returns
+    /// whether the limit allows the call.
     pub(super) fn try_order(&mut self, now: u64) -> bool {
         self.limit.try_take(now, 1.0, 0.0)
     }
 
-    /// How many provisioning requests may be sent now.
+    /// How many provisioning requests the rate limit allows now.
     pub(super) fn provisioning_budget(&mut self, now: u64) -> usize {
-        self.limit.available(now, PROVISIONING_RESERVE)
+        self.limit.available(now, PROVISIONING_RESERVE_RATIO)
     }
 
-    /// The provider says that the limit was reached.
+    /// Uses up this controller's share after the provider has rejected a call for its rate limit.
     pub(super) fn on_throttled(&mut self) {
         self.limit.drain();
     }
 
-    /// The request to provision machines, which the provider carries out once for each
-    /// idempotency key.
+    /// The request to provision machines, which the provider executes once per idempotency key.
     pub(super) fn provision_call(
         idempotency_key: &str,
         request: &MachineRequest,
@@ -140,7 +144,7 @@
             count: request.count,
             fencing,
         });
-        HttpCall::post(wire::PROVISION_PATH, body, TIMEOUT_MS)
+        HttpCall::post(wire::PROVISION_PATH, body, CALL_TIMEOUT_MS)
     }
 
     /// The request to terminate machines.
@@ -149,61 +153,62 @@
             names: machines,
             fencing,
         });
-        HttpCall::post(wire::TERMINATE_PATH, body, TIMEOUT_MS)
+        HttpCall::post(wire::TERMINATE_PATH, body, CALL_TIMEOUT_MS)
     }
 
-    /// The machine types; none if they were not read yet.
+    /// The machine types; empty until they are first read.
     pub(super) fn machine_types(&self) -> Arc<Vec<MachineType>> {
         self.machine_types.clone()
     }
 
-    /// Reads the machine types when it is time and the limit allows.
+    /// Reads the machine types if they are due and the rate limit allows the call.
     pub(super) fn read_machine_types_if_due(&mut self, outbox: &mut Outbox, now: u64) {
         if now < self.next_machine_types_at {
             return;
         }
-        self.next_machine_types_at = now + TYPES_RETRY_MS;
-        if self.limit.try_take(now, 1.0, TYPES_RESERVE) {
-            let call = HttpCall::get(wire::machine_types_path(), TIMEOUT_MS);
+        self.next_machine_types_at = now + MACHINE_TYPES_RETRY_MS;
+        if self.limit.try_take(now, 1.0, MACHINE_TYPES_RESERVE_RATIO) {
+            let call = HttpCall::get(wire::machine_types_path(), CALL_TIMEOUT_MS);
             outbox.call_cloud(PendingCall::MachineTypes, call);
         }
     }
 
-    /// Processes the response with the machine types. Returns whether they were read.
+    /// Handles the response with the machine types. Returns whether it was valid.
     pub(super) fn on_machine_types(&mut self, outcome: &Outcome, now: u64) -> bool {
         match responses::decode_success::<wire::MachineTypes>(outcome) {
             Ok(reply) => {
                 self.machine_types = Arc::new(reply.types);
-                self.next_machine_types_at = now + TYPES_INTERVAL_MS;
+                self.next_machine_types_at = now + MACHINE_TYPES_INTERVAL_MS;
                 true
             }
             Err(error) => {
-                debug!(%error, "machine types not read");
+                debug!(%error, "failed to read the machine types; will retry");
                 false
             }
         }
     }
 
-    /// This controller leads: the list is read from its beginning, and the machine types soon.
+    /// Restarts the read of the list and hastens that of the machine types, when this controller
+    /// becomes the leader.
     pub(super) fn on_term_begun(&mut self, now: u64) {
         self.machine_list.restart(now);
-        let soon = now + TYPES_AFTER_ELECTION_MS;
+        let soon = now + MACHINE_TYPES_AFTER_ELECTION_MS;
         self.next_machine_types_at = self.next_machine_types_at.min(soon);
     }
 
-    /// Reads the next page of the list, for the leader of an epoch, when it is due and the
-    /// limit allows.
+    /// Reads the next page of the list, for the leader of an epoch, if it is due and the rate
+    /// limit allows the call.
     pub(super) fn read_machine_list_if_due(&mut self, outbox: &mut Outbox, epoch: Epoch, now: u64) {
-        if !self.machine_list.is_due(now) || !self.limit.try_take(now, 1.0, LIST_RESERVE) {
+        if !self.machine_list.is_due(now) || !self.limit.try_take(now, 1.0, LIST_RESERVE_RATIO) {
             return;
         }
         let from = self.machine_list.begin_page(now, self.list_interval_ms);
-        let path = wire::machine_list_path(from.as_deref(), PAGE_MAX);
+        let path = wire::machine_list_path(from.as_deref(), PAGE_MACHINES_MAX);
         let pending = PendingCall::MachineList {
             started_at: self.machine_list.started_at().unwrap_or(now),
             epoch,
         };
-        outbox.call_cloud(pending, HttpCall::get(path, TIMEOUT_MS));
+        outbox.call_cloud(pending, HttpCall::get(path, CALL_TIMEOUT_MS));
     }
 
     /// Whether the read of the list that began at `started_at` is in progress.
@@ -211,12 +216,12 @@
         self.machine_list.started_at() == Some(started_at)
     }
 
-    /// Gives up the read of the list in progress.
+    /// Aborts the read of the list in progress, so that it starts again.
     pub(super) fn restart_machine_list(&mut self, now: u64) {
         self.machine_list.restart(now);
     }
 
-    /// Processes a page of the list, and asks for the next one. Returns the list if it is
+    /// Handles a page of the list and requests the next one. Returns the list when it is
     /// complete.
     pub(super) fn on_machine_list_page(
         &mut self,
@@ -228,7 +233,7 @@
         let page = match responses::decode_success::<wire::MachineList>(outcome) {
             Ok(page) => page,
             Err(error) => {
-                debug!(%error, "page of the machine list not read");
+                debug!(%error, "failed to read a page of the machine list; will retry");
                 self.machine_list.on_failure(now);
                 return None;
             }
@@ -243,7 +248,7 @@
             }
             PageResult::Complete(machines) => Some(machines),
             PageResult::Invalid(error) => {
-                error!(%error, "invalid machine list: the last one stays");
+                error!(%error, "invalid machine list; keeping the last complete one");
                 None
             }
         }
--- a/src/controller/provider_events.rs
+++ b/src/controller/provider_events.rs
@@ -1,5 +1,5 @@
-//! Between the scheduler and the cloud provider: machine types, the list of machines, and what
-//! a leader without duties' holders provisions and terminates itself.
+//! Connects the scheduler with the cloud provider: machine types, the list of machines, and the
+//! machines that the leader provisions and terminates itself while duties are inactive.
 
 use tracing::{info, warn};
 
@@ -59,12 +59,12 @@
         }
     }
 
-    /// Provisions machines, or asks the holder of that duty to do so.
+    /// Provisions machines, or requests it from the holder of that duty if duties are active.
     pub(super) fn provision(&mut self, idempotency_key: String, request: &MachineRequest) {
         if self.are_duties_active() {
             return self.request_scale_out(idempotency_key, request);
         }
-        if !self.may_order() {
+        if !self.acquire_provider_call() {
             let now = self.clock.steady_ms();
             if let Some(scheduler) = &mut self.scheduler {
                 scheduler.on_provisioning_postponed(&idempotency_key, now);
@@ -85,12 +85,12 @@
         self.outbox.call_cloud(pending, call);
     }
 
-    /// Terminates machines, or asks the holder of that duty to do so.
+    /// Terminates machines, or requests it from the holder of that duty if duties are active.
     pub(super) fn terminate(&mut self, machines: Vec<String>) {
         if self.are_duties_active() {
             return self.request_scale_in(machines);
         }
-        if !self.may_order() {
+        if !self.acquire_provider_call() {
             let now = self.clock.steady_ms();
             if let Some(scheduler) = &mut self.scheduler {
                 scheduler.on_termination_postponed(&machines, now);
@@ -105,10 +105,10 @@
         self.outbox.call_cloud(pending, call);
     }
 
-    /// Whether machines may be provisioned or terminated now. Without certain leadership
-    /// they are not: a partition may hold the request back and deliver it to a successor's
-    /// machines.
-    fn may_order(&mut self) -> bool {
+    /// Returns whether machines may be provisioned or terminated now, and uses up one call of
+    /// the provider's rate limit if so. They may not while the leadership is uncertain: a
+    /// partition could delay the request until it affects the machines of a successor.
+    fn acquire_provider_call(&mut self) -> bool {
         let now = self.clock.steady_ms();
         self.leadership.is_certain(now) && self.provider.try_order(now)
     }
@@ -127,7 +127,10 @@
             Ok(names) => ProvisioningOutcome::Provisioned(names),
             Err(ProviderError::NoCapacity) => ProvisioningOutcome::Unavailable,
             Err(ProviderError::Malformed) => {
-                warn!(request = idempotency_key, "malformed provisioning request");
+                warn!(
+                    request = idempotency_key,
+                    "cloud provider rejected a provisioning request as malformed"
+                );
                 ProvisioningOutcome::Unavailable
             }
             Err(ProviderError::Fenced | ProviderError::Throttled | ProviderError::Unknown) => {
--- a/src/controller/responses.rs
+++ b/src/controller/responses.rs
@@ -1,5 +1,5 @@
-//! What the responses to calls mean: HTTP statuses and bodies become typed results here, and
-//! nowhere else in the controller.
+//! Converts the HTTP statuses and bodies of responses to typed results. No other module of the
+//! controller interprets them.
 
 use prost::Message;
 use serde::de::DeserializeOwned;
@@ -9,22 +9,22 @@
 use crate::scheduler::StartFailure;
 use crate::wire::{self, AgentStatus, DecodeError, MachineNames};
 
-/// Why a call brought no usable response.
+/// Why a call has no usable response.
 #[derive(Debug, Error)]
 pub(super) enum CallError {
-    /// No connection came about: nothing was sent.
-    #[error("no connection")]
+    /// No connection was established, so nothing was sent.
+    #[error("could not connect")]
     NotSent,
-    /// The request may have been carried out.
+    /// The request may have been executed.
     #[error("no response in time")]
     NoResponse,
-    /// The response is larger than what may be held in memory.
-    #[error("the response is too large")]
+    /// The response exceeds the size limit.
+    #[error("the response exceeds the size limit")]
     TooLarge,
-    /// Another status than success.
-    #[error("status {0}")]
+    /// The status is not 200 (OK).
+    #[error("unexpected status {0}")]
     Status(u16),
-    /// The body of a successful response can't be read.
+    /// The body of a successful response can't be decoded.
     #[error(transparent)]
     Malformed(#[from] DecodeError),
 }
@@ -43,27 +43,27 @@
     }
 }
 
-/// The message in a successful response.
+/// Decodes the message in a successful response.
 pub(super) fn decode_success<T: DeserializeOwned>(outcome: &Outcome) -> Result<T, CallError> {
     Ok(wire::decode(success(outcome)?)?)
 }
 
-/// The message of another controller in a successful response.
+/// Decodes the message of a peer in a successful response; `None` if there is no valid one.
 pub(super) fn decode_peer<T: Message + Default>(outcome: &Outcome) -> Option<T> {
     T::decode(success(outcome).ok()?).ok()
 }
 
-/// What a read of a single key of the store brought.
+/// The result of reading a single key of the store.
 pub(super) enum KeyRead<'a> {
-    /// The key exists; the response's body.
+    /// The key exists. Holds the response's body.
     Found(&'a [u8]),
     /// The key does not exist.
     NotFound,
-    /// The outcome is unknown.
+    /// The read failed; whether the key exists is unknown.
     Failed,
 }
 
-/// What a read of a single key of the store brought.
+/// Interprets the response to a read of a single key of the store.
 pub(super) fn key_read(outcome: &Outcome) -> KeyRead<'_> {
     match success(outcome) {
         Ok(body) => KeyRead::Found(body),
@@ -72,18 +72,18 @@
     }
 }
 
-/// Why the provider did not carry out a request, as far as is known.
+/// Why the provider did not execute a request, as far as is known.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum ProviderError {
-    /// There is no capacity for this kind of machine.
+    /// The provider has no capacity for this kind of machine.
     NoCapacity,
-    /// The request is malformed.
+    /// The provider rejects the request as malformed.
     Malformed,
     /// The provider has seen a higher fencing token.
     Fenced,
-    /// Above the provider's rate limit.
+    /// The provider's rate limit is exceeded.
     Throttled,
-    /// The provider is in trouble, or the outcome is unknown.
+    /// The provider fails, or the outcome is unknown.
     Unknown,
 }
 
@@ -102,7 +102,7 @@
     }
 }
 
-/// The names of the machines that a provisioning request brought.
+/// The names of the machines that a provisioning request yielded.
 pub(super) fn provisioned_machines(outcome: &Outcome) -> Result<Vec<String>, ProviderError> {
     let machines = decode_success::<MachineNames>(outcome);
     machines
@@ -110,7 +110,7 @@
         .map_err(|_| ProviderError::of(outcome))
 }
 
-/// Whether a request to terminate machines was carried out.
+/// Whether a request to terminate machines was executed.
 pub(super) fn termination(outcome: &Outcome) -> Result<(), ProviderError> {
     match success(outcome) {
         Ok(_) => Ok(()),
@@ -118,16 +118,16 @@
     }
 }
 
-/// What an agent's response to commands, or to a request for its status, says.
+/// An agent's response to commands or to a request for its status.
 pub(super) struct AgentResponse {
-    /// The agent's status, if the response has one.
+    /// The agent's status; `None` if the response has none, or that of another machine.
     pub status: Option<AgentStatus>,
-    /// Why the commands were surely not executed; `None` if they may have been.
+    /// Why the commands were certainly not executed; `None` if they may have been.
     pub failure: Option<StartFailure>,
 }
 
 impl AgentResponse {
-    /// Reads the response of the agent of a machine.
+    /// Interprets the response of the agent on a machine.
     pub(super) fn new(outcome: &Outcome, machine: &str) -> AgentResponse {
         let failure = match outcome {
             Outcome::NotSent => Some(StartFailure::NotSent),
