--- a/src/controller/user_replies.rs
+++ b/src/controller/user_replies.rs
@@ -9,14 +9,14 @@
 use crate::wire;
 
 impl Controller {
-    pub(super) fn finish_user(&mut self, user: u64, response: HttpResponse) {
-        if let Some(pending) = self.users.finish(user, self.clock.steady_ms()) {
+    pub(super) fn finish_request(&mut self, request_id: u64, response: HttpResponse) {
+        if let Some(pending) = self.users.finish(request_id, self.clock.steady_ms()) {
             self.respond_to_caller(pending.caller, response);
         }
     }
 
-    pub(super) fn finish_status(&mut self, user: u64, status: u16, job: JobStatus) {
-        if let Some(pending) = self.users.finish(user, self.clock.steady_ms()) {
+    pub(super) fn finish_with_status(&mut self, request_id: u64, status: u16, job: JobStatus) {
+        if let Some(pending) = self.users.finish(request_id, self.clock.steady_ms()) {
             self.respond_with_status(pending.caller, &pending.job, status, job);
         }
     }
@@ -24,15 +24,15 @@
     pub(super) fn respond_with_status(
         &mut self,
         caller: Caller,
-        id: &str,
+        job_id: &str,
         status: u16,
         job: JobStatus,
     ) {
         if job.status == wire::WITHDRAWN {
-            self.acknowledge_cancellation(id);
+            self.acknowledge_cancellation(job_id);
         }
         let body = wire::encode(&wire::JobStatusReply {
-            id,
+            id: job_id,
             status: job.status,
             done: job.tasks.as_ref().map(|tasks| tasks.done),
             running: job.tasks.as_ref().map(|tasks| tasks.running),
--- a/src/controller/user_request_table.rs
+++ b/src/controller/user_request_table.rs
@@ -32,11 +32,11 @@
     }
 }
 
-/// Users' requests in progress, keyed by a number that is unique in this process.
+/// Users' requests in progress, by request ids that are unique within this process.
 #[derive(Debug)]
 pub(super) struct UserRequestTable {
     requests: BTreeMap<u64, PendingRequest>,
-    next_number: u64,
+    next_request_id: u64,
     admission: AdmissionLimit,
 }
 
@@ -45,7 +45,7 @@
     pub(super) fn new(fd_limit: usize) -> UserRequestTable {
         UserRequestTable {
             requests: BTreeMap::new(),
-            next_number: 1,
+            next_request_id: 1,
             admission: AdmissionLimit::new(RESPONSE_TIME_TARGET_MS, fd_limit / SOCKETS_PER_REQUEST),
         }
     }
@@ -66,8 +66,8 @@
         after_event: u64,
         now: u64,
     ) -> u64 {
-        let number = self.next_number;
-        self.next_number += 1;
+        let request_id = self.next_request_id;
+        self.next_request_id += 1;
         let pending = PendingRequest {
             caller,
             job,
@@ -81,24 +81,24 @@
             found_dependencies: vec![],
             has_unknown_dependency: false,
         };
-        self.requests.insert(number, pending);
-        number
+        self.requests.insert(request_id, pending);
+        request_id
     }
 
-    pub(super) fn get(&self, number: u64) -> Option<&PendingRequest> {
-        self.requests.get(&number)
+    pub(super) fn get(&self, request_id: u64) -> Option<&PendingRequest> {
+        self.requests.get(&request_id)
     }
 
     /// Sets what a request waits for.
-    pub(super) fn set_stage(&mut self, number: u64, stage: RequestStage) {
-        if let Some(pending) = self.requests.get_mut(&number) {
+    pub(super) fn set_stage(&mut self, request_id: u64, stage: RequestStage) {
+        if let Some(pending) = self.requests.get_mut(&request_id) {
             pending.stage = stage;
         }
     }
 
     /// Records that the store has a job that a submission depends on.
-    pub(super) fn add_found_dependency(&mut self, number: u64, dependency: String) {
-        if let Some(pending) = self.requests.get_mut(&number) {
+    pub(super) fn add_found_dependency(&mut self, request_id: u64, dependency: String) {
+        if let Some(pending) = self.requests.get_mut(&request_id) {
             pending.found_dependencies.push(dependency);
         }
     }
@@ -106,8 +106,8 @@
     /// Records that a submission depends on a job that was never accepted. Whether the
     /// submission itself was accepted earlier is decided with a watch cache read after the
     /// event `after_event`.
-    pub(super) fn mark_unknown_dependency(&mut self, number: u64, after_event: u64) {
-        if let Some(pending) = self.requests.get_mut(&number) {
+    pub(super) fn mark_unknown_dependency(&mut self, request_id: u64, after_event: u64) {
+        if let Some(pending) = self.requests.get_mut(&request_id) {
             pending.has_unknown_dependency = true;
             pending.stage = RequestStage::AwaitCache {
                 after_event,
@@ -118,16 +118,17 @@
 
     /// Removes a request that gets its response, and records its response time for admission
     /// control.
-    pub(super) fn finish(&mut self, number: u64, now: u64) -> Option<PendingRequest> {
-        let pending = self.requests.remove(&number)?;
-        let took_ms = now - pending.since;
-        self.admission.record(took_ms, self.requests.len() + 1, now);
+    pub(super) fn finish(&mut self, request_id: u64, now: u64) -> Option<PendingRequest> {
+        let pending = self.requests.remove(&request_id)?;
+        let response_time_ms = now - pending.since;
+        self.admission
+            .record(response_time_ms, self.requests.len() + 1, now);
         Some(pending)
     }
 
     /// Removes a request that no controller can decide now, without recording a response time.
-    pub(super) fn remove(&mut self, number: u64) {
-        self.requests.remove(&number);
+    pub(super) fn remove(&mut self, request_id: u64) {
+        self.requests.remove(&request_id);
     }
 
     /// Whether any request waits for a watch cache that has caught up further than this.
@@ -144,12 +145,12 @@
 
     /// The requests that wait for the watch cache, whichever state of it they need.
     pub(super) fn waiting_for_cache(&self) -> Vec<u64> {
-        self.numbers_where(|pending| matches!(pending.stage, RequestStage::AwaitCache { .. }))
+        self.request_ids_where(|pending| matches!(pending.stage, RequestStage::AwaitCache { .. }))
     }
 
     /// The requests that can be decided with a watch cache that has caught up this far.
     pub(super) fn decidable(&self, freshness: CacheAge) -> Vec<u64> {
-        self.numbers_where(|pending| match pending.stage {
+        self.request_ids_where(|pending| match pending.stage {
             RequestStage::AwaitCache {
                 after_event,
                 revision,
@@ -160,21 +161,21 @@
 
     /// The requests that exceeded their timeout.
     pub(super) fn overdue(&self, now: u64) -> Vec<u64> {
-        self.numbers_where(|pending| is_overdue(pending, now))
+        self.request_ids_where(|pending| is_overdue(pending, now))
     }
 
     /// The requests whose retry delay is over.
     pub(super) fn resumable(&self, now: u64) -> Vec<u64> {
-        self.numbers_where(|pending| {
+        self.request_ids_where(|pending| {
             let is_over = matches!(pending.stage, RequestStage::Pause { until } if now >= until);
             is_over && !is_overdue(pending, now)
         })
     }
 
-    fn numbers_where(&self, matches: impl Fn(&PendingRequest) -> bool) -> Vec<u64> {
+    fn request_ids_where(&self, matches: impl Fn(&PendingRequest) -> bool) -> Vec<u64> {
         let requests = self.requests.iter();
         let matching = requests.filter(|(_, pending)| matches(pending));
-        matching.map(|(number, _)| *number).collect()
+        matching.map(|(request_id, _)| *request_id).collect()
     }
 
     /// The limit on requests in progress.
--- a/src/controller/user_requests.rs
+++ b/src/controller/user_requests.rs
@@ -61,57 +61,57 @@
             return self.respond_to_caller(caller, response.with_retry_after());
         }
         let (after_event, now) = (self.clock.sequence(), self.clock.steady_ms());
-        let user = self
+        let request_id = self
             .users
             .insert(caller, job, request, body, after_event, now);
         if !self.watch_cache.loaded || !self.is_store_reachable() || self.is_outdated() {
-            return self.forward_user(user);
+            return self.forward_user(request_id);
         }
-        self.accept_new_job(user);
+        self.accept_new_job(request_id);
     }
 
     /// Queues the write that marks a live job as cancelled.
-    fn cancel_job(&mut self, user: u64, id: &str) {
-        let Some(live) = self.watch_cache.jobs.get(id) else {
+    fn cancel_job(&mut self, request_id: u64, job_id: &str) {
+        let Some(live) = self.watch_cache.jobs.get(job_id) else {
             return;
         };
         let mut record = (*live.record).clone();
         record.cancelled = true;
         let request = WriteRequest {
-            owner: WriteOwner::User(user),
-            conditions: vec![Condition::new(job_key(id), live.version)],
-            writes: vec![Write::set(job_key(id), record.to_value(self.format()))],
+            owner: WriteOwner::User(request_id),
+            conditions: vec![Condition::new(job_key(job_id), live.version)],
+            writes: vec![Write::set(job_key(job_id), record.to_value(self.format()))],
             class: WriteClass::User,
         };
-        self.users.set_stage(user, RequestStage::Commit);
+        self.users.set_stage(request_id, RequestStage::Commit);
         self.store.push_write(request);
     }
 
     /// Forwards a request to a peer for which the store is reachable. If there is none, or the
     /// request was forwarded already, responds that the user should retry.
-    pub(super) fn forward_user(&mut self, user: u64) {
-        let Some(pending) = self.users.get(user) else {
+    pub(super) fn forward_user(&mut self, request_id: u64) {
+        let Some(pending) = self.users.get(request_id) else {
             return;
         };
         let caller = pending.caller;
         let address = self.peers.served_peer(self.clock.steady_ms());
         let Some(address) = address.filter(|_| caller.origin == RequestOrigin::User) else {
-            self.users.remove(user);
+            self.users.remove(request_id);
             let reason = "the state service does not answer";
             let response = HttpResponse::error(status::UNAVAILABLE, reason);
             return self.respond_to_caller(caller, response.with_retry_after());
         };
         let body = forwarded_request(pending).encode_to_vec();
-        self.users.set_stage(user, RequestStage::Forwarded);
+        self.users.set_stage(request_id, RequestStage::Forwarded);
         let call = HttpCall::post(FORWARD_PATH, body, FORWARD_TIMEOUT_MS);
         self.outbox
-            .call(PendingCall::Forward { user }, address, call);
+            .call(PendingCall::Forward { user: request_id }, address, call);
     }
 
     /// Forwards the requests that wait for a read of the store, after it has failed.
     pub(super) fn forward_waiting_users(&mut self) {
-        for user in self.users.waiting_for_cache() {
-            self.forward_user(user);
+        for request_id in self.users.waiting_for_cache() {
+            self.forward_user(request_id);
         }
     }
 
@@ -130,30 +130,34 @@
             // The cache is being reloaded and lacks the pages that were not read yet.
             return;
         }
-        for user in self.users.decidable(self.cache_age()) {
-            self.resolve_user(user);
+        for request_id in self.users.decidable(self.cache_age()) {
+            self.resolve_request(request_id);
         }
     }
 
     /// Decides a request with a watch cache that is newer than the request.
-    fn resolve_user(&mut self, user: u64) {
-        let Some(pending) = self.users.get(user) else {
+    fn resolve_request(&mut self, request_id: u64) {
+        let Some(pending) = self.users.get(request_id) else {
             return;
         };
         let job = pending.job.clone();
         let is_cancel = matches!(pending.request, UserRequest::Cancel);
         if let Some(state) = self.watch_cache.final_state(&job) {
-            return self.finish_status(user, status::OK, JobStatus::new(state.status()));
+            return self.finish_with_status(request_id, status::OK, JobStatus::new(state.status()));
         }
         if !self.watch_cache.jobs.contains_key(&job) {
             // Neither live nor known to have ended: look the final state up in the store.
-            return self.read_final(user, &job);
+            return self.read_final_state(request_id, &job);
         }
         if self.watch_cache.is_cancelled(&job) {
-            return self.finish_status(user, status::OK, JobStatus::new(wire::WITHDRAWN));
+            return self.finish_with_status(
+                request_id,
+                status::OK,
+                JobStatus::new(wire::WITHDRAWN),
+            );
         }
         if is_cancel {
-            return self.cancel_job(user, &job);
+            return self.cancel_job(request_id, &job);
         }
         if self.watch_cache.dependencies.has_unresolved(&job) {
             // The outcome of a dependency that is still being looked up may cancel the job.
@@ -162,51 +166,63 @@
                 after_event,
                 revision: 0,
             };
-            return self.users.set_stage(user, stage);
+            return self.users.set_stage(request_id, stage);
         }
         if let Some(live) = self.watch_cache.jobs.get(&job) {
             let job_status = JobStatus::of_live(&live.record);
-            self.finish_status(user, status::OK, job_status);
+            self.finish_with_status(request_id, status::OK, job_status);
         }
     }
 
-    fn read_final(&mut self, user: u64, id: &str) {
-        self.users.set_stage(user, RequestStage::Read);
-        let call = HttpCall::get_key(&final_key(id));
+    fn read_final_state(&mut self, request_id: u64, job_id: &str) {
+        self.users.set_stage(request_id, RequestStage::Read);
+        let call = HttpCall::get_key(&final_key(job_id));
         self.outbox
-            .call_store(PendingCall::ReadFinal { user }, call);
+            .call_store(PendingCall::ReadFinal { user: request_id }, call);
     }
 
-    pub(super) fn on_final_read(&mut self, user: u64, outcome: &Outcome) {
-        let Some(pending) = self.users.get(user) else {
+    pub(super) fn on_final_read(&mut self, request_id: u64, outcome: &Outcome) {
+        let Some(pending) = self.users.get(request_id) else {
             return;
         };
         match responses::key_read(outcome) {
             KeyRead::Found(body) => {
-                let id = pending.job.clone();
-                match self.record_final_reply(&id, body) {
+                let job_id = pending.job.clone();
+                match self.record_final_reply(&job_id, body) {
                     Some(state) => {
-                        self.finish_status(user, status::OK, JobStatus::new(state.status()));
+                        self.finish_with_status(
+                            request_id,
+                            status::OK,
+                            JobStatus::new(state.status()),
+                        );
                     }
-                    None => self.finish_user(user, HttpResponse::unavailable()),
+                    None => self.finish_request(request_id, HttpResponse::unavailable()),
                 }
             }
-            KeyRead::NotFound => self.on_unknown_job(user),
-            KeyRead::Failed => self.forward_user(user),
+            KeyRead::NotFound => self.on_unknown_job(request_id),
+            KeyRead::Failed => self.forward_user(request_id),
         }
     }
 
-    pub(super) fn on_user_commit(&mut self, user: u64, result: &CommitResult) {
-        let Some(pending) = self.users.get(user) else {
+    pub(super) fn on_user_commit(&mut self, request_id: u64, result: &CommitResult) {
+        let Some(pending) = self.users.get(request_id) else {
             return;
         };
         let stage = match result {
             CommitResult::Committed { .. } => {
                 return match pending.request {
                     UserRequest::Cancel => {
-                        self.finish_status(user, status::OK, JobStatus::new(wire::WITHDRAWN));
+                        self.finish_with_status(
+                            request_id,
+                            status::OK,
+                            JobStatus::new(wire::WITHDRAWN),
+                        );
                     }
-                    _ => self.finish_status(user, status::CREATED, JobStatus::new(wire::PENDING)),
+                    _ => self.finish_with_status(
+                        request_id,
+                        status::CREATED,
+                        JobStatus::new(wire::PENDING),
+                    ),
                 };
             }
             // Another write changed the records first: decide again with their new state.
@@ -218,7 +234,7 @@
                 until: self.clock.steady_ms() + RETRY_DELAY_MS,
             },
         };
-        self.users.set_stage(user, stage);
+        self.users.set_stage(request_id, stage);
     }
 
     /// Ends requests that exceeded their timeout, and retries those whose delay is over.
@@ -226,46 +242,51 @@
         let now = self.clock.steady_ms();
         let overdue = self.users.overdue(now);
         let paused = self.users.resumable(now);
-        for user in overdue {
+        for request_id in overdue {
             // A write in flight may still be committed; the user's retry finds out.
-            self.store
-                .cancel_writes(|owner| matches!(owner, WriteOwner::User(other) if *other == user));
-            self.finish_user(user, HttpResponse::unavailable());
+            self.store.cancel_writes(
+                |owner| matches!(owner, WriteOwner::User(other) if *other == request_id),
+            );
+            self.finish_request(request_id, HttpResponse::unavailable());
         }
-        for user in paused {
-            self.retry_user(user);
+        for request_id in paused {
+            self.retry_request(request_id);
         }
     }
 
-    fn retry_user(&mut self, user: u64) {
+    fn retry_request(&mut self, request_id: u64) {
         if !self.is_store_reachable() {
-            return self.forward_user(user);
+            return self.forward_user(request_id);
         }
-        let Some(pending) = self.users.get(user) else {
+        let Some(pending) = self.users.get(request_id) else {
             return;
         };
         match pending.request {
             // Repeats the same create. If the first one was committed, the condition fails and
             // the job is found in the watch cache.
-            UserRequest::Submit(_) => self.create_job(user),
+            UserRequest::Submit(_) => self.create_job(request_id),
             UserRequest::Poll | UserRequest::Cancel => {
                 let after_event = self.clock.sequence();
                 let stage = RequestStage::AwaitCache {
                     after_event,
                     revision: 0,
                 };
-                self.users.set_stage(user, stage);
+                self.users.set_stage(request_id, stage);
             }
         }
     }
 
     /// Passes the response of the peer that a request was forwarded to on to the user.
-    pub(super) fn on_forward_outcome(&mut self, user: u64, outcome: &Outcome) {
+    pub(super) fn on_forward_outcome(&mut self, request_id: u64, outcome: &Outcome) {
         let Some(reply) = responses::decode_peer::<ForwardedReply>(outcome) else {
-            return self.finish_user(user, HttpResponse::unavailable());
+            return self.finish_request(request_id, HttpResponse::unavailable());
         };
         if wire::is_cancelled_reply(&reply.body) {
-            if let Some(job) = self.users.get(user).map(|pending| pending.job.clone()) {
+            if let Some(job) = self
+                .users
+                .get(request_id)
+                .map(|pending| pending.job.clone())
+            {
                 self.acknowledge_cancellation(&job);
             }
         }
@@ -274,7 +295,7 @@
             retry_after_s: reply.retry_after,
             body: reply.body,
         };
-        self.finish_user(user, response);
+        self.finish_request(request_id, response);
     }
 }
 
--- a/src/controller/user_submissions.rs
+++ b/src/controller/user_submissions.rs
@@ -15,8 +15,8 @@
 impl Controller {
     /// Starts to create a job that is new and can run. Any other request, also one to be
     /// rejected, waits for a newer watch cache, since the job may have been accepted earlier.
-    pub(super) fn accept_new_job(&mut self, user: u64) {
-        let Some(pending) = self.users.get(user) else {
+    pub(super) fn accept_new_job(&mut self, request_id: u64) {
+        let Some(pending) = self.users.get(request_id) else {
             return;
         };
         let UserRequest::Submit(spec) = &pending.request else {
@@ -26,7 +26,7 @@
             return;
         }
         match self.check_runnable(spec) {
-            Ok(()) => self.resolve_dependencies(user),
+            Ok(()) => self.resolve_dependencies(request_id),
             Err(reason) => {
                 debug!(job = pending.job, %reason, "submission not accepted yet; waiting for a newer watch cache")
             }
@@ -40,8 +40,8 @@
     }
 
     /// Queues the write of a new job's record, which fails if the job exists already.
-    pub(super) fn create_job(&mut self, user: u64) {
-        let Some(pending) = self.users.get(user) else {
+    pub(super) fn create_job(&mut self, request_id: u64) {
+        let Some(pending) = self.users.get(request_id) else {
             return;
         };
         let UserRequest::Submit(spec) = &pending.request else {
@@ -50,7 +50,7 @@
         let record = JobRecord::new((**spec).clone(), self.clock.wall_ms());
         let job = &pending.job;
         let write = WriteRequest {
-            owner: WriteOwner::User(user),
+            owner: WriteOwner::User(request_id),
             conditions: vec![
                 Condition::new(job_key(job), 0),
                 Condition::new(final_key(job), 0),
@@ -58,26 +58,26 @@
             writes: vec![Write::set(job_key(job), record.to_value(self.format()))],
             class: WriteClass::User,
         };
-        self.users.set_stage(user, RequestStage::Commit);
+        self.users.set_stage(request_id, RequestStage::Commit);
         self.store.push_write(write);
     }
 
     /// Handles a request for a job that was never accepted: decides a submission, and responds
     /// to any other request that there is no such job.
-    pub(super) fn on_unknown_job(&mut self, user: u64) {
-        let Some(pending) = self.users.get(user) else {
+    pub(super) fn on_unknown_job(&mut self, request_id: u64) {
+        let Some(pending) = self.users.get(request_id) else {
             return;
         };
         let UserRequest::Submit(spec) = &pending.request else {
-            return self.finish_user(user, RequestError::NoSuchJob.response());
+            return self.finish_request(request_id, RequestError::NoSuchJob.response());
         };
         let decision = match self.check_runnable(spec) {
             Ok(()) if pending.has_unknown_dependency => Err(RejectionReason::UnknownDependency),
             decision => decision,
         };
         match decision {
-            Ok(()) => self.resolve_dependencies(user),
-            Err(reason) => self.finish_user(user, reason.response()),
+            Ok(()) => self.resolve_dependencies(request_id),
+            Err(reason) => self.finish_request(request_id, reason.response()),
         }
     }
 }
