--- a/src/admission.rs
+++ b/src/admission.rs
@@ -1,26 +1,25 @@
 //! Admission control of users' requests.
 //!
-//! The limit on requests in progress adjusts itself to measured response times: additive
-//! increase, multiplicative decrease. This module owns the limit and the statistics of response
-//! times; the caller counts the requests in progress. Times are in milliseconds of the steady
-//! clock.
+//! The limit on requests in progress follows their response times by additive increase and
+//! multiplicative decrease. This module owns the limit and the statistics of response times; the
+//! caller counts the requests in progress. Times are in milliseconds of the steady clock.
 
 use hdrhistogram::Histogram;
 
-/// Longest response time that is distinguished from longer ones.
+/// Upper bound of the recorded response times; longer ones are recorded as this.
 const RECORDED_MS_MAX: u64 = 60_000;
 /// Precision of the recorded response times, in decimal digits.
 const SIGNIFICANT_DIGITS: u8 = 2;
 /// The limit never falls below this.
 const LIMIT_MIN: f64 = 8.0;
-/// The limit starts from this share of its maximum, but not below [`START_LIMIT_MIN`].
-const START_SHARE: f64 = 1.0 / 8.0;
+/// Ratio of its maximum from which the limit starts, but not below [`START_LIMIT_MIN`].
+const START_LIMIT_RATIO: f64 = 1.0 / 8.0;
 /// Lower bound of the limit at start, and of its maximum.
 const START_LIMIT_MIN: f64 = 16.0;
-/// The limit is multiplied by this after a slow response.
-const DECREASE_FACTOR: f64 = 0.9;
-/// The limit rises only while this share of it is in use.
-const USED_SHARE: f64 = 0.5;
+/// Factor that lowers the limit after a slow response.
+const DECREASE_MULTIPLIER: f64 = 0.9;
+/// The limit rises only while at least this ratio of it is in use.
+const INCREASE_USAGE_RATIO: f64 = 0.5;
 
 /// A limit on requests in progress. It rises by one for each full window of requests that were
 /// answered in time, and falls by a tenth when responses are slow.
@@ -28,7 +27,7 @@
 pub struct AdmissionLimit {
     limit: f64,
     limit_max: f64,
-    /// Longest response time that is not slow.
+    /// Longest response time that does not count as slow.
     target_ms: u64,
     decreased_at: u64,
     times: Histogram<u64>,
@@ -46,13 +45,13 @@
 }
 
 impl AdmissionLimit {
-    /// Creates the limit. `target_ms` is the longest response time that is not slow. `max` is
-    /// the maximum of the limit, which follows from the number of sockets.
+    /// Creates the limit. `target_ms` is the longest response time that does not count as slow.
+    /// `max` is the maximum of the limit, which the caller derives from the number of sockets.
     pub fn new(target_ms: u64, max: usize) -> AdmissionLimit {
         let limit_max = (max as f64).max(START_LIMIT_MIN);
         let times = Histogram::new_with_bounds(1, RECORDED_MS_MAX, SIGNIFICANT_DIGITS);
         AdmissionLimit {
-            limit: (limit_max * START_SHARE).max(START_LIMIT_MIN),
+            limit: (limit_max * START_LIMIT_RATIO).max(START_LIMIT_MIN),
             limit_max,
             target_ms,
             decreased_at: 0,
@@ -60,33 +59,33 @@
         }
     }
 
-    /// Returns whether another request may begin beside those in progress.
+    /// Returns whether another request may begin in addition to those in progress.
     pub fn admits(&self, in_progress: usize) -> bool {
         (in_progress as f64) < self.limit
     }
 
-    /// Returns the present limit.
+    /// Returns the current limit, rounded down.
     pub fn limit(&self) -> usize {
         self.limit as usize
     }
 
-    /// Records the response time of a request, and the number of requests in progress with it,
-    /// and adjusts the limit.
-    pub fn record(&mut self, took_ms: u64, in_progress: usize, now: u64) {
-        self.times.saturating_record(took_ms.max(1));
-        if took_ms > self.target_ms {
+    /// Records the response time of a request and adjusts the limit. `in_progress` is the number
+    /// of requests in progress, including this one.
+    pub fn record(&mut self, response_time_ms: u64, in_progress: usize, now: u64) {
+        self.times.saturating_record(response_time_ms.max(1));
+        if response_time_ms > self.target_ms {
             self.decrease(now);
-        } else if in_progress as f64 >= self.limit * USED_SHARE {
+        } else if in_progress as f64 >= self.limit * INCREASE_USAGE_RATIO {
             self.increase();
         }
     }
 
-    /// Decreases the limit at most once per target time: requests in progress were admitted
-    /// under the limit before.
+    /// Decreases the limit at most once per target time, since the requests in progress were
+    /// admitted under the previous limit.
     fn decrease(&mut self, now: u64) {
         if now >= self.decreased_at + self.target_ms {
             self.decreased_at = now;
-            self.limit = (self.limit * DECREASE_FACTOR).max(LIMIT_MIN);
+            self.limit = (self.limit * DECREASE_MULTIPLIER).max(LIMIT_MIN);
         }
     }
 
--- a/src/epoch.rs
+++ b/src/epoch.rs
@@ -4,9 +4,8 @@
 
 use serde::{Deserialize, Serialize};
 
-/// The number of a leader's term. Each election raises it by one, and agents refuse commands
-/// with a lower epoch than the highest they have seen. In messages and records it is the bare
-/// number.
+/// The number of a leader's term. Each election increments it, and agents reject commands with a
+/// lower epoch than the highest that they have seen. Messages and records contain the plain number.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -14,7 +13,7 @@
 pub struct Epoch(u64);
 
 impl Epoch {
-    /// Before the first election: no leader has it.
+    /// The value before the first election; no leader has this epoch.
     pub const NONE: Epoch = Epoch(0);
     /// The epoch of the first leader.
     pub const FIRST: Epoch = Epoch(1);
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,7 +1,7 @@
 //! gaugesill: a cluster scheduler that starts gangs all or nothing.
 //!
-//! The core modules take events and the time and return actions; [`net`] and
-//! [`serve`] alone know sockets, threads and clocks.
+//! The core modules take events and the time and return actions. Only [`net`] and [`serve`] use
+//! sockets, threads and clocks.
 
 pub mod admission;
 pub mod cloud;
--- a/src/main.rs
+++ b/src/main.rs
@@ -19,7 +19,7 @@
 )]
 struct Args {
     #[command(subcommand)]
-    command: Option<Query>,
+    command: Option<Command>,
     /// The platform's settings file (JSON)
     #[arg(long, value_name = "FILE", required = true)]
     config: Option<PathBuf>,
@@ -31,23 +31,23 @@
     check: bool,
 }
 
-/// Questions about a running service.
+/// Queries to a running service.
 #[derive(Subcommand)]
-enum Query {
+enum Command {
     /// Show who holds each duty, and the orders that are open
     Duties {
         /// The platform's settings file (JSON)
         #[arg(long, value_name = "FILE")]
         config: PathBuf,
-        /// As JSON
+        /// Print the report as JSON
         #[arg(long)]
         json: bool,
     },
 }
 
-/// Why the program ends with an error.
+/// Errors that end the program with a failure status.
 #[derive(Debug, Error)]
-enum StartError {
+enum ProgramError {
     #[error("LOG_LEVEL: not a level: {0}")]
     LogLevel(String),
     #[error(transparent)]
@@ -70,8 +70,8 @@
     }
 }
 
-fn run(args: Args) -> Result<(), StartError> {
-    if let Some(Query::Duties { config, json }) = &args.command {
+fn run(args: Args) -> Result<(), ProgramError> {
+    if let Some(Command::Duties { config, json }) = &args.command {
         return show_duties(config, *json);
     }
     init_logging()?;
@@ -84,8 +84,8 @@
     Ok(())
 }
 
-/// Prints who holds each duty, and the open orders.
-fn show_duties(config: &Path, as_json: bool) -> Result<(), StartError> {
+/// Prints the holder of each duty and the open orders.
+fn show_duties(config: &Path, as_json: bool) -> Result<(), ProgramError> {
     let report = read_report(&Settings::load(config)?)?;
     if as_json {
         println!("{}", serde_json::to_string_pretty(&report)?);
@@ -95,8 +95,8 @@
     Ok(())
 }
 
-/// Logs to standard error, as the platform collects it.
-fn init_logging() -> Result<(), StartError> {
+/// Sets up logging to standard error, from which the platform collects the log.
+fn init_logging() -> Result<(), ProgramError> {
     tracing_subscriber::fmt()
         .with_max_level(log_level()?)
         .with_writer(std::io::stderr)
@@ -107,17 +107,17 @@
     Ok(())
 }
 
-/// The level that `LOG_LEVEL` names; `info` if it is unset or empty.
-fn log_level() -> Result<LevelFilter, StartError> {
+/// Reads the log level from the variable `LOG_LEVEL`; `info` if it is unset or empty.
+fn log_level() -> Result<LevelFilter, ProgramError> {
     match std::env::var("LOG_LEVEL") {
         Err(_) => Ok(LevelFilter::INFO),
         Ok(level) if level.is_empty() => Ok(LevelFilter::INFO),
-        Ok(level) => level.parse().map_err(|_| StartError::LogLevel(level)),
+        Ok(level) => level.parse().map_err(|_| ProgramError::LogLevel(level)),
     }
 }
 
 /// Loads both settings files and checks them against each other.
-fn load_settings(args: &Args) -> Result<(Settings, OperatorSettings), StartError> {
+fn load_settings(args: &Args) -> Result<(Settings, OperatorSettings), ProgramError> {
     // The argument parser requires the option unless there is a subcommand.
     let config = args.config.as_deref().unwrap_or(Path::new(""));
     let settings = Settings::load(config)?;
@@ -129,7 +129,8 @@
     Ok((settings, operator))
 }
 
-/// Prints the result of `--check`: for how many machines the platform's limits suffice.
+/// Prints the result of `--check`: the settings are valid, and for how many machines each resource
+/// limit suffices.
 fn print_check(settings: &Settings) {
     println!("settings are fine");
     for capacity in limit_capacities(&settings.cluster) {
--- a/src/rate_limit.rs
+++ b/src/rate_limit.rs
@@ -2,13 +2,12 @@
 
 use crate::time_units::ms_to_s;
 
-/// A token bucket: tokens are added at a steady rate, and one second's worth may be taken at
-/// once.
+/// A token bucket. It refills at a constant rate and holds the tokens of one second.
 #[derive(Debug, Clone)]
 pub struct TokenBucket {
     /// Tokens per second, and the capacity of the bucket.
     rate: f64,
-    /// Tokens that can be taken; never more than `rate`.
+    /// Tokens that are available; at most `rate`.
     tokens: f64,
     refilled_at: u64,
 }
@@ -29,7 +28,7 @@
         self.tokens = (self.tokens + elapsed_s * self.rate).min(self.rate);
     }
 
-    /// Takes `count` tokens if a share of `reserve` of the rate is left afterwards. Returns
+    /// Takes `count` tokens if at least `reserve * rate` tokens are left afterwards. Returns
     /// whether they were taken.
     pub fn try_take(&mut self, now: u64, count: f64, reserve: f64) -> bool {
         self.refill(now);
@@ -45,20 +44,20 @@
         self.tokens = (self.tokens + count).min(self.rate);
     }
 
-    /// Sets the rate from now on, in tokens per second.
+    /// Sets the rate, in tokens per second, from the time `now` on.
     pub fn set_rate(&mut self, now: u64, rate: f64) {
         self.refill(now);
         self.rate = rate;
         self.tokens = self.tokens.min(rate);
     }
 
-    /// Returns how many tokens can be taken so that a share of `reserve` of the rate is left.
+    /// Returns how many whole tokens can be taken so that at least `reserve * rate` are left.
     pub fn available(&mut self, now: u64, reserve: f64) -> usize {
         self.refill(now);
         (self.tokens - reserve * self.rate).max(0.0) as usize
     }
 
-    /// Empties the bucket, after the other side has refused a request because of its own limit.
+    /// Empties the bucket, for use after the server has rejected a request for its own rate limit.
     pub fn drain(&mut self) {
         self.tokens = self.tokens.min(0.0);
     }
--- a/src/serve.rs
+++ b/src/serve.rs
@@ -1,5 +1,5 @@
-//! Threads and clocks: the I/O thread and the planning thread share one
-//! [`Controller`] behind a lock that is held for short steps only.
+//! Runs the controller: an I/O thread with the event loop, and a planning thread. Both share one
+//! [`Controller`] behind a lock that is only held for short steps.
 
 use std::collections::HashSet;
 use std::io;
@@ -17,15 +17,16 @@
 use crate::plan::{self, Snapshot};
 use crate::settings::{OperatorSettings, Settings};
 
-/// The stack of the planning thread, which needs little.
+/// Stack size of the planning thread, which needs far less than the default.
 const PLANNER_STACK_BYTES: usize = 512 * 1024;
 
-/// The part of the memory that one response to a call may take, which takes a few times its
-/// size when it is decoded.
-const RESPONSE_MEMORY_SHARE: f64 = 1.0 / 16.0;
-/// What a response may take in any case: a page of the store has up to 512 KiB.
+/// Ratio of the process's memory that the body of one response may take. A decoded response takes
+/// a few times the size of its body.
+const RESPONSE_MEMORY_RATIO: f64 = 1.0 / 16.0;
+/// Lower bound of the limit on a response's size: a page of the store has up to 512 KiB.
 const RESPONSE_BYTES_MIN: usize = 1024 * 1024;
 
+/// The process's clocks: the time of day, and a steady clock that starts with the process.
 struct Clock {
     started: Instant,
 }
@@ -40,18 +41,18 @@
     }
 
     fn steady_ms(&self) -> u64 {
-        // From one on: 0 means never.
+        // Starts at 1, since 0 stands for "never" in the controller.
         self.started.elapsed().as_millis() as u64 + 1
     }
 }
 
-/// A snapshot, and the epoch that it was taken under.
+/// A snapshot to plan with, and the epoch of the leader that took it.
 struct PlanRequest {
     epoch: Epoch,
     snapshot: Snapshot,
 }
 
-/// Passes snapshots to the planning thread; a newer one replaces one that was not taken.
+/// Passes snapshots to the planning thread. A newer one replaces one that is still pending.
 #[derive(Default)]
 struct PlannerInbox {
     request: Mutex<Option<PlanRequest>>,
@@ -83,18 +84,18 @@
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// What the threads share.
+/// State shared by the threads.
 struct Shared {
     controller: Mutex<Controller>,
     inbox: PlannerInbox,
     clock: Clock,
 }
 
-/// What a turn of the event loop leads to.
+/// The result of one turn of the event loop.
 struct Turn {
-    /// What is to be done.
+    /// The actions to execute.
     actions: Vec<Action>,
-    /// How long to wait for events then, at the most.
+    /// The longest time to wait for further events, in milliseconds.
     wait_ms: u64,
 }
 
@@ -105,7 +106,7 @@
 /// If a listener or a thread can't be set up, or the event loop fails.
 pub fn serve(settings: Settings, operator: OperatorSettings) -> io::Result<()> {
     if let Some(least) = limit_capacities(&settings.cluster).first() {
-        info!(limit = %least, "lowest limit on the number of machines");
+        info!(limit = %least, "resource limit with the lowest fleet capacity");
     }
     let limits = connection_limits(&settings);
     let mut event_loop = EventLoop::new(settings.front, settings.mesh_addr, limits)?;
@@ -121,7 +122,7 @@
     std::thread::Builder::new()
         .name("plan".into())
         .stack_size(PLANNER_STACK_BYTES)
-        .spawn(move || plan_forever(&planner, &waker))?;
+        .spawn(move || run_planner(&planner, &waker))?;
     let mut wait_ms = 1;
     loop {
         let events = event_loop.turn(Duration::from_millis(wait_ms))?;
@@ -144,28 +145,28 @@
         vital,
         agent_idle: Duration::from_secs_f64(settings.cluster.workers.lease_s),
         reply_max: limits
-            .memory_part(RESPONSE_MEMORY_SHARE)
+            .memory_part(RESPONSE_MEMORY_RATIO)
             .max(RESPONSE_BYTES_MIN),
     }
 }
 
-/// The planning thread.
-fn plan_forever(shared: &Shared, waker: &Waker) {
+/// The body of the planning thread.
+fn run_planner(shared: &Shared, waker: &Waker) {
     loop {
         let PlanRequest { epoch, snapshot } = shared.inbox.take();
         let decision = plan::cycle(snapshot);
         lock(&shared.controller).apply_plan(shared.clock.now(), epoch, decision);
         if let Err(error) = waker.wake() {
-            error!(%error, "event loop not woken");
+            error!(%error, "failed to wake the event loop; the plan is carried out at its next turn");
         }
     }
 }
 
-/// Passes events on to the controller.
+/// Passes events to the controller and the controller's snapshots to the planning thread.
 fn handle_events(shared: &Shared, events: Vec<Event>, read_delay_ms: u64) -> Turn {
     let mut controller = lock(&shared.controller);
-    // The steady clock is read before every event; the time of day, which is only written to
-    // records, once a turn.
+    // The steady clock is read before every event; the time of day, which only goes into
+    // records, once per turn.
     let mut now = shared.clock.now();
     for (index, event) in events.into_iter().enumerate() {
         if index > 0 {
--- a/src/time_units.rs
+++ b/src/time_units.rs
@@ -1,4 +1,4 @@
-//! Conversion between units of time.
+//! Conversion between seconds and milliseconds.
 
 /// Converts seconds to whole milliseconds, rounded down. Negative durations become 0.
 pub(crate) fn to_ms(seconds: f64) -> u64 {
