--- a/src/controller/agent_gateway.rs
+++ b/src/controller/agent_gateway.rs
@@ -38,7 +38,7 @@
     }
 
     /// Records that a heartbeat was accepted.
-    pub(super) fn record_accepted(&mut self, now: u64) {
+    pub(super) fn record_accepted_heartbeat(&mut self, now: u64) {
         self.accepted_at = Some(now);
     }
 
@@ -61,7 +61,7 @@
         now: u64,
     ) -> Vec<DeferredHeartbeat> {
         let machines = startable.iter().map(|machine| &**machine);
-        let mut heartbeats = self.deferred.take_of(machines);
+        let mut heartbeats = self.deferred.take_for_machines(machines);
         heartbeats.extend(self.deferred.take_due(now));
         heartbeats
     }
--- a/src/controller/deferred_heartbeats.rs
+++ b/src/controller/deferred_heartbeats.rs
@@ -35,7 +35,7 @@
     }
 
     /// Removes and returns the heartbeats of the given machines, in order of arrival.
-    pub(super) fn take_of<'a>(
+    pub(super) fn take_for_machines<'a>(
         &mut self,
         machines: impl Iterator<Item = &'a str>,
     ) -> Vec<DeferredHeartbeat> {
--- a/src/controller/heartbeats.rs
+++ b/src/controller/heartbeats.rs
@@ -62,7 +62,7 @@
         let has_freed_capacity = freed == FreedCapacity::UsableByPendingTasks;
         let may_get_starts =
             certain && has_freed_capacity && !scheduler.is_startable(&agent_status.machine);
-        self.agents.record_accepted(now);
+        self.agents.record_accepted_heartbeat(now);
         if !may_get_starts {
             return self.answer_heartbeat(connection, &agent_status);
         }
--- a/src/controller/user_request_table.rs
+++ b/src/controller/user_request_table.rs
@@ -56,7 +56,7 @@
     }
 
     /// Adds a request that waits for a watch cache read after the event `after_event`. Returns its
-    /// number.
+    /// request id.
     pub(super) fn insert(
         &mut self,
         caller: Caller,
--- a/src/controller/user_requests.rs
+++ b/src/controller/user_requests.rs
@@ -51,7 +51,7 @@
                 return self.respond_to_caller(caller, error.response());
             }
         };
-        // A final state never changes, so the watch cache may be outdated.
+        // A final state never changes, so it is valid even if the watch cache is outdated.
         if let Some(state) = self.watch_cache.final_state(&job) {
             let job_status = JobStatus::new(state.status());
             return self.respond_with_status(caller, &job, status::OK, job_status);
@@ -276,7 +276,7 @@
         }
     }
 
-    /// Passes the response of the peer that a request was forwarded to on to the user.
+    /// Relays the response to a forwarded request from the peer to the user.
     pub(super) fn on_forward_outcome(&mut self, request_id: u64, outcome: &Outcome) {
         let Some(reply) = responses::decode_peer::<ForwardedReply>(outcome) else {
             return self.finish_request(request_id, HttpResponse::unavailable());
--- a/src/controller/user_submissions.rs
+++ b/src/controller/user_submissions.rs
@@ -27,9 +27,11 @@
         }
         match self.check_runnable(spec) {
             Ok(()) => self.resolve_dependencies(request_id),
-            Err(reason) => {
-                debug!(job = pending.job, %reason, "submission not accepted yet; waiting for a newer watch cache")
-            }
+            Err(reason) => debug!(
+                job = pending.job,
+                %reason,
+                "submission not accepted yet; waiting for a newer watch cache"
+            ),
         }
     }
 
--- a/src/serve.rs
+++ b/src/serve.rs
@@ -157,7 +157,7 @@
         let decision = plan::cycle(snapshot);
         lock(&shared.controller).apply_plan(shared.clock.now(), epoch, decision);
         if let Err(error) = waker.wake() {
-            error!(%error, "failed to wake the event loop; the plan is carried out at its next turn");
+            error!(%error, "failed to wake the event loop; the plan waits for its next turn");
         }
     }
 }
