--- a/src/controller/user_submissions.rs
+++ b/src/controller/user_submissions.rs
@@ -5,7 +5,7 @@
 use super::commits::WriteOwner;
 use super::job_validation;
 use super::user_request_parser::RequestError;
-use super::user_types::{Refusal, RequestStage, UserRequest};
+use super::user_types::{RejectionReason, RequestStage, UserRequest};
 use super::Controller;
 use crate::job::{JobRecord, JobSpec};
 use crate::watch_cache::{final_key, job_key};
@@ -13,10 +13,10 @@
 use crate::write_queue::{WriteClass, WriteRequest};
 
 impl Controller {
-    /// Creates a job that is not known and can run. Any other request, also one that is to
-    /// be refused, waits for a newer watch cache: it may have been accepted before.
-    pub(super) fn accept_new_job(&mut self, user: u64) {
-        let Some(pending) = self.users.get(user) else {
+    /// Starts to create a job that is new and can run. Any other request, also one to be
+    /// rejected, waits for a newer watch cache, since the job may have been accepted earlier.
+    pub(super) fn accept_new_job(&mut self, request_id: u64) {
+        let Some(pending) = self.users.get(request_id) else {
             return;
         };
         let UserRequest::Submit(spec) = &pending.request else {
@@ -26,20 +26,24 @@
             return;
         }
         match self.check_runnable(spec) {
-            Ok(()) => self.resolve_dependencies(user),
-            Err(refusal) => debug!(job = pending.job, reason = %refusal, "submission not accepted"),
+            Ok(()) => self.resolve_dependencies(request_id),
+            Err(reason) => debug!(
+                job = pending.job,
+                %reason,
+                "submission not accepted yet; waiting for a newer watch cache"
+            ),
         }
     }
 
-    fn check_runnable(&self, spec: &JobSpec) -> Result<(), Refusal> {
+    fn check_runnable(&self, spec: &JobSpec) -> Result<(), RejectionReason> {
         let cluster = &self.settings.cluster;
         let machine_types = self.provider.machine_types();
         job_validation::check_runnable(spec, cluster, &machine_types, self.clock.wall_ms())
     }
 
-    /// Writes the record of a new job.
-    pub(super) fn create_job(&mut self, user: u64) {
-        let Some(pending) = self.users.get(user) else {
+    /// Queues the write of a new job's record, which fails if the job exists already.
+    pub(super) fn create_job(&mut self, request_id: u64) {
+        let Some(pending) = self.users.get(request_id) else {
             return;
         };
         let UserRequest::Submit(spec) = &pending.request else {
@@ -48,7 +52,7 @@
         let record = JobRecord::new((**spec).clone(), self.clock.wall_ms());
         let job = &pending.job;
         let write = WriteRequest {
-            owner: WriteOwner::User(user),
+            owner: WriteOwner::User(request_id),
             conditions: vec![
                 Condition::new(job_key(job), 0),
                 Condition::new(final_key(job), 0),
@@ -56,25 +60,26 @@
             writes: vec![Write::set(job_key(job), record.to_value(self.format()))],
             class: WriteClass::User,
         };
-        self.users.set_stage(user, RequestStage::Commit);
+        self.users.set_stage(request_id, RequestStage::Commit);
         self.store.push_write(write);
     }
 
-    /// A job was never accepted: a submission is decided on, other requests end.
-    pub(super) fn on_unknown_job(&mut self, user: u64) {
-        let Some(pending) = self.users.get(user) else {
+    /// Handles a request for a job that was never accepted: decides a submission, and responds
+    /// to any other request that there is no such job.
+    pub(super) fn on_unknown_job(&mut self, request_id: u64) {
+        let Some(pending) = self.users.get(request_id) else {
             return;
         };
         let UserRequest::Submit(spec) = &pending.request else {
-            return self.finish_user(user, RequestError::NoSuchJob.response());
+            return self.finish_request(request_id, RequestError::NoSuchJob.response());
         };
         let decision = match self.check_runnable(spec) {
-            Ok(()) if pending.names_unknown_job => Err(Refusal::NamesUnknownJob),
+            Ok(()) if pending.has_unknown_dependency => Err(RejectionReason::UnknownDependency),
             decision => decision,
         };
         match decision {
-            Ok(()) => self.resolve_dependencies(user),
-            Err(refusal) => self.finish_user(user, refusal.response()),
+            Ok(()) => self.resolve_dependencies(request_id),
+            Err(reason) => self.finish_request(request_id, reason.response()),
         }
     }
 }
