--- a/src/controller/agent_gateway.rs
+++ b/src/controller/agent_gateway.rs
@@ -32,7 +32,7 @@
     }
 
     /// How many agents were redirected within the last `span_ms`.
-    pub(super) fn redirected_within(&self, span_ms: u64, now: u64) -> usize {
+    pub(super) fn redirected_agents_within(&self, span_ms: u64, now: u64) -> usize {
         let times = self.redirected_at.values();
         times.filter(|at| now < **at + span_ms).count()
     }
@@ -43,7 +43,7 @@
     }
 
     /// Whether a heartbeat was accepted within the last `span_ms`.
-    pub(super) fn has_accepted_within(&self, span_ms: u64, now: u64) -> bool {
+    pub(super) fn has_accepted_heartbeat_within(&self, span_ms: u64, now: u64) -> bool {
         self.accepted_at.is_some_and(|at| now < at + span_ms)
     }
 
--- a/src/controller/cache_updates.rs
+++ b/src/controller/cache_updates.rs
@@ -102,7 +102,7 @@
     /// Whether a request, or a term that was won, waits for a watch cache that is newer than
     /// the present one.
     fn has_waiting_readers(&self) -> bool {
-        self.leadership.has_pending_term() || self.users.is_waiting_for_newer(self.cache_age())
+        self.leadership.has_pending_term() || self.users.needs_newer_cache(self.cache_freshness())
     }
 
     /// Applies the response to a read of changes.
@@ -126,7 +126,7 @@
             }
             Err(CallError::Status(_) | CallError::NoResponse | CallError::NotSent) => {
                 if call.read == ChangeRead::ForWaitingUsers {
-                    self.forward_waiting_users();
+                    self.forward_waiting_requests();
                 }
                 self.store_sync.pause_reads(self.clock.steady_ms());
             }
@@ -157,7 +157,7 @@
             self.on_format_changed();
         }
         self.begin_term();
-        self.resolve_waiting_users();
+        self.resolve_waiting_requests();
     }
 
     fn on_cache_event(&mut self, event: CacheEvent) {
--- a/src/controller/dependencies.rs
+++ b/src/controller/dependencies.rs
@@ -148,7 +148,7 @@
                 let after = self.clock.sequence();
                 self.users.mark_unknown_dependency(user, after);
             }
-            (KeyRead::Failed, _) => self.forward_user(user),
+            (KeyRead::Failed, _) => self.forward_request(user),
         }
     }
 
--- a/src/controller/duties/orders.rs
+++ b/src/controller/duties/orders.rs
@@ -128,7 +128,7 @@
 
     fn send_order(&mut self, id: OrderId, order: &Order, token: Token) {
         let now = self.clock.steady_ms();
-        if !self.provider.try_order(now) {
+        if !self.provider.try_acquire_call(now) {
             return self.on_order_outcome(id, OrderOutcome::Unknown);
         }
         let fence = self.operator.duties.as_ref().map(|duties| duties.fence);
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -213,7 +213,7 @@
         self.scheduler_tick();
         self.duties_tick();
         self.machine_list_tick();
-        self.users_tick();
+        self.user_requests_tick();
         self.flush();
         self.stats_tick();
     }
--- a/src/controller/peers.rs
+++ b/src/controller/peers.rs
@@ -27,7 +27,7 @@
     fn status(&self) -> PeerStatus {
         let now = self.clock.steady_ms();
         let span_s = self.settings.cluster.workers.report_s * REDIRECTED_INTERVALS;
-        let redirected = self.agents.redirected_within(to_ms(span_s), now);
+        let redirected = self.agents.redirected_agents_within(to_ms(span_s), now);
         PeerStatus {
             member: self.settings.member.clone(),
             store_reachable: self.is_store_reachable(),
@@ -134,7 +134,9 @@
         }
         // Any heartbeat, also an old copy, shows that there is a way here.
         let round_s = self.settings.cluster.workers.report_s * ROUND_INTERVALS;
-        let is_reached = self.agents.has_accepted_within(to_ms(round_s), now);
+        let is_reached = self
+            .agents
+            .has_accepted_heartbeat_within(to_ms(round_s), now);
         self.peers.redirected_elsewhere(now).agents > 0 && !is_reached
     }
 
--- a/src/controller/provider_client.rs
+++ b/src/controller/provider_client.rs
@@ -116,7 +116,7 @@
 
     /// Uses up one call of the rate limit for provisioning or terminating machines. Returns
     /// whether the limit allows the call.
-    pub(super) fn try_order(&mut self, now: u64) -> bool {
+    pub(super) fn try_acquire_call(&mut self, now: u64) -> bool {
         self.limit.try_take(now, 1.0, 0.0)
     }
 
@@ -190,7 +190,7 @@
 
     /// Restarts the read of the list and hastens that of the machine types, when this controller
     /// becomes the leader.
-    pub(super) fn on_term_begun(&mut self, now: u64) {
+    pub(super) fn on_term_started(&mut self, now: u64) {
         self.machine_list.restart(now);
         let soon = now + MACHINE_TYPES_AFTER_ELECTION_MS;
         self.next_machine_types_at = self.next_machine_types_at.min(soon);
--- a/src/controller/provider_events.rs
+++ b/src/controller/provider_events.rs
@@ -110,7 +110,7 @@
     /// partition could delay the request until it affects the machines of a successor.
     fn acquire_provider_call(&mut self) -> bool {
         let now = self.clock.steady_ms();
-        self.leadership.is_certain(now) && self.provider.try_order(now)
+        self.leadership.is_certain(now) && self.provider.try_acquire_call(now)
     }
 
     pub(super) fn on_provisioning_outcome(
--- a/src/controller/stats.rs
+++ b/src/controller/stats.rs
@@ -156,7 +156,10 @@
         };
         let machines = scheduler.machines.len();
         let capacities = limit_capacities(&self.settings.cluster);
-        let near = capacities.iter().filter(|c| c.is_near(machines)).count();
+        let near = capacities
+            .iter()
+            .filter(|c| c.is_nearly_reached_by(machines))
+            .count();
         let warned = self.stats.warned_limits;
         for capacity in capacities.iter().take(near).skip(warned) {
             warn!(machines, limit = %capacity, "the fleet is near a limit");
--- a/src/controller/terms.rs
+++ b/src/controller/terms.rs
@@ -96,7 +96,7 @@
         ));
         self.on_format_changed();
         self.apply_recorded_orders();
-        self.provider.on_term_begun(now);
+        self.provider.on_term_started(now);
         self.plan_timer.reset();
     }
 
--- a/src/controller/user_request_table.rs
+++ b/src/controller/user_request_table.rs
@@ -16,7 +16,7 @@
 
 /// How far the watch cache has caught up with the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) struct CacheAge {
+pub(super) struct CacheFreshness {
     /// The cache holds all that was in the store at the event with this sequence number; 0 if
     /// it was never complete.
     pub complete_as_of: u64,
@@ -24,7 +24,7 @@
     pub revision: u64,
 }
 
-impl CacheAge {
+impl CacheFreshness {
     /// Whether the cache was read after an event and has reached a revision, as a request in
     /// [`RequestStage::AwaitCache`] needs.
     fn satisfies(&self, after_event: u64, revision: u64) -> bool {
@@ -132,7 +132,7 @@
     }
 
     /// Whether any request waits for a watch cache that has caught up further than this.
-    pub(super) fn is_waiting_for_newer(&self, freshness: CacheAge) -> bool {
+    pub(super) fn needs_newer_cache(&self, freshness: CacheFreshness) -> bool {
         let waits = |stage: RequestStage| match stage {
             RequestStage::AwaitCache {
                 after_event,
@@ -149,7 +149,7 @@
     }
 
     /// The requests that can be decided with a watch cache that has caught up this far.
-    pub(super) fn decidable(&self, freshness: CacheAge) -> Vec<u64> {
+    pub(super) fn decidable(&self, freshness: CacheFreshness) -> Vec<u64> {
         self.request_ids_where(|pending| match pending.stage {
             RequestStage::AwaitCache {
                 after_event,
--- a/src/controller/user_requests.rs
+++ b/src/controller/user_requests.rs
@@ -8,7 +8,7 @@
 use super::http::{HttpCall, HttpResponse};
 use super::responses::{self, KeyRead};
 use super::user_request_parser::{parse_request, ParsedRequest};
-use super::user_request_table::CacheAge;
+use super::user_request_table::CacheFreshness;
 use super::user_types::{
     Caller, JobStatus, PendingRequest, RequestOrigin, RequestStage, UserRequest,
 };
@@ -65,7 +65,7 @@
             .users
             .insert(caller, job, request, body, after_event, now);
         if !self.watch_cache.loaded || !self.is_store_reachable() || self.is_outdated() {
-            return self.forward_user(request_id);
+            return self.forward_request(request_id);
         }
         self.accept_new_job(request_id);
     }
@@ -89,7 +89,7 @@
 
     /// Forwards a request to a peer for which the store is reachable. If there is none, or the
     /// request was forwarded already, responds that the user should retry.
-    pub(super) fn forward_user(&mut self, request_id: u64) {
+    pub(super) fn forward_request(&mut self, request_id: u64) {
         let Some(pending) = self.users.get(request_id) else {
             return;
         };
@@ -109,28 +109,28 @@
     }
 
     /// Forwards the requests that wait for a read of the store, after it has failed.
-    pub(super) fn forward_waiting_users(&mut self) {
+    pub(super) fn forward_waiting_requests(&mut self) {
         for request_id in self.users.waiting_for_cache() {
-            self.forward_user(request_id);
+            self.forward_request(request_id);
         }
     }
 
     /// How far the watch cache has caught up with the store.
-    pub(super) fn cache_age(&self) -> CacheAge {
+    pub(super) fn cache_freshness(&self) -> CacheFreshness {
         let complete = self.store_sync.complete_as_of();
-        CacheAge {
+        CacheFreshness {
             complete_as_of: complete.map_or(0, |complete| complete.sequence),
             revision: self.watch_cache.revision,
         }
     }
 
     /// Decides the waiting requests for which the updated watch cache is recent enough.
-    pub(super) fn resolve_waiting_users(&mut self) {
+    pub(super) fn resolve_waiting_requests(&mut self) {
         if !self.watch_cache.loaded {
             // The cache is being reloaded and lacks the pages that were not read yet.
             return;
         }
-        for request_id in self.users.decidable(self.cache_age()) {
+        for request_id in self.users.decidable(self.cache_freshness()) {
             self.resolve_request(request_id);
         }
     }
@@ -200,7 +200,7 @@
                 }
             }
             KeyRead::NotFound => self.on_unknown_job(request_id),
-            KeyRead::Failed => self.forward_user(request_id),
+            KeyRead::Failed => self.forward_request(request_id),
         }
     }
 
@@ -238,7 +238,7 @@
     }
 
     /// Ends requests that exceeded their timeout, and retries those whose delay is over.
-    pub(super) fn users_tick(&mut self) {
+    pub(super) fn user_requests_tick(&mut self) {
         let now = self.clock.steady_ms();
         let overdue = self.users.overdue(now);
         let paused = self.users.resumable(now);
@@ -256,7 +256,7 @@
 
     fn retry_request(&mut self, request_id: u64) {
         if !self.is_store_reachable() {
-            return self.forward_user(request_id);
+            return self.forward_request(request_id);
         }
         let Some(pending) = self.users.get(request_id) else {
             return;
--- a/src/fleet_capacity.rs
+++ b/src/fleet_capacity.rs
@@ -65,7 +65,7 @@
     }
 
     /// Returns whether a fleet of this size is near or above the capacity.
-    pub fn is_near(&self, machines: usize) -> bool {
+    pub fn is_nearly_reached_by(&self, machines: usize) -> bool {
         machines as f64 >= self.machines as f64 * NEAR_CAPACITY_RATIO
     }
 }
--- a/tests/unit/scalability.rs
+++ b/tests/unit/scalability.rs
@@ -152,7 +152,10 @@
     let least = capacities[0];
     assert_eq!(least.limit, "cluster.limits.cpu_share");
     assert!((1000..2500).contains(&least.machines), "{least}");
-    assert!(!least.is_near(least.machines / 2) && least.is_near(least.machines * 9 / 10));
+    assert!(
+        !least.is_nearly_reached_by(least.machines / 2)
+            && least.is_nearly_reached_by(least.machines * 9 / 10)
+    );
     cluster.limits.cpu_share = 0.5;
     cluster.limits.ram_mb = 16.0;
     assert_eq!(limit_capacities(&cluster)[0].limit, "cluster.limits.ram_mb");
