--- a/src/controller/cache_updates.rs
+++ b/src/controller/cache_updates.rs
@@ -1,5 +1,5 @@
-//! What is read of the store goes into the watch cache, and its changes from there to the
-//! other parts.
+//! Applies what was read from the store to the watch cache and forwards the resulting changes
+//! to the other modules.
 
 use tracing::{debug, error, info, warn};
 
@@ -12,7 +12,8 @@
 use crate::wire;
 
 impl Controller {
-    /// Whether tasks may be started: leadership is certain and the watch cache recent.
+    /// Whether tasks may be started, which takes a lease that cannot have expired and a recent
+    /// watch cache.
     pub(super) fn start_permission(&self) -> StartPermission {
         let now = self.clock.steady_ms();
         if self.store_sync.is_recent(now) && self.leadership.is_certain(now) {
@@ -39,7 +40,7 @@
         let page = match responses::decode_success::<wire::Page>(outcome) {
             Ok(page) => page,
             Err(error) => {
-                debug!(%error, "page of the store not read");
+                debug!(%error, "loading a page from the store failed; retrying the load");
                 return self.store_sync.retry_load(self.clock.steady_ms());
             }
         };
@@ -53,9 +54,10 @@
     }
 
     fn on_leadership_loaded(&mut self, revision: u64) {
-        // Later changes are told by the watch, those in later pages a second time.
+        // The watch reports all changes after this revision, again those that later pages
+        // already contain.
         self.watch_cache.revision = revision;
-        // Before that format there are no records of duties.
+        // No duty records exist before the stored format has activated duties.
         if self.are_duties_active() {
             self.read_range(KeyRange::Duties);
         } else {
@@ -66,7 +68,10 @@
     fn read_next_page(&mut self, range: KeyRange, page: &wire::Page) {
         let outbox = &mut self.outbox;
         if !self.store_sync.read_next_page(outbox, range, page) {
-            error!(?range, "pages of the store do not go on");
+            error!(
+                ?range,
+                "page from the store did not advance; retrying the load"
+            );
             self.store_sync.retry_load(self.clock.steady_ms());
         }
     }
@@ -89,18 +94,25 @@
         if !self.watch_cache.loaded {
             return;
         }
-        let asked = self.clock.event_time();
-        let from = self.watch_cache.revision;
-        self.store_sync
-            .watch_if_due(&mut self.store, &mut self.outbox, from, asked);
-        if self.store_sync.is_user_read_due(asked.at) && self.has_waiting_readers() {
-            self.store_sync
-                .read_for_users(&mut self.store, &mut self.outbox, from, asked);
+        let requested_at = self.clock.event_time();
+        let after_revision = self.watch_cache.revision;
+        self.store_sync.watch_if_due(
+            &mut self.store,
+            &mut self.outbox,
+            after_revision,
+            requested_at,
+        );
+        if self.store_sync.is_user_read_due(requested_at.at) && self.has_waiting_readers() {
+            self.store_sync.read_for_users(
+                &mut self.store,
+                &mut self.outbox,
+                after_revision,
+                requested_at,
+            );
         }
     }
 
-    /// Whether a request, or a term that was won, waits for a watch cache that is newer than
-    /// the present one.
+    /// Whether a user request or a pending term waits for a newer watch cache.
     fn has_waiting_readers(&self) -> bool {
         self.leadership.has_pending_term() || self.users.is_waiting_for_newer(self.cache_age())
     }
@@ -110,19 +122,20 @@
         self.store_sync.complete_read(call.read);
         match responses::decode_success::<wire::WatchReply>(outcome) {
             Ok(reply) => self.apply_changes(&reply, call),
-            Err(CallError::Malformed(error)) => warn!(%error, "unreadable watch response"),
+            Err(CallError::Malformed(error)) => {
+                warn!(%error, "cannot decode the watch response; ignoring it")
+            }
             Err(CallError::Status(status::GONE)) => {
-                warn!("the watch fell too far behind: reading everything again");
-                self.read_all_again();
+                warn!("watch revision no longer retained by the store; reloading the watch cache");
+                self.reload_watch_cache();
             }
-            // The same request would get the same response again and again; pages are
-            // bounded.
+            // A retry would get the same oversized response; pages are bounded.
             Err(CallError::TooLarge) => {
                 error!(
                     revision = self.watch_cache.revision,
-                    "too many changes in one watch response: reading everything again, by pages"
+                    "watch response exceeds the size limit; reloading the watch cache by pages"
                 );
-                self.read_all_again();
+                self.reload_watch_cache();
             }
             Err(CallError::Status(_) | CallError::NoResponse | CallError::NotSent) => {
                 if call.read == ChangeRead::ForWaitingUsers {
@@ -133,21 +146,21 @@
         }
     }
 
-    fn read_all_again(&mut self) {
+    fn reload_watch_cache(&mut self) {
         self.watch_cache.loaded = false;
         self.store_sync.request_load();
         if self.leadership.has_lease() {
-            self.resign(StepDownReason::CacheReadAgain, 0);
+            self.resign(StepDownReason::CacheReload, 0);
         }
     }
 
     fn apply_changes(&mut self, reply: &wire::WatchReply, call: ChangesCall) {
         let format = self.format();
-        let events = self
-            .watch_cache
-            .apply_changes(reply.revision, call.from, &reply.changes);
+        let events =
+            self.watch_cache
+                .apply_changes(reply.revision, call.after_revision, &reply.changes);
         if self.watch_cache.revision >= reply.revision {
-            self.store_sync.record_complete(call.asked);
+            self.store_sync.record_complete(call.requested_at);
         }
         for event in events {
             self.on_cache_event(event);
--- a/src/controller/commits.rs
+++ b/src/controller/commits.rs
@@ -1,4 +1,4 @@
-//! Whose change a write to the store is, and what follows from its outcome.
+//! The owners of writes to the store, and how the outcome of a write is applied to its owner.
 
 use super::duties::DutyWrite;
 use super::{Controller, StepDownReason};
@@ -8,21 +8,21 @@
 use crate::net::Outcome;
 use crate::write_queue::CommitResult;
 
-/// Whose change a write is.
+/// The originator of a write.
 #[derive(Debug, Clone)]
 pub(super) enum WriteOwner {
-    /// A user's request, by its number.
+    /// The user request with this number.
     User(u64),
-    /// That this controller runs this version, or that all do.
+    /// The announcement of this controller's version, or an upgrade of the stored format.
     FormatVersion,
-    /// A duty's.
+    /// A duty.
     Duty(Box<DutyWrite>),
-    /// The scheduler's.
+    /// The scheduler, for a job.
     Job(JobWrite),
 }
 
 impl WriteOwner {
-    /// Whether the write depends on the leader's term.
+    /// Whether the write is only valid within the leader's term.
     pub(super) fn is_of_leader(&self) -> bool {
         match self {
             WriteOwner::Job(_) => true,
@@ -32,13 +32,13 @@
     }
 }
 
-/// The write of a job's record, or of how the job ended.
+/// A write of a job's record or of its final state.
 #[derive(Debug, Clone)]
 pub(super) struct JobWrite {
     pub job: String,
-    /// The job's count of changes that the record holds.
+    /// The job's change number up to which the record includes its changes.
     pub change: u64,
-    /// How the job ended, if it did.
+    /// The final state, if the job has ended.
     pub final_state: Option<FinalState>,
     /// The epoch of the leader that wrote it.
     pub epoch: Epoch,
@@ -76,13 +76,14 @@
         self.step_down_if_deposed(result);
     }
 
-    /// Steps down if a write of the leader failed on the leader key: another one leads.
+    /// Steps down if a write of the leader conflicted on a leadership key: another controller
+    /// leads.
     pub(super) fn step_down_if_deposed(&mut self, result: &CommitResult) {
         let CommitResult::Conflict { failed, .. } = result else {
             return;
         };
-        let is_leader_key = |key: &String| key == LEADER_KEY || key == LEASE_KEY;
-        if failed.iter().any(is_leader_key) {
+        let is_leadership_key = |key: &String| key == LEADER_KEY || key == LEASE_KEY;
+        if failed.iter().any(is_leadership_key) {
             self.leadership.abandon(self.clock.steady_ms());
             self.step_down(StepDownReason::WriteConflict);
         }
--- a/src/controller/leadership.rs
+++ b/src/controller/leadership.rs
@@ -1,6 +1,6 @@
-//! This controller's part in the leader lease: requests for it, what their outcomes mean, and
-//! a term that was won and has not begun. Owns the lease and the random numbers for its
-//! pauses; what a change of leadership means for the other parts is in `terms`.
+//! The client side of leader election: sends requests for the leader lease, interprets their
+//! outcomes, and holds a term that was won but has not begun. Owns the lease and the random
+//! numbers for backoff jitter. `terms` applies a change of leadership to the other modules.
 
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -18,8 +18,8 @@
 use crate::watch_cache::WatchCache;
 use crate::wire::{self, Condition, Transaction, Write};
 
-/// The timeout of a request for the lease, as a part of its time to live.
-const TIMEOUT_PART: u64 = 3;
+/// The timeout of a lease request is the lease's time to live divided by this.
+const REQUEST_TIMEOUT_DIVISOR: u64 = 3;
 
 /// An election that was won.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -30,7 +30,7 @@
     pub fence: Fence,
 }
 
-/// What the outcome of a request for the lease has changed.
+/// The effect of a lease request's outcome on leadership.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum LeadershipChange {
     Unchanged,
@@ -39,18 +39,19 @@
     Lost,
 }
 
-/// This controller's part in the leader lease.
+/// This controller's leader lease and pending term.
 #[derive(Debug)]
 pub(super) struct Leadership {
     member: String,
     lease: LeaderLease,
-    /// An election was won, but the watch cache does not hold it yet.
+    /// A term whose election was won but has not reached the watch cache yet.
     pending_term: Option<Term>,
     rng: StdRng,
 }
 
 impl Leadership {
-    /// A follower. `writes_max`: most changes of a transaction, now and under limits to come.
+    /// Starts as a follower. `writes_max` is the lowest limit on writes per transaction, present
+    /// or announced.
     pub(super) fn new(member: &str, ttl_ms: u64, writes_max: usize, seed: u64) -> Leadership {
         Leadership {
             member: member.to_string(),
@@ -60,25 +61,25 @@
         }
     }
 
-    /// Whether the lease is ours as far as is known.
+    /// Whether this controller holds the lease, as far as it knows.
     pub(super) fn has_lease(&self) -> bool {
         self.lease.epoch().is_some()
     }
 
-    /// Whether the lease is ours and can't have expired.
+    /// Whether this controller holds the lease and it cannot have expired at `now`.
     pub(super) fn is_certain(&self, now: u64) -> bool {
         self.lease.is_certain(now)
     }
 
-    /// The next request for the lease, if it is time for one.
+    /// The next lease request, if one is due.
     pub(super) fn tick(&mut self, watch_cache: &WatchCache, now: u64) -> Option<LeaseRequest> {
         let jitter = self.rng.random::<f64>();
         self.lease.tick(now, watch_cache, jitter)
     }
 
-    /// The call that a request for the lease becomes.
+    /// The HTTP call to the store for a lease request.
     pub(super) fn http_call(&self, request: &LeaseRequest) -> HttpCall {
-        let timeout_ms = self.lease.ttl_ms / TIMEOUT_PART;
+        let timeout_ms = self.lease.ttl_ms / REQUEST_TIMEOUT_DIVISOR;
         match request {
             LeaseRequest::Grant => HttpCall::create_grant(self.lease.ttl_ms, timeout_ms),
             LeaseRequest::Renew(grant) => HttpCall::renew_grant(*grant, timeout_ms),
@@ -90,7 +91,7 @@
         }
     }
 
-    /// Processes the outcome of a request for the lease.
+    /// Processes the outcome of a lease request.
     pub(super) fn on_outcome(
         &mut self,
         request: &LeaseRequest,
@@ -113,8 +114,8 @@
         }
     }
 
-    /// The keys of leadership have changed in the watch cache. Returns whether the lease was
-    /// lost by that.
+    /// Handles a change of the leadership keys in the watch cache. Returns whether it ended
+    /// this controller's lease.
     pub(super) fn on_keys_changed(&mut self, watch_cache: &WatchCache) -> bool {
         self.lease.on_cache_event(watch_cache) == Some(LeadershipTransition::Ended)
     }
@@ -130,29 +131,29 @@
         });
     }
 
-    /// Whether a term waits for the watch cache.
+    /// Whether a term that was won still waits for the watch cache.
     pub(super) fn has_pending_term(&self) -> bool {
         self.pending_term.is_some()
     }
 
-    /// The term that may begin, as the watch cache holds all changes up to `revision`.
-    pub(super) fn take_term(&mut self, revision: u64) -> Option<Term> {
+    /// Takes the pending term if the watch cache, complete up to `revision`, holds its election.
+    pub(super) fn take_ready_term(&mut self, revision: u64) -> Option<Term> {
         self.pending_term
             .take_if(|term| term.key_version <= revision)
     }
 
-    /// Drops a term that has not begun.
+    /// Discards a term that was won but has not begun.
     pub(super) fn drop_pending_term(&mut self) {
         self.pending_term = None;
     }
 
-    /// Gives up the lease, and does not campaign for `standby_ms`. Returns the request that
-    /// ends the grant, if the lease was ours.
+    /// Gives up the lease and does not campaign for `standby_ms`. Returns the request that
+    /// revokes the grant, if this controller held the lease.
     pub(super) fn resign(&mut self, standby_ms: u64, now: u64) -> Option<LeaseRequest> {
         self.lease.resign(now, standby_ms)
     }
 
-    /// Gives up a lease that is another's already: there is no grant to end.
+    /// Gives up a lease that another controller has already taken, so no grant is revoked.
     pub(super) fn abandon(&mut self, now: u64) {
         let _ = self.lease.resign(now, 0);
     }
--- a/src/controller/store_client.rs
+++ b/src/controller/store_client.rs
@@ -1,5 +1,5 @@
-//! The client of the store: this controller's share of its rate limits, and the writes on
-//! their way to it. Owns when the store was last reachable.
+//! Client of the store. Owns this controller's share of the store's rate limits, the write
+//! queue, and the time at which the store last answered.
 
 use super::calls::PendingCall;
 use super::commits::WriteOwner;
@@ -12,27 +12,28 @@
 
 /// Default timeout of a call to the store.
 pub(super) const STORE_TIMEOUT_MS: u64 = 1500;
-/// How long a watch waits for changes.
+/// How long the store holds a watch open while nothing changes.
 pub(super) const WATCH_HOLD_MS: u64 = 1000;
-/// For how long an answer of the store shows that it is reachable: a watch is answered
-/// within this time if it is.
-pub(super) const REACHABLE_MS: u64 = WATCH_HOLD_MS + STORE_TIMEOUT_MS;
-/// Statuses from here on say that the store has failed.
-const SERVER_ERRORS: u16 = 500;
-
-/// Shares of the store's limits on requests and changes a second: the leader's and each other
-/// controller's, whose bursts rarely coincide. Of the requests, a follower uses a little less
-/// than an even share, and the leader, with a transaction for each group of records, what the
-/// followers leave.
-const FOLLOWER_REQUESTS: f64 = 0.7;
-const LEADER_WRITES: f64 = 0.75;
-const FOLLOWER_WRITES: f64 = 0.4;
-/// Each controller's share for records of duties, beside these: the other controllers' users
-/// rarely use all of theirs. A transaction of two changes fits in any case.
-const DUTY_WRITES: f64 = 0.08;
-const DUTY_WRITES_MIN: f64 = 2.0;
-
-/// Whose share of the store's limits a controller may use.
+/// The store counts as reachable for this long after an answer: a reachable store answers a
+/// watch within it.
+pub(super) const REACHABLE_TIMEOUT_MS: u64 = WATCH_HOLD_MS + STORE_TIMEOUT_MS;
+/// HTTP statuses from this one on report a failure of the store itself.
+const SERVER_ERROR_STATUS_MIN: u16 = 500;
+
+/// Shares of the store's limits on requests and writes per second. The write shares of the
+/// leader and the followers add up to more than 1, as their bursts rarely coincide. A follower
+/// may use this fraction of an even share of the requests; the leader, which sends a transaction
+/// for each group of records, may use what the followers leave.
+const FOLLOWER_REQUEST_RATIO: f64 = 0.7;
+const LEADER_WRITE_RATIO: f64 = 0.75;
+const FOLLOWER_WRITE_RATIO: f64 = 0.4;
+/// Additional share of the write limit for each controller's duty records: users of the other
+/// controllers rarely exhaust their shares. The minimum always admits a transaction of two
+/// writes.
+const DUTY_WRITE_RATIO: f64 = 0.08;
+const DUTY_WRITES_PER_S_MIN: f64 = 2.0;
+
+/// Role that determines a controller's share of the store's limits.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum StoreRole {
     Leader,
@@ -42,18 +43,18 @@
 /// The client of the store.
 #[derive(Debug)]
 pub(super) struct StoreClient {
-    /// How many other controllers there are.
+    /// Number of other controllers.
     peers: usize,
     request_limit: TokenBucket,
     writes: WriteQueue<WriteOwner>,
-    /// When the store last answered with something other than a refusal.
+    /// When the store last answered with neither a rate-limit refusal nor a server error.
     answered_at: Option<u64>,
 }
 
 impl StoreClient {
     /// A client with a follower's share.
     pub(super) fn new(limits: &StoreLimits, peers: usize) -> StoreClient {
-        let write_rate = limits.write_rps * FOLLOWER_WRITES;
+        let write_rate = limits.write_rps * FOLLOWER_WRITE_RATIO;
         let mut writes = WriteQueue::new(write_rate, write_rate, limits.txn_ops);
         writes.set_duty_rate(0, duty_write_rate(limits));
         StoreClient {
@@ -64,15 +65,15 @@
         }
     }
 
-    /// Uses the leader's or a follower's share of limits from now on.
+    /// Switches to the share of `limits` that belongs to a role.
     pub(super) fn set_share(&mut self, role: StoreRole, limits: &StoreLimits, now: u64) {
         let follower_rate = follower_request_rate(limits, self.peers);
         let (request_rate, write_share) = match role {
             StoreRole::Leader => {
                 let others = self.peers as f64 * follower_rate;
-                (limits.rps - others, LEADER_WRITES)
+                (limits.rps - others, LEADER_WRITE_RATIO)
             }
-            StoreRole::Follower => (follower_rate, FOLLOWER_WRITES),
+            StoreRole::Follower => (follower_rate, FOLLOWER_WRITE_RATIO),
         };
         self.request_limit.set_rate(now, request_rate);
         self.writes.set_rate(now, limits.write_rps * write_share);
@@ -80,29 +81,31 @@
         self.writes.set_writes_max(limits.txn_ops);
     }
 
-    /// Whether a request may be sent now, so that a share of the limit is left to others.
+    /// Takes a request from the rate limit if it leaves `reserve`, a share of the limit, to other
+    /// requests. Returns whether the request may be sent.
     pub(super) fn try_request(&mut self, now: u64, reserve: f64) -> bool {
         self.request_limit.try_take(now, 1.0, reserve)
     }
 
-    /// Counts a request that is sent whether the limit allows it or not.
+    /// Counts a request that is sent even if the rate limit is exhausted.
     pub(super) fn count_request(&mut self, now: u64) {
         let _ = self.request_limit.try_take(now, 1.0, 0.0);
     }
 
-    /// Whether the store has answered lately.
+    /// Whether the store has answered within the reachability timeout.
     pub(super) fn is_reachable(&self, now: u64) -> bool {
-        self.answered_at.is_some_and(|at| now < at + REACHABLE_MS)
+        self.answered_at
+            .is_some_and(|at| now < at + REACHABLE_TIMEOUT_MS)
     }
 
-    /// Learns from the outcome of any call to the store.
+    /// Updates the rate limit and the reachability from the outcome of any call to the store.
     pub(super) fn record_outcome(&mut self, outcome: &Outcome, now: u64) {
         match outcome {
             Outcome::Answer {
                 status: status::TOO_MANY_REQUESTS,
                 ..
             } => self.request_limit.drain(),
-            Outcome::Answer { status, .. } if *status < SERVER_ERRORS => {
+            Outcome::Answer { status, .. } if *status < SERVER_ERROR_STATUS_MIN => {
                 self.answered_at = Some(now);
             }
             _ => {}
@@ -114,12 +117,12 @@
         self.writes.push(request);
     }
 
-    /// Drops writes that were not sent yet.
+    /// Removes the matching writes that are not in flight yet.
     pub(super) fn cancel_writes(&mut self, matches: impl Fn(&WriteOwner) -> bool) {
         self.writes.remove_waiting(matches);
     }
 
-    /// Sends the transactions that the rate limits allow.
+    /// Sends as many transactions as the rate limits allow.
     pub(super) fn send_writes(&mut self, outbox: &mut Outbox, now: u64) {
         loop {
             let tag = outbox.next_tag();
@@ -132,7 +135,8 @@
         }
     }
 
-    /// The outcome of the transaction with a tag. Returns that of each write in it.
+    /// Processes the outcome of the transaction with a tag. Returns the result of each of its
+    /// writes.
     pub(super) fn on_transaction_outcome(
         &mut self,
         tag: u64,
@@ -141,17 +145,17 @@
         self.writes.on_outcome(tag, outcome)
     }
 
-    /// Whether the leader's writes wait for the rate limit.
+    /// Whether any of the leader's writes waits for the rate limit.
     pub(super) fn has_waiting_leader_writes(&self) -> bool {
         self.writes.has_waiting(WriteClass::Leader)
     }
 
-    /// How many writes that nobody waits for may be queued now.
+    /// How many low-priority writes, for which nobody waits, may be queued now.
     pub(super) fn spare_writes(&mut self, now: u64) -> usize {
         self.writes.spare_writes(now)
     }
 
-    /// How many writes wait for the rate limit.
+    /// The number of writes that wait for the rate limit.
     pub(super) fn waiting_writes(&self) -> usize {
         self.writes.waiting_count()
     }
@@ -162,13 +166,13 @@
     }
 }
 
-/// Requests that a follower may send in a second.
+/// Requests per second that a follower may send.
 fn follower_request_rate(limits: &StoreLimits, peers: usize) -> f64 {
     let controllers = (peers + 1) as f64;
-    limits.rps / controllers * FOLLOWER_REQUESTS
+    limits.rps / controllers * FOLLOWER_REQUEST_RATIO
 }
 
-/// Changes of duties' records that a controller may make in a second.
+/// Writes per second that a controller may spend on duty records.
 fn duty_write_rate(limits: &StoreLimits) -> f64 {
-    (limits.write_rps * DUTY_WRITES).max(DUTY_WRITES_MIN)
+    (limits.write_rps * DUTY_WRITE_RATIO).max(DUTY_WRITES_PER_S_MIN)
 }
--- a/src/controller/terms.rs
+++ b/src/controller/terms.rs
@@ -1,4 +1,4 @@
-//! The leader's terms: how one begins and ends for all parts of the controller.
+//! The leader's terms: begins and ends a term in all modules of the controller.
 
 use thiserror::Error;
 use tracing::{info, warn};
@@ -16,21 +16,21 @@
 /// Why a leader steps down.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub(super) enum StepDownReason {
-    #[error("the grant has expired")]
+    #[error("the lease grant has expired")]
     GrantExpired,
-    #[error("the leader key is not ours any more")]
+    #[error("this controller no longer holds the leader key")]
     LeaderKeyLost,
-    #[error("a write failed on the leader key")]
+    #[error("a write conflicted on the leader key")]
     WriteConflict,
-    #[error("an agent has seen a higher epoch")]
+    #[error("an agent reported a higher epoch")]
     HigherEpochSeen,
-    #[error("no agent gets through while other controllers redirect them")]
+    #[error("no agent reaches this controller, while others receive and redirect them")]
     CutOffFromAgents,
-    #[error("the watch cache has to be read again")]
-    CacheReadAgain,
-    #[error("a later version has taken over")]
+    #[error("the watch cache must be reloaded")]
+    CacheReload,
+    #[error("the stored format requires a later version")]
     Outdated,
-    #[error("the next leader is elected out of reach of earlier versions")]
+    #[error("the leader lease moves to a key that earlier versions cannot acquire")]
     FenceRaised,
 }
 
@@ -77,15 +77,15 @@
         self.begin_term();
     }
 
-    /// Begins a term once the watch cache holds its election. All changes of leaders before
-    /// it, its own earlier terms included, are older than that, and none can follow: a
-    /// watch cache from before it may lack placements whose starts were sent.
+    /// Begins the pending term once the watch cache holds its election. Writes of all earlier
+    /// terms, including this controller's own, precede the election and none can follow it. A
+    /// watch cache from before the election may lack placements whose starts were already sent.
     pub(super) fn begin_term(&mut self) {
         let now = self.clock.steady_ms();
-        let Some(term) = self.leadership.take_term(self.watch_cache.revision) else {
+        let Some(term) = self.leadership.take_ready_term(self.watch_cache.revision) else {
             return;
         };
-        info!(epoch = term.epoch.get(), "leading");
+        info!(epoch = term.epoch.get(), "became leader");
         self.scheduler = Some(Scheduler::new(
             term,
             &self.settings.cluster,
@@ -103,14 +103,14 @@
     pub(super) fn step_down(&mut self, reason: StepDownReason) {
         self.leadership.drop_pending_term();
         if let Some(scheduler) = self.scheduler.take() {
-            warn!(epoch = scheduler.epoch().get(), %reason, "not leading any more");
+            warn!(epoch = scheduler.epoch().get(), %reason, "stepped down as leader");
         }
         self.store.cancel_writes(WriteOwner::is_of_leader);
         self.set_store_share(StoreRole::Follower);
         self.plan_timer.reset();
     }
 
-    /// Gives up leadership, and does not campaign for it for `standby_ms`.
+    /// Revokes the lease, steps down and does not campaign for `standby_ms`.
     pub(super) fn resign(&mut self, reason: StepDownReason, standby_ms: u64) {
         let now = self.clock.steady_ms();
         if let Some(request) = self.leadership.resign(standby_ms, now) {
