--- a/src/controller/calls.rs
+++ b/src/controller/calls.rs
@@ -1,4 +1,4 @@
-//! What the calls to others are for, by which their outcomes are told apart.
+//! The purpose of each outgoing call, by which its outcome is routed.
 
 use std::sync::Arc;
 
@@ -9,49 +9,49 @@
 use crate::leader_lease::LeaseRequest;
 use crate::scheduler::DirectStart;
 
-/// What a call was for.
+/// The purpose of a call in flight.
 #[derive(Debug)]
 pub(super) enum PendingCall {
-    /// A page of keys, when everything is read.
+    /// A page of keys of the initial load.
     LoadPage(KeyRange),
     /// Changes since a revision.
     Changes(ChangesCall),
     /// A transaction of the write queue.
     Transaction,
-    /// The election or renewal of the lease.
+    /// A request of the leader lease other than the revocation of its grant.
     Lease(LeaseRequest),
-    /// The end of a grant.
+    /// The revocation of a grant; its outcome is ignored.
     Revoke,
     /// A request for the lease of a duty.
     DutyLease(DutyLeaseCall),
-    /// An order of a duty's holder.
+    /// An order that this controller sent as a duty's holder.
     DutyOrder(SentOrder),
-    /// The final state of a job that a user asks about.
+    /// The final state of a job that a user queries.
     ReadFinal { user: u64 },
-    /// A record of a job that a submission names.
+    /// A record of a job that a submission names as a dependency.
     ReadDependency {
         user: u64,
         dependency: String,
         record: DependencyRecord,
     },
-    /// The final state of a job that a live one depends on.
+    /// The final state of a job on which a live job depends.
     LookUpDependency { dependency: String },
-    /// The cloud's machine types.
+    /// The cloud provider's machine types.
     MachineTypes,
-    /// A page of the cloud's list.
+    /// A page of the cloud provider's list of machines.
     MachineList { started_at: u64, epoch: Epoch },
     /// A provisioning request.
     Provision {
         idempotency_key: String,
         epoch: Epoch,
     },
-    /// A termination.
+    /// A request to terminate machines.
     Terminate { machines: Vec<String>, epoch: Epoch },
     /// Commands to an agent, or a request for its status.
     Agent(AgentCall),
-    /// Another controller's status.
+    /// The exchange of statuses with another controller.
     PeerStatus { member: String, sent_at: u64 },
-    /// A user's request that another controller is to decide.
+    /// A user request forwarded to another controller.
     Forward { user: u64 },
 }
 
@@ -59,14 +59,14 @@
 #[derive(Debug)]
 pub(super) struct AgentCall {
     pub machine: Arc<str>,
-    /// The epoch of the leader that made it.
+    /// The epoch of the leader that made the call.
     pub epoch: Epoch,
-    /// The starts among its commands.
+    /// The task starts among the commands sent.
     pub starts: Vec<DirectStart>,
 }
 
 impl PendingCall {
-    /// Whether the outcome shows if the store is reachable.
+    /// Whether the outcome counts as evidence of the store's reachability.
     pub(super) fn is_store_call(&self) -> bool {
         matches!(
             self,
--- a/src/controller/clock.rs
+++ b/src/controller/clock.rs
@@ -1,30 +1,30 @@
-//! The controller's view of time: the moment of the event in progress, and the order of
-//! events. Nothing else in the controller knows a clock.
+//! The controller's view of time: the timestamp of the current event, and the order of events.
+//! No other module of the controller reads a clock.
 
-/// The steady clock since the start and the time of day, in milliseconds.
+/// A point in time on the monotonic clock and on the wall clock, in milliseconds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Timestamp {
-    /// The steady clock.
+    /// The monotonic clock, since the process started.
     pub steady: u64,
-    /// The time of day.
+    /// The wall clock.
     pub wall: u64,
 }
 
-/// When something happened: on the steady clock, and in the order of events, which tells what
-/// came first within a millisecond.
+/// The time of an event on the monotonic clock, with a sequence number that orders events
+/// within the same millisecond.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct EventTime {
     pub at: u64,
     pub sequence: u64,
 }
 
-/// The time of the event in progress.
+/// The time of the current event and the number of events so far.
 #[derive(Debug)]
 pub(super) struct EventClock {
     now: Timestamp,
     /// Events so far.
     event_count: u64,
-    /// When the first of them came.
+    /// When the first event occurred.
     began_at: Option<u64>,
 }
 
@@ -37,39 +37,40 @@
         }
     }
 
-    /// An event has come: what is read of the store from now on is newer than it.
+    /// Begins an event. A read of the store that is sent from now on reflects a state no older
+    /// than the event.
     pub(super) fn begin_event(&mut self, now: Timestamp) {
         self.now = now;
         self.event_count += 1;
         self.began_at.get_or_insert(now.steady);
     }
 
-    /// Time has passed without an event from outside.
+    /// Advances the time without counting an event.
     pub(super) fn set(&mut self, now: Timestamp) {
         self.now = now;
     }
 
-    /// The moment of the event in progress.
+    /// The timestamp of the current event.
     pub(super) fn timestamp(&self) -> Timestamp {
         self.now
     }
 
-    /// The steady clock in milliseconds.
+    /// The monotonic clock in milliseconds.
     pub(super) fn steady_ms(&self) -> u64 {
         self.now.steady
     }
 
-    /// The time of day in milliseconds.
+    /// The wall clock in milliseconds.
     pub(super) fn wall_ms(&self) -> u64 {
         self.now.wall
     }
 
-    /// The number of the event in progress.
+    /// The sequence number of the current event.
     pub(super) fn sequence(&self) -> u64 {
         self.event_count
     }
 
-    /// The time of the event in progress.
+    /// The time and sequence number of the current event.
     pub(super) fn event_time(&self) -> EventTime {
         EventTime {
             at: self.now.steady,
@@ -77,7 +78,7 @@
         }
     }
 
-    /// For how long this process has run.
+    /// Time since the first event of this process, in milliseconds.
     pub(super) fn process_age_ms(&self) -> u64 {
         self.began_at.map_or(0, |at| self.now.steady - at)
     }
--- a/src/controller/dependencies.rs
+++ b/src/controller/dependencies.rs
@@ -1,5 +1,5 @@
-//! Jobs with dependencies: which ones a submission may name, and look-ups of the final states
-//! of jobs that live ones depend on and the watch cache does not hold.
+//! Job dependencies: validates the dependencies that a submission names, and looks up the final
+//! states of dependencies that the watch cache does not hold.
 
 use std::collections::BTreeSet;
 
@@ -17,14 +17,14 @@
 use crate::watch_cache::{final_key, job_key};
 use crate::wire;
 
-/// Most jobs that are looked up at a time.
+/// Maximum number of look-ups in flight.
 const LOOKUPS_MAX: usize = 8;
-/// Pause after one without result.
+/// Pause after a look-up without a result.
 const LOOKUP_RETRY_MS: u64 = 300;
-/// Share of the request limit that these reads leave to others.
-const LOOKUP_RESERVE: f64 = 0.1;
+/// Share of the request limit that look-ups leave to other requests.
+const LOOKUP_RESERVE_RATIO: f64 = 0.1;
 
-/// The look-ups in progress.
+/// The look-ups in flight, and when the next may begin.
 #[derive(Debug, Default)]
 pub(super) struct DependencyLookups {
     in_flight: BTreeSet<String>,
@@ -36,7 +36,7 @@
         now >= self.next_at
     }
 
-    /// Jobs to look up next, at most as many as may be in flight.
+    /// The jobs to look up next, within the limit on look-ups in flight.
     fn next_batch<'a>(&self, unresolved: impl Iterator<Item = &'a String>) -> Vec<String> {
         let free = LOOKUPS_MAX.saturating_sub(self.in_flight.len());
         let waiting = unresolved.filter(|id| !self.in_flight.contains(*id));
@@ -51,18 +51,18 @@
         self.in_flight.remove(dependency);
     }
 
-    /// A look-up was without result.
+    /// Delays further look-ups after one without a result.
     fn pause(&mut self, now: u64) {
         self.next_at = now + LOOKUP_RETRY_MS;
     }
 }
 
-/// Which record of a job that a submission names is read.
+/// Which record of a dependency is read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum DependencyRecord {
-    /// That of a live job.
+    /// The record of a live job.
     Live,
-    /// Its final state.
+    /// The final state of a job that has ended.
     Final,
 }
 
@@ -76,7 +76,7 @@
 }
 
 impl Controller {
-    /// Tells the scheduler what changes of the watch cache mean for jobs with dependencies.
+    /// Forwards dependency changes in the watch cache to the scheduler.
     pub(super) fn forward_dependency_events(&mut self) {
         let (now, wall) = (self.clock.steady_ms(), self.clock.wall_ms());
         for event in self.watch_cache.take_dependency_events() {
@@ -90,9 +90,9 @@
         }
     }
 
-    /// Accepts a new job if all jobs that it names are known to have been accepted; else looks
-    /// for the first of the others. Another controller may have accepted it a moment ago, so
-    /// its record is read, and then, if it is not live, its final state.
+    /// Accepts a new job if all its dependencies are known to have been accepted; otherwise
+    /// reads the first unknown one from the store, because another controller may have accepted
+    /// it a moment ago: first its live record, then its final state.
     pub(super) fn resolve_dependencies(&mut self, user: u64) {
         let Some(pending) = self.users.get(user) else {
             return;
@@ -152,18 +152,18 @@
         }
     }
 
-    /// Looks up the final states of jobs that live ones depend on.
+    /// Looks up the final states of unresolved dependencies of live jobs.
     pub(super) fn lookup_tick(&mut self) {
         let now = self.clock.steady_ms();
-        if !self.watch_cache.loaded || !self.lookups.are_due(now) {
+        if !self.watch_cache.loaded || !self.dependency_lookups.are_due(now) {
             return;
         }
         let unresolved = self.watch_cache.dependencies.unresolved();
-        for dependency in self.lookups.next_batch(unresolved.iter()) {
-            if !self.store.try_request(now, LOOKUP_RESERVE) {
+        for dependency in self.dependency_lookups.next_batch(unresolved.iter()) {
+            if !self.store.try_request(now, LOOKUP_RESERVE_RATIO) {
                 return;
             }
-            self.lookups.begin(&dependency);
+            self.dependency_lookups.begin(&dependency);
             let call = HttpCall::get_key(&final_key(&dependency));
             let pending = PendingCall::LookUpDependency { dependency };
             self.outbox.call_store(pending, call);
@@ -171,24 +171,24 @@
     }
 
     pub(super) fn on_dependency_lookup(&mut self, dependency: &str, outcome: &Outcome) {
-        self.lookups.complete(dependency);
+        self.dependency_lookups.complete(dependency);
         match responses::key_read(outcome) {
             KeyRead::Found(body) => {
                 self.record_final_reply(dependency, body);
             }
-            // Live, and not in the watch cache yet; or the store is in trouble.
+            // Either the job is live but not in the watch cache yet, or the store failed.
             KeyRead::NotFound | KeyRead::Failed => {
-                self.lookups.pause(self.clock.steady_ms());
+                self.dependency_lookups.pause(self.clock.steady_ms());
             }
         }
     }
 
-    /// Records how a job ended. `None` if the response can't be read.
+    /// Decodes and records a job's final state. `None` if the response cannot be decoded.
     pub(super) fn record_final_reply(&mut self, id: &str, body: &[u8]) -> Option<FinalState> {
         let state = match wire::final_state_reply(body) {
             Ok(state) => state,
             Err(error) => {
-                warn!(job = id, %error, "unreadable final state");
+                warn!(job = id, %error, "cannot decode the final state of a job; ignoring it");
                 return None;
             }
         };
--- a/src/controller/dispatch.rs
+++ b/src/controller/dispatch.rs
@@ -1,5 +1,5 @@
-//! What an event is for: requests go to the part that answers them, outcomes of calls to the
-//! part that made the call.
+//! Routes events: requests to the module that answers them, outcomes of calls to the module
+//! that made the call.
 
 use prost::Message;
 
--- a/src/controller/effects.rs
+++ b/src/controller/effects.rs
@@ -1,4 +1,4 @@
-//! Carrying out what the scheduler wants done, and what agents respond to it.
+//! Executes the scheduler's effects and processes the responses of agents.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -17,7 +17,7 @@
 use crate::wire::{self, Command, Condition, Write};
 use crate::write_queue::{WriteClass, WriteRequest};
 
-/// Timeout of a call to an agent.
+/// Timeout for a call to an agent.
 const AGENT_TIMEOUT_MS: u64 = 2000;
 
 impl Controller {
--- a/src/controller/format_version.rs
+++ b/src/controller/format_version.rs
@@ -1,12 +1,13 @@
-//! Compatibility with the version in production, and with limits of the store that fall
-//! without notice.
+//! Compatibility with the previous version, which is in production, and with store limits that
+//! are lowered without notice.
 //!
-//! What that version can't read is written only once it runs nowhere any more. Each
-//! controller makes itself known by a key; once all controllers of the settings have, and each
-//! has just said that it runs this version, the leader raises the format, which never goes
-//! down. A controller that is down or cut off counts as old, and so does one that was rolled
-//! back to the version before. Before that, a submission that names dependencies or a refusal
-//! for a lower limit is proof as well: neither comes before all run this version.
+//! Data that the previous version cannot read is written only once no controller runs it any
+//! more. Each controller announces its version under a key of its own. Once every controller of
+//! the settings has done so, and each recently reported that it runs this version, the leader
+//! raises the stored format, which never decreases. A controller that is down or cut off counts
+//! as old, and so does one that was rolled back. A submission that names dependencies, or a
+//! refusal under the lower limits, is accepted as earlier proof: neither occurs before all
+//! controllers run this version.
 
 use thiserror::Error;
 use tracing::{debug, error, info};
@@ -26,34 +27,35 @@
 
 /// The latest format that this version can read.
 const LATEST_FORMAT: u64 = DUTIES_FORMAT;
-/// How often a write that makes a version known is tried, in heartbeat intervals.
-const RETRY_INTERVALS: f64 = 0.5;
-/// For how many heartbeat intervals a refusal for the number of changes counts, while
-/// nothing proves that the lower limit holds.
-const THROTTLED_INTERVALS: f64 = 4.0;
+/// Interval between attempts to announce the version or raise the format, in heartbeat
+/// intervals.
+const WRITE_RETRY_HEARTBEAT_INTERVALS: f64 = 0.5;
+/// Heartbeat intervals for which the lower write rate applies after a refusal with 429 (too
+/// many requests), while nothing else proves that the lower limits are in force.
+const THROTTLE_HEARTBEAT_INTERVALS: f64 = 4.0;
 
-/// What proves that no earlier version runs any more.
+/// Evidence that no controller runs an earlier version.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub(super) enum FormatProof {
     #[error("a submission names dependencies")]
     Dependencies,
-    #[error("the store holds to its lower limits")]
+    #[error("the store enforces its lower limits")]
     LoweredLimits,
 }
 
-/// What is known of the format beyond the watch cache.
+/// Format state that the watch cache does not hold.
 #[derive(Debug, Default)]
 pub(super) struct FormatState {
-    /// There was proof that no earlier version runs any more.
+    /// Whether a [`FormatProof`] was seen.
     is_confirmed: bool,
     next_write_at: u64,
-    /// A transaction was refused for the number of changes: until then the lower limit may
-    /// hold. 0 if none was.
+    /// Until when the lower write limit is assumed after a transaction was refused with 429;
+    /// 0 if none was.
     throttled_until: u64,
 }
 
 impl FormatState {
-    /// The format that may be written, with what the store holds.
+    /// The format that may be written, given the stored format.
     fn writable_format(&self, stored: u64) -> u64 {
         let proven = u64::from(self.is_confirmed) * PACKED_FORMAT;
         stored.max(proven)
@@ -68,7 +70,7 @@
         now < self.throttled_until
     }
 
-    /// Ends the time in which the lower limit may hold. Returns whether it has just ended.
+    /// Stops assuming the lower limit once its time is over. Returns whether it just did.
     fn end_throttling_if_over(&mut self, now: u64) -> bool {
         let is_over = self.throttled_until > 0 && now >= self.throttled_until;
         if is_over {
@@ -77,7 +79,7 @@
         is_over
     }
 
-    /// A transaction was refused for the number of changes.
+    /// Assumes the lower write limit until a time, after a refusal.
     fn throttle(&mut self, until: u64) {
         self.throttled_until = until;
     }
@@ -97,13 +99,13 @@
         self.format_state.writable_format(self.watch_cache.format)
     }
 
-    /// The store holds what only a later version than this one can read: this one
-    /// neither leads nor answers users, who would be told that jobs are unknown.
+    /// Whether the store holds data that only a later version can read. An outdated controller
+    /// neither leads nor answers users, whom it would tell that existing jobs are unknown.
     pub(super) fn is_outdated(&self) -> bool {
         self.watch_cache.format > LATEST_FORMAT
     }
 
-    /// What may be asked of the store.
+    /// The store limits to respect at present.
     pub(super) fn store_limits(&self) -> StoreLimits {
         let state = &self.settings.cluster.state;
         if self.format() >= PACKED_FORMAT {
@@ -116,10 +118,14 @@
         limits
     }
 
-    /// No earlier version runs any more.
+    /// Records that no controller runs an earlier version, which allows the packed format.
     pub(super) fn confirm_packed_format(&mut self, proof: FormatProof) {
         if self.format() < PACKED_FORMAT {
-            info!(format = PACKED_FORMAT, reason = %proof, "no earlier version runs any more");
+            info!(
+                format = PACKED_FORMAT,
+                reason = %proof,
+                "no controller runs an earlier version; enabling the packed format"
+            );
             self.format_state.confirm();
             self.on_format_changed();
         }
@@ -130,7 +136,7 @@
             error!(
                 format = self.watch_cache.format,
                 latest = LATEST_FORMAT,
-                "the store holds a later format: this version must be replaced"
+                "stored format needs a later version; refusing to lead or answer users"
             );
             return self.resign(StepDownReason::Outdated, 0);
         }
@@ -146,7 +152,7 @@
         self.set_store_share(role);
     }
 
-    /// Makes this version known, or raises the format.
+    /// Announces this version or raises the stored format, if due.
     pub(super) fn format_tick(&mut self) {
         let now = self.clock.steady_ms();
         if self.format_state.end_throttling_if_over(now) {
@@ -163,22 +169,23 @@
     }
 
     fn postpone_format_write(&mut self) {
-        let pause_s = self.settings.cluster.workers.report_s * RETRY_INTERVALS;
+        let pause_s = self.settings.cluster.workers.report_s * WRITE_RETRY_HEARTBEAT_INTERVALS;
         let retry_at = self.clock.steady_ms() + to_ms(pause_s);
         self.format_state.postpone_write(retry_at);
     }
 
-    /// Raises the first format if no earlier version runs any more; else makes this version
-    /// known.
+    /// Raises the stored format to the packed format if no controller runs an earlier version;
+    /// otherwise announces this version.
     fn activate_packed_format(&mut self) {
         self.postpone_format_write();
-        let is_known = self.watch_cache.members.contains(&self.settings.member);
-        let all_known = is_known && self.all_peers_know(PACKED_FORMAT);
-        let is_proven = self.format_state.is_confirmed || (all_known && self.scheduler.is_some());
+        let is_announced = self.watch_cache.members.contains(&self.settings.member);
+        let all_announced = is_announced && self.all_peers_support(PACKED_FORMAT);
+        let is_proven =
+            self.format_state.is_confirmed || (all_announced && self.scheduler.is_some());
         if is_proven {
             let unchanged = Condition::new(FORMAT_KEY, self.watch_cache.format_version);
             self.write_format(vec![unchanged], FORMAT_KEY.to_string(), PACKED_FORMAT);
-        } else if !is_known {
+        } else if !is_announced {
             self.write_format(vec![], member_key(&self.settings.member), PACKED_FORMAT);
         }
     }
@@ -192,14 +199,14 @@
         });
     }
 
-    /// Raises the format from which on duties are not with the leader any more, if all
-    /// controllers are ready for it. Versions that know no duties must not lead then: the
-    /// lease is held out of their reach first.
+    /// Raises the stored format to the one from which duties are no longer tied to the leader,
+    /// if all controllers support it. A version without duties would perform them as leader, so
+    /// the lease is first moved to a key that such a version cannot acquire.
     fn activate_duties(&mut self) {
         let is_ready = self.watch_cache.format < DUTIES_FORMAT
             && self.known_format() >= DUTIES_FORMAT
             && self.scheduler.is_some()
-            && self.all_peers_know(DUTIES_FORMAT);
+            && self.all_peers_support(DUTIES_FORMAT);
         if !is_ready {
             return;
         }
@@ -210,7 +217,10 @@
         let Some(scheduler) = &self.scheduler else {
             return;
         };
-        info!(format = DUTIES_FORMAT, "all controllers can hold duties");
+        info!(
+            format = DUTIES_FORMAT,
+            "all controllers support duties; raising the stored format"
+        );
         let conditions = vec![
             scheduler.term_condition(),
             Condition::new(FORMAT_KEY, self.watch_cache.format_version),
@@ -218,18 +228,19 @@
         self.write_format(conditions, FORMAT_KEY.to_string(), DUTIES_FORMAT);
     }
 
-    /// Whether each other controller has made itself known, and has just said that it knows
-    /// a format. Its key alone may be older than a return to the version before.
-    fn all_peers_know(&self, format: u64) -> bool {
+    /// Whether every other controller has announced itself and recently reported that it
+    /// supports a format. Its key alone may date from before a rollback.
+    fn all_peers_support(&self, format: u64) -> bool {
         let now = self.clock.steady_ms();
         self.peers.iter().all(|peer| {
             let status = peer.recent_status(now);
-            let knows_it = status.is_some_and(|status| status.known_format >= format);
-            knows_it && self.watch_cache.members.contains(&peer.member)
+            let is_supported = status.is_some_and(|status| status.known_format >= format);
+            is_supported && self.watch_cache.members.contains(&peer.member)
         })
     }
 
-    /// The store may have refused a transaction for a lower limit.
+    /// Handles the outcome of a transaction that the store may have refused under its lower
+    /// limits.
     pub(super) fn on_store_refusal(&mut self, outcome: &Outcome) {
         let Outcome::Answer { status: code, body } = outcome else {
             return;
@@ -238,14 +249,18 @@
             return;
         }
         match *code {
-            // No transaction with a grant goes through the queue, and ours are well
-            // formed: it is too large by now.
+            // A transaction of the queue names no grant that may have ended and is well formed,
+            // so it can only be too large for the lower limits.
             status::BAD_REQUEST => {
-                debug!(body = wire::readable(body), "transaction refused");
+                debug!(
+                    body = wire::readable(body),
+                    "store refused a transaction as too large; lower limits are in force"
+                );
                 self.confirm_packed_format(FormatProof::LoweredLimits);
             }
             status::TOO_MANY_REQUESTS if self.format() < PACKED_FORMAT => {
-                let throttled_s = self.settings.cluster.workers.report_s * THROTTLED_INTERVALS;
+                let throttled_s =
+                    self.settings.cluster.workers.report_s * THROTTLE_HEARTBEAT_INTERVALS;
                 let until = self.clock.steady_ms() + to_ms(throttled_s);
                 self.format_state.throttle(until);
                 self.on_format_changed();
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -1,23 +1,24 @@
-//! One controller: events and the time go in, actions come out. No sockets and no clocks here.
+//! One controller as a state machine: events and timestamps go in, actions come out. It opens no
+//! sockets and reads no clocks.
 //!
-//! [`Controller`] coordinates parts that each own their state, with private fields, in a file
-//! of their own:
+//! [`Controller`] coordinates modules that each own their state, with private fields:
 //!
-//! | part | owns |
+//! | module | owns |
 //! | --- | --- |
-//! | `clock` | the time of the event in progress |
-//! | `outbox` | calls in flight and the actions to be done |
+//! | `clock` | the time of the current event |
+//! | `outbox` | calls in flight and actions to perform |
 //! | `store_client`, `store_sync` | rate limits and writes; the reads for the watch cache |
-//! | `leadership` | the leader lease and a term that is about to begin |
+//! | `leadership` | the leader lease and a pending term |
 //! | `provider_client` | the provider's rate limit, machine types and list of machines |
-//! | `peer_table`, `acknowledged_cancellations` | what other controllers say and are told |
+//! | `peer_table`, `acknowledged_cancellations` | state exchanged with the other controllers |
 //! | `agent_gateway` | redirected agents and deferred heartbeats |
-//! | `user_request_table` | users' requests in progress and the limit on them |
+//! | `user_request_table` | user requests in progress and the limit on them |
 //! | `format_version`, `planning`, `dependencies`, `stats` | their timers |
 //! | `duties` | leases and orders of duties |
 //!
-//! The other files are steps that span several parts, as methods of [`Controller`], which use
-//! the parts through their methods only. `dispatch` says which step an event leads to.
+//! The other modules implement operations that span several of these, as methods of
+//! [`Controller`] that use the modules through their methods only. `dispatch` routes events to
+//! them.
 
 mod acknowledged_cancellations;
 mod agent_gateway;
@@ -80,10 +81,10 @@
 use terms::StepDownReason;
 use user_request_table::UserRequestTable;
 
-/// How often timers are checked.
+/// Interval at which timers are checked.
 const TICK_MS: u64 = 100;
 
-/// One controller.
+/// One controller; see the module documentation.
 pub struct Controller {
     settings: Settings,
     operator: OperatorSettings,
@@ -98,7 +99,7 @@
     pub scheduler: Option<Scheduler>,
     format_state: FormatState,
     duties: DutyState,
-    lookups: DependencyLookups,
+    dependency_lookups: DependencyLookups,
     acknowledged_cancellations: AcknowledgedCancellations,
     provider: ProviderClient,
     users: UserRequestTable,
@@ -110,7 +111,8 @@
 }
 
 impl Controller {
-    /// A controller that has just been started.
+    /// Creates a follower that has read nothing yet. `seed` determines the jitter of
+    /// lease requests.
     pub fn new(settings: Settings, operator: OperatorSettings, seed: u64) -> Controller {
         let cluster = &settings.cluster;
         let ttl_ms = leader_lease_ttl_ms(cluster, &operator);
@@ -126,7 +128,7 @@
             scheduler: None,
             format_state: FormatState::default(),
             duties: DutyState::new(&settings.member, cluster, operator.duties.as_ref()),
-            lookups: DependencyLookups::default(),
+            dependency_lookups: DependencyLookups::default(),
             acknowledged_cancellations: AcknowledgedCancellations::default(),
             provider: ProviderClient::new(cluster),
             users: UserRequestTable::new(cluster.limits.fd_limit),
@@ -140,35 +142,35 @@
         }
     }
 
-    /// What is to be done since the last call.
+    /// Takes the actions to perform that were added since the last call.
     pub fn take_actions(&mut self) -> Vec<Action> {
         self.outbox.take_actions()
     }
 
-    /// The epoch under which this controller leads; 0 if it does not.
+    /// The epoch in which this controller leads; 0 if it does not.
     pub fn epoch(&self) -> Epoch {
         self.scheduler
             .as_ref()
             .map_or(Epoch::NONE, Scheduler::epoch)
     }
 
-    /// The scheduling state, if this controller leads under this epoch.
+    /// The scheduling state, if this controller leads in this epoch.
     fn scheduler_of(&mut self, epoch: Epoch) -> Option<&mut Scheduler> {
         self.scheduler.as_mut().filter(|s| s.epoch() == epoch)
     }
 
-    /// Uses the leader's or a follower's share of the store's limits.
+    /// Applies a role's share of the present store limits.
     fn set_store_share(&mut self, role: StoreRole) {
         let limits = self.store_limits();
         self.store.set_share(role, &limits, self.clock.steady_ms());
     }
 
-    /// Whether the store has answered lately.
+    /// Whether the store answered recently enough to count as reachable.
     fn is_store_reachable(&self) -> bool {
         self.store.is_reachable(self.clock.steady_ms())
     }
 
-    /// Handles an event.
+    /// Handles a received request or the outcome of a call.
     pub fn handle_event(&mut self, now: Timestamp, event: Event) {
         self.clock.begin_event(now);
         match event {
@@ -186,7 +188,7 @@
         self.flush();
     }
 
-    /// Input waited for `delay_ms` before it was read.
+    /// Records that input waited for `delay_ms` before it was read.
     pub fn on_read_delay(&mut self, now: Timestamp, delay_ms: u64) {
         self.stats.record_read_delay(delay_ms);
         if let Some(scheduler) = &mut self.scheduler {
@@ -194,7 +196,8 @@
         }
     }
 
-    /// Does what has come due. To be called at least as often as `wait_ms` says.
+    /// Runs the timers that are due. Callers wait for at most [`Controller::wait_ms`] between
+    /// calls.
     pub fn tick(&mut self, now: Timestamp) {
         self.clock.begin_event(now);
         if now.steady < self.next_tick_at {
@@ -223,7 +226,7 @@
         let redirected = self.peers.redirected_elsewhere(now);
         if let Some(scheduler) = &mut self.scheduler {
             let spare_writes = self.store.spare_writes(now);
-            let agents = redirected.most_heard.then_some(redirected.agents);
+            let agents = redirected.majority_alive.then_some(redirected.agents);
             scheduler.set_redirected_elsewhere(agents);
             scheduler.tick(now, self.watch_cache.revision, spare_writes);
         }
@@ -234,7 +237,7 @@
         self.next_tick_at.saturating_sub(now).clamp(1, TICK_MS)
     }
 
-    /// Sends what has come due: reads, changes and the scheduler's effects.
+    /// Sends the reads, writes and scheduler effects that are due.
     fn flush(&mut self) {
         let now = self.clock.steady_ms();
         if let Some(scheduler) = &mut self.scheduler {
--- a/src/controller/outbox.rs
+++ b/src/controller/outbox.rs
@@ -1,5 +1,5 @@
-//! What goes out: responses to requests that were received, and calls to others. Owns the
-//! table of calls in flight, in which each tag occurs once.
+//! Outgoing responses and calls. Owns the table of calls in flight, keyed by a tag that is never
+//! reused.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -9,7 +9,7 @@
 use crate::net::Action;
 use crate::settings::Endpoints;
 
-/// Calls and responses to calls since the statistics were last taken.
+/// Counts of outgoing calls and of their replies since the last [`Outbox::take_stats`].
 #[derive(Debug, Default, Clone, Copy)]
 pub(super) struct CallStats {
     pub replies: u64,
@@ -19,7 +19,7 @@
     pub peer_calls: u64,
 }
 
-/// What goes out, and what the calls in flight are for.
+/// Outgoing actions, and the purpose of each call in flight.
 #[derive(Debug)]
 pub(super) struct Outbox {
     endpoints: Endpoints,
@@ -40,7 +40,7 @@
         }
     }
 
-    /// The tag of the next call.
+    /// The tag that the next call will get.
     pub(super) fn next_tag(&self) -> u64 {
         self.next_tag
     }
@@ -81,19 +81,19 @@
         });
     }
 
-    /// A call has its outcome. Returns what it was for, or `None` if that is not known.
+    /// Removes a call that has its outcome. Returns its purpose, or `None` for an unknown tag.
     pub(super) fn complete(&mut self, tag: u64) -> Option<PendingCall> {
         let pending = self.in_flight.remove(&tag)?;
         self.stats.replies += 1;
         Some(pending)
     }
 
-    /// What is to be done since the last call.
+    /// Takes the actions that were added since the last call.
     pub(super) fn take_actions(&mut self) -> Vec<Action> {
         std::mem::take(&mut self.actions)
     }
 
-    /// The statistics since the last call.
+    /// Takes the statistics since the last call.
     pub(super) fn take_stats(&mut self) -> CallStats {
         std::mem::take(&mut self.stats)
     }
--- a/src/controller/peer_table.rs
+++ b/src/controller/peer_table.rs
@@ -1,55 +1,57 @@
-//! What the other controllers have said of themselves, and when they are asked again.
+//! The last known status of each other controller, and when the next exchange is due.
 
 use std::net::SocketAddr;
 
 use crate::peer_protocol::PeerStatus;
 use crate::settings::Peer;
 
-/// How often statuses are exchanged.
+/// Interval between status exchanges.
 const STATUS_INTERVAL_MS: u64 = 1000;
-/// A status that came this lately need not be asked for: of two controllers one asks.
+/// A peer whose status is more recent than this is not queried, so that of two controllers
+/// only one queries the other.
 const STATUS_FRESH_MS: u64 = 700;
-/// For how long a controller counts as alive, and for how long what it has said of itself
-/// counts: over two of its statuses.
-const ALIVE_MS: u64 = 3000;
-const STATUS_VALID_MS: u64 = 2500;
+/// For how long after its last status a controller counts as alive, and for how long that
+/// status is valid. Both span more than two statuses.
+const ALIVE_TIMEOUT_MS: u64 = 3000;
+const STATUS_TTL_MS: u64 = 2500;
 
-/// Another controller as far as it is known.
+/// The known state of another controller.
 #[derive(Debug)]
 pub(super) struct PeerView {
     pub member: String,
     pub address: SocketAddr,
-    /// When its last status came.
+    /// When its last status was received; `None` before the first.
     heard_at: Option<u64>,
-    /// Its last status.
+    /// The last status received.
     status: PeerStatus,
     cancellation_sync: Option<CancellationSync>,
 }
 
-/// A controller has told us of every cancellation that it had acknowledged to users when it
-/// was asked, as far as its process goes back.
+/// Marks that a peer has reported every cancellation that its process had acknowledged to users
+/// up to the request.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct CancellationSync {
-    pub asked_at: u64,
-    /// Its process had begun by then.
-    pub process_began_at: u64,
+    /// When the peer was queried.
+    pub requested_at: u64,
+    /// Latest time at which the peer's process can have started.
+    pub process_started_by: u64,
 }
 
-/// Agents that came to other controllers.
+/// Agents that contacted other controllers and were redirected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct RedirectedElsewhere {
-    /// Whether most of the other controllers are alive: the agents may have gone to one that
-    /// is not heard.
-    pub most_heard: bool,
-    /// How many agents the live ones redirected lately.
+    /// Whether most of the other controllers are alive. If not, agents may have contacted one
+    /// whose status does not arrive here.
+    pub majority_alive: bool,
+    /// How many agents the live controllers recently redirected.
     pub agents: u32,
 }
 
-/// Whom a status is sent to.
+/// Which peers a status is sent to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum StatusReceivers {
+pub(super) enum StatusRecipients {
     All,
-    /// Those that have not just sent theirs.
+    /// Peers whose last status is not fresh.
     WithoutFreshStatus,
 }
 
@@ -75,9 +77,9 @@
         self.heard_at.is_some_and(|at| now < at + span_ms)
     }
 
-    /// What it has said of itself lately.
+    /// The last status, if it is still valid.
     pub(super) fn recent_status(&self, now: u64) -> Option<&PeerStatus> {
-        let is_recent = self.was_heard_within(STATUS_VALID_MS, now);
+        let is_recent = self.was_heard_within(STATUS_TTL_MS, now);
         is_recent.then_some(&self.status)
     }
 }
@@ -90,7 +92,7 @@
         }
     }
 
-    /// All other controllers.
+    /// Iterates over all other controllers.
     pub(super) fn iter(&self) -> impl Iterator<Item = &PeerView> {
         self.peers.iter()
     }
@@ -99,7 +101,7 @@
         self.peers.iter_mut().find(|peer| peer.member == member)
     }
 
-    /// A status came, as a request or as a response.
+    /// Records a status received as a request or as a response.
     pub(super) fn record_status(&mut self, member: &str, status: PeerStatus, now: u64) {
         if let Some(peer) = self.get_mut(member) {
             peer.heard_at = Some(now);
@@ -107,64 +109,67 @@
         }
     }
 
-    /// A controller has told us of its acknowledged cancellations.
+    /// Records that a peer has reported its acknowledged cancellations.
     pub(super) fn record_cancellation_sync(&mut self, member: &str, sync: CancellationSync) {
         if let Some(peer) = self.get_mut(member) {
             peer.cancellation_sync = Some(sync);
         }
     }
 
-    /// Until when the cancellations of all other controllers are known, if none of them has
-    /// begun anew since the store was read at `read_at`; 0 if those of one are not. `None` if
-    /// there are no others.
+    /// The time up to which the cancellations of all other controllers are known, provided that
+    /// none has restarted since the store was read at `read_at`; 0 if one has, or has not
+    /// reported any. `None` if there are no other controllers.
     pub(super) fn cancellations_synced_at(&self, read_at: u64) -> Option<u64> {
         let synced_at = self.peers.iter().map(|peer| {
             let sync = peer.cancellation_sync;
-            let valid = sync.filter(|sync| sync.process_began_at <= read_at);
-            valid.map_or(0, |sync| sync.asked_at)
+            let valid = sync.filter(|sync| sync.process_started_by <= read_at);
+            valid.map_or(0, |sync| sync.requested_at)
         });
         synced_at.min()
     }
 
     fn live(&self, now: u64) -> impl Iterator<Item = &PeerView> {
-        let is_alive = move |peer: &&PeerView| peer.was_heard_within(ALIVE_MS, now);
+        let is_alive = move |peer: &&PeerView| peer.was_heard_within(ALIVE_TIMEOUT_MS, now);
         self.peers.iter().filter(is_alive)
     }
 
-    /// Whether there are other controllers, and none of them is alive.
+    /// Whether there are other controllers and none is alive.
     pub(super) fn are_all_silent(&self, now: u64) -> bool {
         !self.peers.is_empty() && self.live(now).next().is_none()
     }
 
-    /// Whether the store is reachable for another live controller.
+    /// Whether a live peer reports that the store is reachable.
     pub(super) fn is_store_reachable_elsewhere(&self, now: u64) -> bool {
         self.live(now).any(|peer| peer.status.store_reachable)
     }
 
-    /// The address of a controller for which the store is reachable.
+    /// The address of a peer with a valid status that reports the store as reachable.
     pub(super) fn served_peer(&self, now: u64) -> Option<SocketAddr> {
-        let is_served = |peer: &&PeerView| {
+        let reaches_store = |peer: &&PeerView| {
             let status = peer.recent_status(now);
             status.is_some_and(|status| status.store_reachable)
         };
-        self.peers.iter().find(is_served).map(|peer| peer.address)
+        self.peers
+            .iter()
+            .find(reaches_store)
+            .map(|peer| peer.address)
     }
 
-    /// Agents that came to live other controllers lately.
+    /// Counts the agents that live peers recently redirected.
     pub(super) fn redirected_elsewhere(&self, now: u64) -> RedirectedElsewhere {
-        let mut heard = 0;
+        let mut alive = 0;
         let mut agents: u32 = 0;
         for peer in self.live(now) {
-            heard += 1;
+            alive += 1;
             agents = agents.saturating_add(peer.status.redirected_agents);
         }
         RedirectedElsewhere {
-            most_heard: heard * 2 > self.peers.len(),
+            majority_alive: alive * 2 > self.peers.len(),
             agents,
         }
     }
 
-    /// Whether it is time to exchange statuses; the next time is an interval later.
+    /// Whether a status exchange is due. If so, schedules the next one an interval later.
     pub(super) fn begin_exchange_if_due(&mut self, now: u64) -> bool {
         if now < self.next_status_at {
             return false;
@@ -173,15 +178,15 @@
         true
     }
 
-    /// The controllers to send our status to: those whose last one is not fresh, as one that
-    /// has just asked was answered with ours, or all.
-    pub(super) fn to_ask(
+    /// The peers to send this controller's status to: all, or those whose last status is not
+    /// fresh. A peer that just sent its status has received this controller's in response.
+    pub(super) fn status_recipients(
         &self,
-        receivers: StatusReceivers,
+        recipients: StatusRecipients,
         now: u64,
     ) -> impl Iterator<Item = &PeerView> {
         let is_fresh = move |peer: &PeerView| peer.was_heard_within(STATUS_FRESH_MS, now);
         let peers = self.peers.iter();
-        peers.filter(move |peer| receivers == StatusReceivers::All || !is_fresh(peer))
+        peers.filter(move |peer| recipients == StatusRecipients::All || !is_fresh(peer))
     }
 }
--- a/src/controller/peers.rs
+++ b/src/controller/peers.rs
@@ -1,10 +1,10 @@
-//! The exchange of statuses with the other controllers, and what follows from theirs.
+//! The exchange of statuses with the other controllers, and the reactions to received ones.
 
 use prost::Message;
 
 use super::calls::PendingCall;
 use super::http::{HttpCall, HttpResponse};
-use super::peer_table::{CancellationSync, StatusReceivers};
+use super::peer_table::{CancellationSync, StatusRecipients};
 use super::{responses, Controller, StepDownReason};
 use crate::epoch::Epoch;
 use crate::net::Outcome;
@@ -12,21 +12,25 @@
 use crate::time_units::to_ms;
 
 const STATUS_TIMEOUT_MS: u64 = 1500;
-/// A process' age by its own clock may be too high by one part in this many.
-const AGE_ERROR_PARTS: u64 = 500;
-/// Heartbeat intervals for which redirected agents are reported to the others.
-const REDIRECTED_INTERVALS: f64 = 2.0;
-/// Heartbeat intervals within which every agent that can has sent a heartbeat.
-const ROUND_INTERVALS: f64 = 1.5;
-/// By this multiple of `cancel_s` nothing is left of a cancelled job.
-const CANCELLED_MEMORY: f64 = 2.0;
-/// For how long a leader that no agent reaches lets others lead, as a share of a lease.
-const STANDBY_LEASE_SHARE: f64 = 0.5;
+/// A process measures its age with its own clock, which may overstate it by one part in this
+/// many.
+const PROCESS_AGE_ERROR_DIVISOR: u64 = 500;
+/// Heartbeat intervals for which a redirected agent is reported to the other controllers.
+const REDIRECT_REPORT_HEARTBEAT_INTERVALS: f64 = 2.0;
+/// Heartbeat intervals within which every agent that can reach a controller has sent a
+/// heartbeat.
+const ROUND_HEARTBEAT_INTERVALS: f64 = 1.5;
+/// Acknowledged cancellations are kept for this multiple of `cancel_s`, after which no task of
+/// the job runs any more.
+const CANCELLATION_RETENTION_MULTIPLIER: f64 = 2.0;
+/// How long a leader that resigned because no agent reaches it does not campaign, as a share of
+/// `lease_s`.
+const STANDBY_LEASE_RATIO: f64 = 0.5;
 
 impl Controller {
     fn status(&self) -> PeerStatus {
         let now = self.clock.steady_ms();
-        let span_s = self.settings.cluster.workers.report_s * REDIRECTED_INTERVALS;
+        let span_s = self.settings.cluster.workers.report_s * REDIRECT_REPORT_HEARTBEAT_INTERVALS;
         let redirected = self.agents.redirected_within(to_ms(span_s), now);
         PeerStatus {
             member: self.settings.member.clone(),
@@ -52,17 +56,18 @@
         }
     }
 
-    /// The response to another controller's status. A leader that can't read the store is
-    /// told which cancellations were acknowledged to users.
-    fn status_for(&self, asker: &PeerStatus) -> PeerStatus {
+    /// The response to another controller's status. For a leader that cannot read the store it
+    /// includes the cancellations acknowledged to users.
+    fn status_for(&self, sender: &PeerStatus) -> PeerStatus {
         let mut status = self.status();
-        if is_cut_off_leader(asker) {
+        if is_cut_off_leader(sender) {
             status.acknowledged_cancellations = self.acknowledged_cancellations.jobs();
         }
         status
     }
 
-    /// A user is told that a job is cancelled. One that has ended has no tasks any more.
+    /// Records that a user is told of a job's cancellation. A job that has ended is not
+    /// recorded, as it has no tasks left.
     pub(super) fn acknowledge_cancellation(&mut self, id: &str) {
         let now = self.clock.steady_ms();
         if self.watch_cache.final_state(id).is_none() {
@@ -73,8 +78,8 @@
         }
     }
 
-    /// Processes the response to our status. A leader that can't read the store has asked for
-    /// all cancellations that the other controller has acknowledged to users.
+    /// Applies a peer's acknowledged cancellations, which its response contains if this
+    /// controller sent its status as a leader that cannot read the store.
     fn sync_cancellations(&mut self, member: &str, status: &PeerStatus, sent_at: u64) {
         let now = self.clock.steady_ms();
         let Some(scheduler) = &mut self.scheduler else {
@@ -83,29 +88,29 @@
         for id in &status.acknowledged_cancellations {
             scheduler.mark_cancelled(id, now);
         }
-        // With one that the store answers, or another that leads, work goes on there.
-        let work_goes_on =
+        // If the peer reaches the store or knows a later leader, work continues there.
+        let work_continues_there =
             status.store_reachable || Epoch::new(status.leading_epoch) > scheduler.epoch();
-        if work_goes_on || self.is_store_reachable() {
+        if work_continues_there || self.is_store_reachable() {
             return;
         }
         let age_ms = status.process_age_ms;
-        let age_ms = age_ms - age_ms / AGE_ERROR_PARTS;
+        let age_ms = age_ms - age_ms / PROCESS_AGE_ERROR_DIVISOR;
         let sync = CancellationSync {
-            asked_at: sent_at,
-            process_began_at: now.saturating_sub(age_ms),
+            requested_at: sent_at,
+            process_started_by: now.saturating_sub(age_ms),
         };
         self.peers.record_cancellation_sync(member, sync);
     }
 
-    /// Until when all cancellations that were acknowledged to users are known here: from the last
-    /// read of the store, or in an outage that all see from every other controller, if none
-    /// of them has restarted since that read. One that has may have acknowledged what no
-    /// controller knows any more.
+    /// The time up to which this controller knows all cancellations acknowledged to users: that
+    /// of the last read of the store or, in a store outage that affects all controllers, that of
+    /// the reports of all others, provided none of them has restarted since that read. One that
+    /// restarted may have acknowledged cancellations that no controller remembers.
     pub(super) fn cancellations_known_as_of(&self) -> Option<u64> {
         let read_at = self.store_sync.complete_as_of()?.at;
         let synced_at = self.peers.cancellations_synced_at(read_at);
-        // A single controller has acknowledged them all itself.
+        // Without other controllers, this one has acknowledged all of them itself.
         Some(synced_at.unwrap_or(self.clock.steady_ms()).max(read_at))
     }
 
@@ -114,26 +119,26 @@
         self.peers.record_status(member, status, now);
         if self.is_cut_off_from_agents() {
             let lease_s = self.settings.cluster.workers.lease_s;
-            let standby_ms = to_ms(lease_s * STANDBY_LEASE_SHARE);
+            let standby_ms = to_ms(lease_s * STANDBY_LEASE_RATIO);
             self.resign(StepDownReason::CutOffFromAgents, standby_ms);
         }
     }
 
-    /// Whether this leader is cut off from every agent while others redirect them: another
-    /// controller should lead.
+    /// Whether no agent reaches this leader while other controllers redirect agents, so that
+    /// another controller should lead.
     fn is_cut_off_from_agents(&self) -> bool {
         let now = self.clock.steady_ms();
         let Some(scheduler) = &self.scheduler else {
             return false;
         };
         let reachability = scheduler.reachability(now);
-        // One machine alone may be at fault itself: it is terminated first.
+        // A single silent machine may itself be at fault, so it is terminated first.
         let all_silent = reachability.up > 0 && reachability.silent == reachability.up;
         if !all_silent || !(reachability.up > 1 || scheduler.has_terminated_unreachable()) {
             return false;
         }
-        // Any heartbeat, also an old copy, shows that there is a way here.
-        let round_s = self.settings.cluster.workers.report_s * ROUND_INTERVALS;
+        // Any heartbeat, even a delayed duplicate, shows that agents can reach this controller.
+        let round_s = self.settings.cluster.workers.report_s * ROUND_HEARTBEAT_INTERVALS;
         let is_reached = self.agents.has_accepted_within(to_ms(round_s), now);
         self.peers.redirected_elsewhere(now).agents > 0 && !is_reached
     }
@@ -145,8 +150,8 @@
         }
         self.agents.expire_redirects(now);
         let cancel_s = self.settings.cluster.workers.cancel_s;
-        let memory_ms = to_ms(cancel_s * CANCELLED_MEMORY);
-        self.acknowledged_cancellations.expire(memory_ms, now);
+        let retention_ms = to_ms(cancel_s * CANCELLATION_RETENTION_MULTIPLIER);
+        self.acknowledged_cancellations.expire(retention_ms, now);
         self.send_status();
     }
 
@@ -154,14 +159,15 @@
         let now = self.clock.steady_ms();
         let status = self.status();
         let body = status.encode_to_vec();
-        // It asks for cancellations, so it has to ask itself.
-        let receivers = if is_cut_off_leader(&status) {
-            StatusReceivers::All
+        // A leader cut off from the store needs every peer's cancellations, which only a
+        // response to its own request contains.
+        let recipients = if is_cut_off_leader(&status) {
+            StatusRecipients::All
         } else {
-            StatusReceivers::WithoutFreshStatus
+            StatusRecipients::WithoutFreshStatus
         };
         let outbox = &mut self.outbox;
-        for peer in self.peers.to_ask(receivers, now) {
+        for peer in self.peers.status_recipients(recipients, now) {
             let pending = PendingCall::PeerStatus {
                 member: peer.member.clone(),
                 sent_at: now,
@@ -172,7 +178,7 @@
     }
 }
 
-/// Whether a status is of a leader that can't read the store.
+/// Whether a status comes from a leader that cannot read the store.
 fn is_cut_off_leader(status: &PeerStatus) -> bool {
     Epoch::new(status.leading_epoch) > Epoch::NONE && !status.store_reachable
 }
--- a/src/controller/stats.rs
+++ b/src/controller/stats.rs
@@ -1,5 +1,5 @@
-//! Statistics for the log: what came in and went out, how long it took, and limits that the
-//! fleet comes near.
+//! Periodic log statistics: traffic, durations and delays, and warnings about limits that the
+//! fleet approaches.
 
 use tracing::{info, warn};
 
@@ -8,10 +8,10 @@
 use crate::net::Listener;
 use crate::wire;
 
-/// How often they are logged.
-const INTERVAL_MS: u64 = 10_000;
+/// Interval between two logs of the statistics.
+const LOG_INTERVAL_MS: u64 = 10_000;
 
-/// What came in since it was last logged.
+/// Requests, plans and delays since the last log.
 #[derive(Debug, Default)]
 struct Traffic {
     heartbeats: u64,
@@ -19,9 +19,9 @@
     peers: u64,
     plans: u64,
     plan_ms: u64,
-    /// The longest that a tick was late.
+    /// The largest delay of a tick.
     tick_late_ms: u64,
-    /// The longest that anything waited to be read.
+    /// The longest time that input waited to be read.
     read_delay_ms: u64,
 }
 
@@ -30,20 +30,20 @@
 pub(super) struct ControllerStats {
     next_at: u64,
     traffic: Traffic,
-    /// Limits that were warned of.
+    /// How many limits, in ascending order of capacity, were already warned about.
     warned_limits: usize,
 }
 
 impl ControllerStats {
     pub(super) fn new() -> ControllerStats {
         ControllerStats {
-            next_at: INTERVAL_MS,
+            next_at: LOG_INTERVAL_MS,
             traffic: Traffic::default(),
             warned_limits: 0,
         }
     }
 
-    /// A request came.
+    /// Counts a received request.
     pub(super) fn count_request(&mut self, listener: Listener, path: &str) {
         let count = match (listener, path) {
             (Listener::Peers, _) => &mut self.traffic.peers,
@@ -53,18 +53,18 @@
         *count += 1;
     }
 
-    /// A plan was made.
+    /// Records a plan and its duration.
     pub(super) fn record_plan(&mut self, took_ms: u64) {
         self.traffic.plans += 1;
         self.traffic.plan_ms += took_ms;
     }
 
-    /// A tick was late.
+    /// Records by how much a tick was late.
     pub(super) fn record_late_tick(&mut self, late_ms: u64) {
         self.traffic.tick_late_ms = self.traffic.tick_late_ms.max(late_ms);
     }
 
-    /// Input waited before it was read.
+    /// Records how long input waited before it was read.
     pub(super) fn record_read_delay(&mut self, delay_ms: u64) {
         self.traffic.read_delay_ms = self.traffic.read_delay_ms.max(delay_ms);
     }
@@ -73,7 +73,7 @@
         if now < self.next_at {
             return false;
         }
-        self.next_at = now + INTERVAL_MS;
+        self.next_at = now + LOG_INTERVAL_MS;
         true
     }
 }
@@ -94,7 +94,7 @@
                 placed_tasks = summary.placed_tasks,
                 machines = summary.machines,
                 machines_up = summary.machines_up,
-                "leading"
+                "leader status"
             );
         }
         self.warn_of_near_limits();
@@ -125,7 +125,7 @@
             throttled = stats.throttled,
             conflicts = stats.conflicts,
             unknown = stats.unknown,
-            "writes"
+            "store writes"
         );
     }
 
@@ -145,11 +145,11 @@
             plan_ms = traffic.plan_ms,
             tick_late_ms = traffic.tick_late_ms,
             read_delay_ms = traffic.read_delay_ms,
-            "traffic"
+            "controller traffic"
         );
     }
 
-    /// Warns once of each limit that the fleet comes near.
+    /// Warns once about each limit that the fleet approaches.
     fn warn_of_near_limits(&mut self) {
         let Some(scheduler) = &self.scheduler else {
             return;
@@ -159,7 +159,11 @@
         let near = capacities.iter().filter(|c| c.is_near(machines)).count();
         let warned = self.stats.warned_limits;
         for capacity in capacities.iter().take(near).skip(warned) {
-            warn!(machines, limit = %capacity, "the fleet is near a limit");
+            warn!(
+                machines,
+                limit = %capacity,
+                "number of machines approaches a limit of the cluster settings"
+            );
         }
         self.stats.warned_limits = warned.max(near);
     }
--- a/src/controller/store_client.rs
+++ b/src/controller/store_client.rs
@@ -44,7 +44,7 @@
 #[derive(Debug)]
 pub(super) struct StoreClient {
     /// Number of other controllers.
-    peers: usize,
+    peer_count: usize,
     request_limit: TokenBucket,
     writes: WriteQueue<WriteOwner>,
     /// When the store last answered with neither a rate-limit refusal nor a server error.
@@ -53,13 +53,13 @@
 
 impl StoreClient {
     /// A client with a follower's share.
-    pub(super) fn new(limits: &StoreLimits, peers: usize) -> StoreClient {
+    pub(super) fn new(limits: &StoreLimits, peer_count: usize) -> StoreClient {
         let write_rate = limits.write_rps * FOLLOWER_WRITE_RATIO;
         let mut writes = WriteQueue::new(write_rate, write_rate, limits.txn_ops);
         writes.set_duty_rate(0, duty_write_rate(limits));
         StoreClient {
-            peers,
-            request_limit: TokenBucket::new(follower_request_rate(limits, peers)),
+            peer_count,
+            request_limit: TokenBucket::new(follower_request_rate(limits, peer_count)),
             writes,
             answered_at: None,
         }
@@ -67,10 +67,10 @@
 
     /// Switches to the share of `limits` that belongs to a role.
     pub(super) fn set_share(&mut self, role: StoreRole, limits: &StoreLimits, now: u64) {
-        let follower_rate = follower_request_rate(limits, self.peers);
+        let follower_rate = follower_request_rate(limits, self.peer_count);
         let (request_rate, write_share) = match role {
             StoreRole::Leader => {
-                let others = self.peers as f64 * follower_rate;
+                let others = self.peer_count as f64 * follower_rate;
                 (limits.rps - others, LEADER_WRITE_RATIO)
             }
             StoreRole::Follower => (follower_rate, FOLLOWER_WRITE_RATIO),
@@ -167,8 +167,8 @@
 }
 
 /// Requests per second that a follower may send.
-fn follower_request_rate(limits: &StoreLimits, peers: usize) -> f64 {
-    let controllers = (peers + 1) as f64;
+fn follower_request_rate(limits: &StoreLimits, peer_count: usize) -> f64 {
+    let controllers = (peer_count + 1) as f64;
     limits.rps / controllers * FOLLOWER_REQUEST_RATIO
 }
 
--- a/src/controller/store_sync.rs
+++ b/src/controller/store_sync.rs
@@ -75,8 +75,8 @@
 
 impl RepeatedRead {
     /// Limits the reads to `share` of the controller's store requests.
-    fn new(cluster: &ClusterSettings, controllers: usize, share: f64) -> RepeatedRead {
-        let gap_ms = 1000.0 * controllers as f64 / (cluster.state.rps * share);
+    fn new(cluster: &ClusterSettings, controller_count: usize, share: f64) -> RepeatedRead {
+        let gap_ms = 1000.0 * controller_count as f64 / (cluster.state.rps * share);
         RepeatedRead {
             is_in_flight: false,
             next_at: 0,
@@ -109,14 +109,14 @@
 }
 
 impl StoreSync {
-    /// Starts with nothing read. `controllers` is how many controllers share the store.
-    pub(super) fn new(cluster: &ClusterSettings, controllers: usize) -> StoreSync {
+    /// Starts with nothing read. `controller_count` is how many controllers share the store.
+    pub(super) fn new(cluster: &ClusterSettings, controller_count: usize) -> StoreSync {
         StoreSync {
             is_loading: false,
             next_load_at: 0,
             last_key: None,
-            watch: RepeatedRead::new(cluster, controllers, WATCH_REQUEST_RATIO),
-            user_read: RepeatedRead::new(cluster, controllers, USER_READ_REQUEST_RATIO),
+            watch: RepeatedRead::new(cluster, controller_count, WATCH_REQUEST_RATIO),
+            user_read: RepeatedRead::new(cluster, controller_count, USER_READ_REQUEST_RATIO),
             complete_as_of: None,
         }
     }
