--- a/src/controller/cache_updates.rs
+++ b/src/controller/cache_updates.rs
@@ -123,7 +123,7 @@
         match responses::decode_success::<wire::WatchReply>(outcome) {
             Ok(reply) => self.apply_changes(&reply, call),
             Err(CallError::Malformed(error)) => {
-                warn!(%error, "cannot decode the watch response; ignoring it")
+                warn!(%error, "cannot decode the watch response; retrying the read");
             }
             Err(CallError::Status(status::GONE)) => {
                 warn!("watch revision no longer retained by the store; reloading the watch cache");
