--- a/src/controller/calls.rs
+++ b/src/controller/calls.rs
@@ -27,7 +27,7 @@
     /// An order that this controller sent as a duty's holder.
     DutyOrder(SentOrder),
     /// The final state of a job that a user queries.
-    ReadFinal { user: u64 },
+    ReadFinalState { user: u64 },
     /// A record of a job that a submission names as a dependency.
     ReadDependency {
         user: u64,
@@ -75,7 +75,7 @@
                 | PendingCall::Transaction
                 | PendingCall::Lease(_)
                 | PendingCall::DutyLease(_)
-                | PendingCall::ReadFinal { .. }
+                | PendingCall::ReadFinalState { .. }
                 | PendingCall::ReadDependency { .. }
                 | PendingCall::LookUpDependency { .. }
         )
--- a/src/controller/commits.rs
+++ b/src/controller/commits.rs
@@ -69,7 +69,7 @@
             self.watch_cache.jobs.remove(&write.job);
             self.forward_dependency_events();
         }
-        let Some(scheduler) = self.scheduler_of(write.epoch) else {
+        let Some(scheduler) = self.scheduler_in_epoch(write.epoch) else {
             return;
         };
         scheduler.on_commit(&write.job, write.change, final_state, result, now);
--- a/src/controller/dispatch.rs
+++ b/src/controller/dispatch.rs
@@ -75,7 +75,7 @@
             PendingCall::Revoke => {}
             PendingCall::DutyLease(call) => self.on_duty_lease_outcome(&call, &outcome),
             PendingCall::DutyOrder(sent) => self.on_duty_order_reply(sent, &outcome),
-            PendingCall::ReadFinal { user } => self.on_final_read(user, &outcome),
+            PendingCall::ReadFinalState { user } => self.on_final_read(user, &outcome),
             PendingCall::ReadDependency {
                 user,
                 dependency,
--- a/src/controller/duties/scaling_requests.rs
+++ b/src/controller/duties/scaling_requests.rs
@@ -138,7 +138,7 @@
                 self.cancel_provisioning(epoch, &change.key.request);
             }
         }
-        if self.scheduler_of(epoch).is_some() {
+        if self.scheduler_in_epoch(epoch).is_some() {
             self.step_down_if_deposed(result);
         }
     }
@@ -158,7 +158,7 @@
 
     fn cancel_provisioning(&mut self, epoch: Epoch, request: &str) {
         let now = self.clock.steady_ms();
-        if let Some(scheduler) = self.scheduler_of(epoch) {
+        if let Some(scheduler) = self.scheduler_in_epoch(epoch) {
             scheduler.on_provisioning_outcome(request, ProvisioningOutcome::Cancelled, now);
         }
     }
--- a/src/controller/effects.rs
+++ b/src/controller/effects.rs
@@ -102,7 +102,7 @@
 
     pub(super) fn on_agent_outcome(&mut self, call: &AgentCall, outcome: &Outcome) {
         let now = self.clock.steady_ms();
-        let Some(scheduler) = self.scheduler_of(call.epoch) else {
+        let Some(scheduler) = self.scheduler_in_epoch(call.epoch) else {
             return;
         };
         let response = AgentResponse::new(outcome, &call.machine);
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -155,7 +155,7 @@
     }
 
     /// The scheduling state, if this controller leads in this epoch.
-    fn scheduler_of(&mut self, epoch: Epoch) -> Option<&mut Scheduler> {
+    fn scheduler_in_epoch(&mut self, epoch: Epoch) -> Option<&mut Scheduler> {
         self.scheduler.as_mut().filter(|s| s.epoch() == epoch)
     }
 
--- a/src/controller/peer_table.rs
+++ b/src/controller/peer_table.rs
@@ -144,7 +144,7 @@
     }
 
     /// The address of a peer with a valid status that reports the store as reachable.
-    pub(super) fn served_peer(&self, now: u64) -> Option<SocketAddr> {
+    pub(super) fn peer_with_reachable_store(&self, now: u64) -> Option<SocketAddr> {
         let reaches_store = |peer: &&PeerView| {
             let status = peer.recent_status(now);
             status.is_some_and(|status| status.store_reachable)
--- a/src/controller/planning.rs
+++ b/src/controller/planning.rs
@@ -92,7 +92,7 @@
         } else {
             self.provider.provisioning_budget(now.steady)
         };
-        if let Some(scheduler) = self.scheduler_of(epoch) {
+        if let Some(scheduler) = self.scheduler_in_epoch(epoch) {
             scheduler.apply_decision(decision, calls, now.steady, now.wall);
         }
         self.flush();
--- a/src/controller/provider_events.rs
+++ b/src/controller/provider_events.rs
@@ -47,7 +47,7 @@
         if !self.provider.is_reading_list(started_at) {
             return;
         }
-        if self.scheduler_of(epoch).is_none() {
+        if self.scheduler_in_epoch(epoch).is_none() {
             return self.provider.restart_machine_list(now);
         }
         let outbox = &mut self.outbox;
@@ -120,7 +120,7 @@
         outcome: &Outcome,
     ) {
         let now = self.clock.steady_ms();
-        let Some(scheduler) = self.scheduler_of(epoch) else {
+        let Some(scheduler) = self.scheduler_in_epoch(epoch) else {
             return;
         };
         let result = match responses::provisioned_machines(outcome) {
@@ -151,7 +151,7 @@
             Ok(()) => TerminationOutcome::Confirmed,
             Err(_) => TerminationOutcome::Unconfirmed,
         };
-        if let Some(scheduler) = self.scheduler_of(epoch) {
+        if let Some(scheduler) = self.scheduler_in_epoch(epoch) {
             scheduler.on_termination_outcome(machines, result, now);
         }
     }
--- a/src/controller/user_requests.rs
+++ b/src/controller/user_requests.rs
@@ -94,7 +94,7 @@
             return;
         };
         let caller = pending.caller;
-        let address = self.peers.served_peer(self.clock.steady_ms());
+        let address = self.peers.peer_with_reachable_store(self.clock.steady_ms());
         let Some(address) = address.filter(|_| caller.origin == RequestOrigin::User) else {
             self.users.remove(request_id);
             let reason = "the state service does not answer";
@@ -178,7 +178,7 @@
         self.users.set_stage(request_id, RequestStage::Read);
         let call = HttpCall::get_key(&final_key(job_id));
         self.outbox
-            .call_store(PendingCall::ReadFinal { user: request_id }, call);
+            .call_store(PendingCall::ReadFinalState { user: request_id }, call);
     }
 
     pub(super) fn on_final_read(&mut self, request_id: u64, outcome: &Outcome) {
