--- a/src/cloud/planner.rs
+++ b/src/cloud/planner.rs
@@ -27,7 +27,7 @@
     offerings: &'a [InstanceOffering],
     /// For each demand and offering, how many tasks of this and later demands the offering's
     /// machines may hold; one more row of zeros at the end.
-    later_tasks: Vec<Vec<u32>>,
+    tasks_from_demand: Vec<Vec<u32>>,
     /// The most machines to rent.
     machines_max: u64,
 }
@@ -42,7 +42,7 @@
         ScaleOutPlanner {
             demands,
             offerings,
-            later_tasks: count_later_tasks(demands, offerings),
+            tasks_from_demand: count_tasks_from_demand(demands, offerings),
             machines_max,
         }
     }
@@ -158,13 +158,13 @@
     fn price_per_expected_task(&self, offering: usize, open: &OpenDemand) -> f64 {
         let details = &self.offerings[offering];
         let fitting = details.capacity.count_of(open.per_task);
-        let later = self.later_tasks[open.index + 1][offering];
+        let later = self.tasks_from_demand[open.index + 1][offering];
         let tasks = fitting.min(open.unmet_count.saturating_add(later)).max(1);
         details.price / f64::from(tasks)
     }
 }
 
-fn count_later_tasks(demands: &[Demand], offerings: &[InstanceOffering]) -> Vec<Vec<u32>> {
+fn count_tasks_from_demand(demands: &[Demand], offerings: &[InstanceOffering]) -> Vec<Vec<u32>> {
     let mut later = vec![vec![0u32; offerings.len()]; demands.len() + 1];
     for (index, demand) in demands.iter().enumerate().rev() {
         let allowed = allowed_offerings(&demand.spec, offerings);
--- a/src/plan/cost.rs
+++ b/src/plan/cost.rs
@@ -37,9 +37,9 @@
     }
 
     /// What preempting a task wastes, in seconds of work and saving.
-    pub(super) fn preemption_waste_s(&self, task: &TaskView) -> f64 {
-        let ran_s = |since_s: f64| (self.now_s - since_s).max(0.0);
-        task.stop_cost_s + task.running_since_s.map_or(0.0, ran_s)
+    pub(super) fn preemption_cost_s(&self, task: &TaskView) -> f64 {
+        let run_time_s = |since_s: f64| (self.now_s - since_s).max(0.0);
+        task.stop_cost_s + task.running_since_s.map_or(0.0, run_time_s)
     }
 }
 
--- a/src/plan/cycle/decision_builder.rs
+++ b/src/plan/cycle/decision_builder.rs
@@ -1,4 +1,4 @@
-//! Records what a cycle decides, by the names of machines and jobs.
+//! Builds the [`Decision`] of a cycle: translates machine indexes into machine names.
 
 use crate::plan::decision::{
     Decision, PlannedPlacement, PlannedReservation, PlannedStop, TaskBinding, UnmetDemand,
@@ -15,7 +15,7 @@
 }
 
 impl DecisionBuilder {
-    /// The decision, with what the cycle cost.
+    /// Returns the decision with the number of machine examinations in the cycle.
     pub(super) fn finish(self, machines_examined: u64) -> Decision {
         Decision {
             machines_examined,
@@ -23,19 +23,19 @@
         }
     }
 
-    /// Adds a gang without a placement, which backs off.
+    /// Adds a gang that could not be placed; the scheduler lets it back off.
     pub(super) fn add_failed(&mut self, job: &JobView) {
         self.decision.failed.push(job.id.clone());
     }
 
-    /// Adds an array that skipped machines without its image.
+    /// Adds an array that skipped machines because they lack its image.
     pub(super) fn add_skipped(&mut self, job: &JobView) {
         let skipped = &mut self.decision.arrays_skipping_uncached;
         skipped.push(job.id.clone());
     }
 
-    /// Adds the placements of an assignment. A job has one entry for all its placements, as
-    /// one record holds them.
+    /// Adds the placements of an assignment. All placements of a job share one entry, because
+    /// they are stored in one record.
     pub(super) fn add_placements(&mut self, job: &JobView, assignment: &Assignment, fleet: &Fleet) {
         let tasks = assignment.tasks.iter();
         let tasks = tasks.map(|assigned| TaskBinding {
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Adds the victims of an assignment, and the reservations for its tasks.
+    /// Adds the victims of an assignment and the reservations for the preemptor's tasks.
     pub(super) fn add_preemption(&mut self, job: &JobView, assignment: &Assignment, fleet: &Fleet) {
         for victim in &assignment.victims {
             let view = &fleet.machine(victim.machine).tasks[victim.task];
@@ -72,7 +72,8 @@
         }
     }
 
-    /// Adds the unmet demand of a job of which the tasks of an assignment could have capacity.
+    /// Adds the unmet demand of a job: its pending tasks except those that the assignment has
+    /// earmarked capacity for.
     pub(super) fn add_unmet(&mut self, job: &JobView, assignment: &Assignment, fleet: &Fleet) {
         let mut unmet = UnmetDemand {
             job: job.id.clone(),
@@ -88,7 +89,7 @@
         self.decision.unmet.push(unmet);
     }
 
-    /// Adds the unmet demand of tasks of an array, each for itself, if there are any.
+    /// Adds the unmet demand of `count` tasks of an array; none if `count` is 0.
     pub(super) fn add_unmet_array(&mut self, job: &JobView, count: usize) {
         if count == 0 {
             return;
--- a/src/plan/cycle/mod.rs
+++ b/src/plan/cycle/mod.rs
@@ -1,4 +1,5 @@
-//! One cycle over the whole queue: each gang is placed as a whole, each array task by task.
+//! One planning cycle over the whole queue: a gang is placed completely or not at all, an array
+//! task by task.
 
 mod decision_builder;
 mod state;
@@ -13,10 +14,10 @@
 use decision_builder::DecisionBuilder;
 use state::CycleState;
 
-/// An array that skipped machines without its image.
+/// An array that skipped machines because they lack its image.
 struct SkippedArray<'a> {
     job: &'a JobView,
-    /// Its tasks without a placement.
+    /// Its tasks that are still without a placement.
     pending: &'a [u32],
 }
 
@@ -24,11 +25,12 @@
 struct Cycle<'a> {
     state: CycleState,
     decision: DecisionBuilder,
-    /// Arrays to be tried once more at the end, in queue order.
+    /// Arrays to retry at the end of the cycle, in queue order.
     skipped: Vec<SkippedArray<'a>>,
 }
 
-/// Runs one cycle over the whole queue.
+/// Runs one planning cycle over the whole queue. Deterministic: the same snapshot always gives
+/// the same decision.
 pub fn cycle(mut snapshot: Snapshot) -> Decision {
     let queue = queue_order(&snapshot);
     let jobs = std::mem::take(&mut snapshot.jobs);
@@ -44,7 +46,7 @@
             cycle.schedule(job);
         }
     }
-    cycle.place_skipped();
+    cycle.place_skipped_arrays();
     let machines_examined = cycle.state.fleet().machines_examined();
     cycle.decision.finish(machines_examined)
 }
@@ -60,15 +62,16 @@
 
     fn schedule_gang(&mut self, job: &JobView) {
         let count = job.pending.len();
-        if self.allowed_tasks(job) < count {
-            if takes_part(job) {
+        if self.remaining_tasks(job) < count {
+            if is_schedulable(job) {
                 self.decision.add_failed(job);
             }
-            // Later jobs must not use up what its team has left, or a large gang never starts.
+            // Charge the waiting gang's demand as well: if later jobs used up the team's remaining
+            // quota, a large gang would never start.
             self.state.charge_team(job, count);
             return;
         }
-        if !takes_part(job) {
+        if !is_schedulable(job) {
             self.add_unmet_demand(job);
             return;
         }
@@ -76,7 +79,7 @@
             self.place(job, &found);
             return;
         }
-        // A gang whose victims are still being stopped waits for them.
+        // The gang's victims are still being stopped; it starts in the reserved capacity.
         if self.state.has_reservation(job) {
             return;
         }
@@ -89,15 +92,15 @@
     }
 
     fn schedule_array(&mut self, job: &'a JobView) {
-        if !takes_part(job) {
+        if !is_schedulable(job) {
             self.add_unmet_demand(job);
             return;
         }
-        let pending = self.within_limit(job, &job.pending);
+        let pending = self.within_team_limit(job, &job.pending);
         if pending.is_empty() {
             return;
         }
-        // Asked before placing, which releases what is reserved.
+        // Checked before placing, because placing releases the job's reservations.
         let has_reservation = self.state.has_reservation(job);
         let found = self.search(job, pending, self.array_search_mode(job), 0);
         let found = found.unwrap_or_default();
@@ -108,7 +111,7 @@
             self.skipped.push(SkippedArray { job, pending: rest });
             return;
         }
-        // An array whose victims are still being stopped waits for them.
+        // The array's victims are still being stopped; the rest starts in the reserved capacity.
         if rest.is_empty() || has_reservation {
             return;
         }
@@ -117,8 +120,8 @@
         self.decision.add_unmet_array(job, unmet_count);
     }
 
-    /// An array of low priority goes where its image is. Other free machines are for those
-    /// behind it that have their image there, and only then for it.
+    /// A low-priority array is first placed only on machines that have its image. Other free
+    /// machines are left to later jobs whose image is there, and used for the array afterwards.
     fn array_search_mode(&self, job: &JobView) -> SearchMode {
         let prefers_cached = job.prefers_cached
             && job.spec.priority == Priority::Low
@@ -131,8 +134,8 @@
         }
     }
 
-    /// Chooses victims for tasks of an array, which are gangs of one: each may have its own.
-    /// Returns how many tasks have them.
+    /// Chooses victims for pending tasks of an array, for each task independently of the others.
+    /// Returns the number of tasks that victims were found for.
     fn preempt_for_array(&mut self, job: &JobView, pending: &[u32]) -> usize {
         if job.spec.priority == Priority::Low && !self.is_within_nominal_quota(job) {
             return 0;
@@ -144,10 +147,10 @@
         found.tasks.len()
     }
 
-    /// Machines that no other job used for its image go to the arrays that skipped them.
-    fn place_skipped(&mut self) {
+    /// Retries the skipped arrays on the machines that no job with a cached image has used.
+    fn place_skipped_arrays(&mut self) {
         for SkippedArray { job, pending } in std::mem::take(&mut self.skipped) {
-            let pending = self.within_limit(job, pending);
+            let pending = self.within_team_limit(job, pending);
             let found = self.search(job, pending, SearchMode::Free, 0);
             let found = found.unwrap_or_default();
             self.place(job, &found);
@@ -184,21 +187,22 @@
         self.decision.add_preemption(job, found, self.state.fleet());
     }
 
-    /// Machines are rented for what a job lacks, also while it backs off: else the machines on
-    /// their way would count for others.
+    /// Adds the unmet demand of a job that is not placed in this cycle. Machines are rented for
+    /// it while it backs off, too: otherwise other jobs would count on the machines in
+    /// provisioning for it.
     fn add_unmet_demand(&mut self, job: &JobView) {
         let found = self.state.earmark(job).unwrap_or_default();
         self.decision.add_unmet(job, &found, self.state.fleet());
     }
 
-    /// The tasks that the limit of the job's team allows.
-    fn within_limit<'t>(&self, job: &JobView, pending: &'t [u32]) -> &'t [u32] {
-        let allowed = self.allowed_tasks(job);
+    /// Returns the first of the pending tasks, as many as the limit of the job's team allows.
+    fn within_team_limit<'t>(&self, job: &JobView, pending: &'t [u32]) -> &'t [u32] {
+        let allowed = self.remaining_tasks(job);
         &pending[..allowed.min(pending.len())]
     }
 
-    fn allowed_tasks(&self, job: &JobView) -> usize {
-        self.fleet().quotas.allowed_tasks(job)
+    fn remaining_tasks(&self, job: &JobView) -> usize {
+        self.fleet().quotas.remaining_tasks(job)
     }
 
     fn is_within_nominal_quota(&self, job: &JobView) -> bool {
@@ -212,6 +216,6 @@
 }
 
 /// Whether a job may be placed in this cycle.
-fn takes_part(job: &JobView) -> bool {
+fn is_schedulable(job: &JobView) -> bool {
     !(job.backing_off || job.incomplete)
 }
--- a/src/plan/cycle/state.rs
+++ b/src/plan/cycle/state.rs
@@ -1,4 +1,4 @@
-//! The state of a cycle: the fleet, what is earmarked, and their indexes.
+//! The state of a cycle: the fleet, the earmarked capacity, and the indexes of both.
 
 use std::collections::BTreeSet;
 
@@ -10,21 +10,22 @@
 use crate::plan::search::{search, Assignment, SearchContext, SearchMode, SearchRequest};
 use crate::plan::snapshot::{JobView, Reservation, Snapshot};
 
-/// The fleet with what the cycle has decided so far.
+/// The fleet with the decisions of the cycle applied so far.
 ///
-/// It owns the fleet and its indexes, and updates the indexes with each change.
+/// Owns the fleet and its indexes, and updates the indexes with each change of the fleet.
 pub(super) struct CycleState {
     fleet: Fleet,
     earmarks: Earmarks,
-    /// The indexes of the fleet as it is.
+    /// The indexes of the fleet with earmarked capacity counted as free.
     indexes: FleetIndexes,
-    /// The indexes of the fleet without earmarked capacity, once unmet demand was calculated.
+    /// The indexes of the fleet without earmarked capacity; `None` until unmet demand is first
+    /// calculated.
     unearmarked_indexes: Option<FleetIndexes>,
 }
 
 impl CycleState {
-    /// The state at the beginning of a cycle. `smallest_demand`: no job of the queue asks for
-    /// less of anything.
+    /// Creates the state at the beginning of a cycle. `smallest_demand`: the minimum of each
+    /// resource over all queued jobs.
     pub(super) fn new(snapshot: Snapshot, smallest_demand: Resources) -> CycleState {
         let costs = CostModel {
             now_s: snapshot.now_s,
@@ -39,17 +40,16 @@
         }
     }
 
-    /// The fleet.
     pub(super) fn fleet(&self) -> &Fleet {
         &self.fleet
     }
 
-    /// Whether capacity is reserved for a job.
+    /// Whether a job has held a reservation since the cycle began.
     pub(super) fn has_reservation(&self, job: &JobView) -> bool {
         self.fleet.reservations.is_holder(&job.id)
     }
 
-    /// Counts tasks of a job as in use by its team.
+    /// Charges tasks of a job to its team's quota.
     pub(super) fn charge_team(&mut self, job: &JobView, count: usize) {
         self.fleet.quotas.charge(job, count);
     }
@@ -59,7 +59,7 @@
         prepare_and_search(&mut self.fleet, None, &mut self.indexes, request)
     }
 
-    /// Searches for machines without counting on earmarked capacity.
+    /// Searches for machines, with earmarked capacity counted as used.
     fn search_without_earmarks(&mut self, request: SearchRequest) -> Option<Assignment> {
         let indexes = self.unearmarked_indexes.get_or_insert_with(|| {
             let view = FleetView::without_earmarks(&self.fleet, &self.earmarks);
@@ -68,7 +68,7 @@
         prepare_and_search(&mut self.fleet, Some(&self.earmarks), indexes, request)
     }
 
-    /// Places the tasks of an assignment. It releases what was reserved for the job.
+    /// Places the tasks of an assignment and releases the job's reservations.
     pub(super) fn place(&mut self, job: &JobView, assignment: &Assignment) {
         let demand = Resources::of(&job.spec);
         let mut changed = BTreeSet::new();
@@ -81,8 +81,8 @@
         self.update_indexes(&changed);
     }
 
-    /// Marks the victims of an assignment, and reserves capacity for its tasks until
-    /// these are stopped.
+    /// Marks the victims of an assignment, and reserves capacity for the preemptor's tasks until
+    /// the victims are stopped.
     pub(super) fn preempt(&mut self, job: &JobView, assignment: &Assignment) {
         let mut changed = BTreeSet::new();
         for victim in &assignment.victims {
@@ -101,8 +101,8 @@
         self.update_indexes(&changed);
     }
 
-    /// Earmarks the capacity that a job without a placement could use, so that no later job's
-    /// unmet demand counts on it. Returns what was earmarked.
+    /// Earmarks the capacity that an unplaced job could use, so that the unmet demand of later
+    /// jobs does not count on it. Returns the earmarked assignment.
     pub(super) fn earmark(&mut self, job: &JobView) -> Option<Assignment> {
         let assignment = self.search_to_earmark(job)?;
         let mut changed = BTreeSet::new();
@@ -148,7 +148,7 @@
         self.update_unearmarked_indexes(machines);
     }
 
-    /// Updates the indexes that depend on earmarks, if there are any.
+    /// Updates the indexes without earmarked capacity, if they exist.
     fn update_unearmarked_indexes(&mut self, machines: &BTreeSet<usize>) {
         let Some(indexes) = &mut self.unearmarked_indexes else {
             return;
@@ -160,7 +160,8 @@
     }
 }
 
-/// Prepares what a search goes by, and runs it. `indexes` are those of the view with the same earmarks.
+/// Prepares the image and candidate indexes that a search needs, and runs it. `indexes` have to
+/// be those of the view with the same earmarks.
 fn prepare_and_search(
     fleet: &mut Fleet,
     earmarks: Option<&Earmarks>,
@@ -170,7 +171,7 @@
     let spec = &request.job.spec;
     let with_victims = request.mode == SearchMode::WithVictims;
     if !with_victims && indexes.is_full() {
-        // On a full fleet nothing need be prepared for the many jobs that wait.
+        // Skips the preparation for the many jobs that wait while the fleet is full.
         return (request.min_count == 0).then(Assignment::default);
     }
     fleet.prepare_image(&spec.image);
--- a/src/plan/fleet/mod.rs
+++ b/src/plan/fleet/mod.rs
@@ -117,7 +117,7 @@
     }
 
     /// Counts that a machine was examined for a job: the measure of what a cycle costs.
-    pub(super) fn note_examined(&self) {
+    pub(super) fn count_examined_machine(&self) {
         self.machines_examined.set(self.machines_examined.get() + 1);
     }
 
--- a/src/plan/fleet/team_quotas.rs
+++ b/src/plan/fleet/team_quotas.rs
@@ -26,10 +26,10 @@
     }
 
     /// How many more tasks of a job its team's limit allows.
-    pub(crate) fn allowed_tasks(&self, job: &JobView) -> usize {
+    pub(crate) fn remaining_tasks(&self, job: &JobView) -> usize {
         let team = self.0.get(&job.spec.team);
         let demand = Resources::of(&job.spec);
-        team.map_or(0, |team| team.allowed_tasks(demand)) as usize
+        team.map_or(0, |team| team.remaining_tasks(demand)) as usize
     }
 
     /// Counts tasks of a job as in use by its team.
--- a/src/plan/fleet/view.rs
+++ b/src/plan/fleet/view.rs
@@ -38,22 +38,22 @@
     /// The free capacity for a job: reservations of others count as used, unless the job has
     /// a higher priority.
     pub(crate) fn free_for(&self, machine: usize, job: &Arc<str>, priority: Priority) -> Resources {
-        self.free_beside(machine, |reservation| {
+        self.free_excluding(machine, |reservation| {
             reservation.job != *job && reservation.priority >= priority
         })
     }
 
     /// The free capacity for a job of a priority without a reservation on the machine.
     pub(crate) fn free_for_priority(&self, machine: usize, priority: Priority) -> Resources {
-        self.free_beside(machine, |reservation| reservation.priority >= priority)
+        self.free_excluding(machine, |reservation| reservation.priority >= priority)
     }
 
     /// The free capacity beside all reservations.
     pub(crate) fn unreserved_capacity(&self, machine: usize) -> Resources {
-        self.free_beside(machine, |_| true)
+        self.free_excluding(machine, |_| true)
     }
 
-    fn free_beside(&self, machine: usize, counts: impl Fn(&Reservation) -> bool) -> Resources {
+    fn free_excluding(&self, machine: usize, counts: impl Fn(&Reservation) -> bool) -> Resources {
         let mut free = self.fleet.free[machine];
         for reservation in self.fleet.reservations.on(machine) {
             if counts(reservation) {
--- a/src/plan/indexes/capacity_index.rs
+++ b/src/plan/indexes/capacity_index.rs
@@ -1,4 +1,5 @@
-//! Machines by their free capacity, so that a search examines those that it uses and few others.
+//! An index of machines by free capacity, so that a search examines few machines that it
+//! does not use.
 
 use std::collections::btree_set::Range;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -6,15 +7,15 @@
 use crate::plan::ranked_machine::{Rank, RankedMachine};
 use crate::plan::resources::{Resources, EPSILON};
 
-/// The number of levels that CPUs and memory are divided into: a machine that lacks one and
-/// has much of the other is not examined without result.
-const LEVELS: f64 = 8.0;
+/// The number of levels that free CPUs and free memory are divided into, so that machines with
+/// much of one but too little of the other are skipped without being examined.
+const CAPACITY_LEVELS: f64 = 8.0;
 
-/// The key of machines of one kind with about as much free capacity.
+/// The key of machines of one kind with similar free capacity.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct CapacityBucket {
     kind: usize,
-    /// Whole GPUs.
+    /// The number of whole free GPUs.
     gpus: u32,
     cpu_level: u32,
     memory_level: u32,
@@ -24,7 +25,7 @@
     fn new(kind: usize, total: Resources, free: Resources) -> CapacityBucket {
         let level = |free: f64, total: f64| {
             let share = if total > EPSILON { free / total } else { 0.0 };
-            (share * LEVELS).max(0.0) as u32
+            (share * CAPACITY_LEVELS).max(0.0) as u32
         };
         CapacityBucket {
             kind,
@@ -34,7 +35,7 @@
         }
     }
 
-    /// Whether its machines may have capacity for a demand that would just fit into `least`.
+    /// Whether machines in this bucket may have capacity for a demand whose own bucket is `least`.
     fn may_hold(&self, least: &CapacityBucket) -> bool {
         self.kind == least.kind
             && self.gpus >= least.gpus
@@ -43,17 +44,17 @@
     }
 }
 
-/// Where a machine is in the index.
+/// The position of a machine in the index.
 #[derive(Debug, Clone, Copy, PartialEq)]
 struct IndexPosition {
     bucket: CapacityBucket,
     entry: RankedMachine,
 }
 
-/// Machines by kind and free capacity, and within a bucket by the share that is free.
+/// Machines by kind and free capacity, ordered within a bucket by the share of free capacity.
 ///
-/// For machines of one kind what is left after a task grows with the share that is free, so
-/// the cheapest placement in a bucket is on its first machine that fits.
+/// For machines of one kind the capacity left over by a task grows with the free share, so the
+/// cheapest placement in a bucket is on the first machine with enough capacity.
 #[derive(Debug, Default)]
 pub(in crate::plan) struct CapacityIndex {
     buckets: BTreeMap<CapacityBucket, BTreeSet<RankedMachine>>,
@@ -76,15 +77,15 @@
                 machine,
             },
         });
-        let known = match position {
+        let previous = match position {
             Some(position) => self.positions.insert(machine, position),
             None => self.positions.remove(&machine),
         };
-        if known == position {
+        if previous == position {
             return;
         }
-        if let Some(known) = known {
-            self.remove(known);
+        if let Some(previous) = previous {
+            self.remove(previous);
         }
         if let Some(IndexPosition { bucket, entry }) = position {
             self.buckets.entry(bucket).or_default().insert(entry);
@@ -101,13 +102,14 @@
         }
     }
 
-    /// Whether no machine has capacity.
+    /// Whether the index contains no machine.
     pub(crate) fn is_empty(&self) -> bool {
         self.positions.is_empty()
     }
 
-    /// The machines that may have capacity for `demand`, one iterator for each bucket of the
-    /// allowed kinds, the least capacity first. `totals`: what a machine of each kind has.
+    /// Returns the machines that may have capacity for `demand`: one iterator for each bucket of
+    /// the allowed kinds, the lowest free share first. `totals`: the total capacity of a machine
+    /// of each kind.
     pub(crate) fn buckets_for(
         &self,
         demand: Resources,
@@ -136,7 +138,7 @@
     }
 }
 
-/// The machines of a bucket, the least capacity first.
+/// The machines of a bucket, the lowest free share first.
 pub(in crate::plan) struct BucketIter<'a>(Range<'a, RankedMachine>);
 
 impl Iterator for BucketIter<'_> {
@@ -147,7 +149,7 @@
     }
 }
 
-/// The least capacity that still fits a demand, given rounding.
+/// The least capacity that still holds a demand within the rounding tolerance.
 fn just_below(demand: Resources) -> Resources {
     Resources {
         cpus: demand.cpus - EPSILON,
--- a/src/plan/indexes/mod.rs
+++ b/src/plan/indexes/mod.rs
@@ -1,7 +1,7 @@
-//! The machines of a fleet in the orders that searches need.
+//! Indexes of the machines of a fleet, in the orders that searches need.
 //!
-//! [`FleetIndexes`] are made from one view of a fleet. After any change of a machine the caller
-//! passes the same view to [`FleetIndexes::update`].
+//! [`FleetIndexes`] are built from one view of a fleet. After any change of a machine the caller
+//! has to pass the same view to [`FleetIndexes::update`]; otherwise searches see old capacity.
 
 mod capacity_index;
 mod preemption_candidates;
@@ -17,29 +17,29 @@
 use super::resources::Resources;
 use crate::job::Priority;
 
-/// The most lists of preemption candidates that are kept: jobs of a class mostly ask for the
-/// same, and each list that is kept has to be updated with each change.
+/// The most lists of preemption candidates that are retained. Jobs of a class mostly have the
+/// same demand and can share a list, and each retained list has to be updated with each change.
 const CANDIDATE_LISTS_MAX: usize = 8;
 
 /// Indexes of all machines of a fleet.
 pub(super) struct FleetIndexes {
-    /// No job of the queue asks for less of anything. Capacity only shrinks within a cycle, so
-    /// machines without capacity for it can't take a task as they are.
+    /// The minimum of each resource over all queued jobs. Capacity only shrinks within a cycle,
+    /// so a machine without this much free capacity can't receive a task without preemption.
     smallest_demand: Resources,
-    /// Machines with capacity for the smallest demand, beside all reservations.
+    /// Machines with unreserved capacity for the smallest demand.
     all: CapacityIndex,
-    /// Of these the ones that have an image, for the images that were prepared.
+    /// The subset of `all` that has an image, for each prepared image.
     by_image: HashMap<Arc<str>, CapacityIndex>,
-    /// Preemption candidates, least recently prepared first.
+    /// Lists of preemption candidates, the oldest first.
     candidates: Vec<PreemptionCandidates>,
-    /// Machines with reservations of jobs of a priority: jobs of a higher priority may use
-    /// the capacity.
+    /// Machines with reservations, by the priority of the reserving job: jobs of a higher priority
+    /// may use the reserved capacity.
     reserved: BTreeMap<Priority, BTreeSet<usize>>,
 }
 
 impl FleetIndexes {
-    /// Indexes of all machines in a view. `smallest_demand`: no job of the queue asks for less
-    /// of anything.
+    /// Indexes all machines in a view. `smallest_demand`: the minimum of each resource over all
+    /// queued jobs.
     pub(super) fn new(view: FleetView, smallest_demand: Resources) -> FleetIndexes {
         let mut indexes = FleetIndexes {
             smallest_demand,
@@ -54,7 +54,7 @@
         indexes
     }
 
-    /// No job of the queue asks for less of anything.
+    /// The minimum of each resource over all queued jobs.
     pub(super) fn smallest_demand(&self) -> Resources {
         self.smallest_demand
     }
@@ -85,24 +85,24 @@
         }
     }
 
-    /// Whether no machine has capacity for any job of the queue, nor a reservation.
+    /// Whether no machine has capacity for any queued job or holds a reservation.
     pub(super) fn is_full(&self) -> bool {
         self.all.is_empty() && self.reserved.values().all(BTreeSet::is_empty)
     }
 
-    /// The machines with unreserved capacity.
+    /// The machines with unreserved capacity for the smallest demand.
     pub(super) fn all(&self) -> &CapacityIndex {
         &self.all
     }
 
-    /// Machines with reservations of jobs of lower priorities.
+    /// Machines with reservations of jobs with a lower priority.
     pub(super) fn reserved_below(&self, priority: Priority) -> impl Iterator<Item = usize> + '_ {
         let lower = self.reserved.range(..priority);
         lower.flat_map(|(_, machines)| machines.iter().copied())
     }
 
-    /// Makes sure that there is an index of the machines that have an image. The image has to
-    /// be prepared in the fleet before.
+    /// Builds the index of the machines that have an image, unless it exists. The image has to
+    /// be prepared in the fleet first.
     pub(super) fn prepare_image(&mut self, view: FleetView, image: &str) {
         if self.by_image.contains_key(image) {
             return;
@@ -114,26 +114,27 @@
         self.by_image.insert(image.into(), index);
     }
 
-    /// The machines with unreserved capacity that have an image, once prepared.
+    /// The machines with unreserved capacity that have an image; `None` if it is not prepared.
     pub(super) fn with_image(&self, image: &str) -> Option<&CapacityIndex> {
         self.by_image.get(image)
     }
 
-    /// Makes sure that there is a list of preemption candidates for a job, also by its image.
+    /// Builds the list of preemption candidates for a job, and its index by the job's image, unless
+    /// they exist.
     pub(super) fn prepare_candidates(&mut self, view: FleetView, preemptor: &Preemptor) {
         self.prepare_candidate_list(view, preemptor);
         let image = preemptor.spec.image.as_str();
         let lists = self.candidates.iter_mut();
-        for candidates in lists.filter(|candidates| candidates.is_for(preemptor)) {
+        for candidates in lists.filter(|candidates| candidates.applies_to(preemptor)) {
             candidates.prepare_image(view, image);
         }
     }
 
     fn prepare_candidate_list(&mut self, view: FleetView, preemptor: &Preemptor) {
         if preemptor.is_within_nominal_quota {
-            // Which teams borrow quota changes with every placement: the list is made anew.
+            // Each placement changes which teams borrow quota, so an existing list is outdated.
             self.candidates
-                .retain(|candidates| !candidates.is_for(preemptor));
+                .retain(|candidates| !candidates.applies_to(preemptor));
         } else if self.candidates_for(preemptor).is_some() {
             return;
         }
@@ -144,11 +145,11 @@
             .push(PreemptionCandidates::new(view, preemptor.clone()));
     }
 
-    /// The preemption candidates for a job, once prepared.
+    /// The preemption candidates for a job; `None` if they are not prepared.
     pub(super) fn candidates_for(&self, preemptor: &Preemptor) -> Option<&PreemptionCandidates> {
         self.candidates
             .iter()
-            .find(|candidates| candidates.is_for(preemptor))
+            .find(|candidates| candidates.applies_to(preemptor))
     }
 }
 
--- a/src/plan/indexes/preemption_candidates.rs
+++ b/src/plan/indexes/preemption_candidates.rs
@@ -1,4 +1,4 @@
-//! Machines that could take one more task of a job with preemption, by cost.
+//! Machines that could receive one more task of a job through preemption, ordered by cost.
 
 use std::collections::{btree_set, BTreeSet, HashMap, HashSet};
 use std::sync::Arc;
@@ -7,16 +7,16 @@
 use crate::plan::preemption::{Preemptor, VictimSelector};
 use crate::plan::ranked_machine::{Rank, RankedMachine};
 
-/// Machines by the cost of one more task, fetches aside.
+/// Machines by the cost of one more task, without image fetches.
 type CostOrder = BTreeSet<RankedMachine>;
 
-/// The machines that would have capacity for one more task of a preemptor if others were
-/// preempted, the cheapest first, fetches aside. They hold for all alike preemptors without
-/// reservations.
+/// The machines that would have capacity for one more task of a preemptor after preemption, the
+/// cheapest first, with costs that exclude image fetches. Valid for all equivalent preemptors on
+/// machines without reservations of their own.
 pub(in crate::plan) struct PreemptionCandidates {
     preemptor: Preemptor,
     ordered: CostOrder,
-    /// Of these the ones that have an image, for the images that were prepared.
+    /// The subset of `ordered` that has an image, for each prepared image.
     by_image: HashMap<Arc<str>, CostOrder>,
     cost_of: HashMap<usize, Rank>,
 }
@@ -36,13 +36,13 @@
         candidates
     }
 
-    /// Whether they hold for this preemptor, too.
-    pub(crate) fn is_for(&self, preemptor: &Preemptor) -> bool {
-        self.preemptor.is_like(preemptor)
+    /// Whether the candidates are valid for this preemptor, too.
+    pub(crate) fn applies_to(&self, preemptor: &Preemptor) -> bool {
+        self.preemptor.shares_candidates_with(preemptor)
     }
 
-    /// Makes sure that the candidates that have an image are known separately. The image has
-    /// to be prepared in the fleet before.
+    /// Builds the order of the candidates that have an image, unless it exists. The image has to
+    /// be prepared in the fleet first.
     pub(crate) fn prepare_image(&mut self, view: FleetView, image: &str) {
         if self.by_image.contains_key(image) {
             return;
@@ -60,17 +60,17 @@
     /// Updates the candidates after a change of a machine.
     pub(crate) fn update(&mut self, view: FleetView, machine: usize) {
         let cost = self.cost_on(view, machine);
-        let known = match cost {
+        let previous = match cost {
             Some(cost) => self.cost_of.insert(machine, cost),
             None => self.cost_of.remove(&machine),
         };
-        if known == cost {
+        if previous == cost {
             return;
         }
-        replace(&mut self.ordered, machine, known, cost);
+        replace(&mut self.ordered, machine, previous, cost);
         for image in &view.fleet.machine(machine).images {
             if let Some(order) = self.by_image.get_mut(image) {
-                replace(order, machine, known, cost);
+                replace(order, machine, previous, cost);
             }
         }
     }
@@ -87,7 +87,7 @@
         CandidateIter(self.ordered.iter())
     }
 
-    /// The candidates that have an image, the cheapest first, once prepared.
+    /// The candidates that have an image, the cheapest first; `None` if it is not prepared.
     pub(crate) fn iter_with_image(&self, image: &str) -> Option<CandidateIter<'_>> {
         let ordered = self.by_image.get(image)?;
         Some(CandidateIter(ordered.iter()))
@@ -95,8 +95,8 @@
 }
 
 /// Moves a machine within an order after a change of its cost.
-fn replace(order: &mut CostOrder, machine: usize, known: Option<Rank>, cost: Option<Rank>) {
-    if let Some(rank) = known {
+fn replace(order: &mut CostOrder, machine: usize, previous: Option<Rank>, cost: Option<Rank>) {
+    if let Some(rank) = previous {
         order.remove(&RankedMachine { rank, machine });
     }
     if let Some(rank) = cost {
@@ -104,10 +104,10 @@
     }
 }
 
-/// A machine with the cost of one more task on it, fetches aside.
+/// A machine with the cost of one more task on it, without image fetches.
 #[derive(Debug, Clone, Copy)]
 pub(in crate::plan) struct CandidateCost {
-    /// The machine's index.
+    /// The machine's index in the snapshot.
     pub machine: usize,
     /// The cost in seconds.
     pub cost_s: f64,
--- a/src/plan/preemption/preemptor.rs
+++ b/src/plan/preemption/preemptor.rs
@@ -1,4 +1,4 @@
-//! The job that others are preempted for.
+//! The job that tasks of other jobs are preempted for.
 
 use std::sync::Arc;
 
@@ -6,19 +6,19 @@
 use crate::plan::resources::Resources;
 use crate::plan::snapshot::JobView;
 
-/// A job that may preempt others.
+/// A job that may preempt tasks of other jobs.
 #[derive(Debug, Clone)]
 pub(in crate::plan) struct Preemptor {
-    /// The job.
+    /// The job's id.
     pub job: Arc<str>,
-    /// What it asks for.
+    /// The job's specification.
     pub spec: Arc<JobSpec>,
-    /// All unfinished work of its team fits into the nominal quota.
+    /// Whether all unfinished work of the job's team fits into the team's nominal quota.
     pub is_within_nominal_quota: bool,
 }
 
 impl Preemptor {
-    /// A job as a preemptor, given how its team's unfinished work compares to its nominal quota.
+    /// Makes a preemptor of a job.
     pub(crate) fn new(job: &JobView, is_within_nominal_quota: bool) -> Preemptor {
         Preemptor {
             job: job.id.clone(),
@@ -27,8 +27,8 @@
         }
     }
 
-    /// Whether both have the same preemption candidates at the same costs.
-    pub(crate) fn is_like(&self, other: &Preemptor) -> bool {
+    /// Whether both preemptors have the same preemption candidates at the same costs.
+    pub(crate) fn shares_candidates_with(&self, other: &Preemptor) -> bool {
         let alike = Resources::of(&self.spec) == Resources::of(&other.spec)
             && self.spec.priority == other.spec.priority
             && self.spec.spot == other.spec.spot;
--- a/src/plan/preemption/victims.rs
+++ b/src/plan/preemption/victims.rs
@@ -1,4 +1,4 @@
-//! Which tasks a preemptor may preempt on a machine, and which of them cost the least.
+//! Which tasks a preemptor may preempt on a machine, and which victims have the lowest cost.
 
 use std::collections::HashSet;
 
@@ -7,16 +7,17 @@
 use crate::plan::resources::Resources;
 use crate::plan::snapshot::MachineView;
 
-/// The victims that make capacity for one more task on a machine.
+/// The victims whose preemption frees capacity for one more task on a machine.
 #[derive(Debug)]
 pub(in crate::plan) struct VictimChoice {
-    /// What their preemption wastes and what is left over, in seconds; fetches aside.
+    /// The cost of preempting the victims and of the placement, without image fetches.
     pub cost_s: f64,
-    /// Their indexes on the machine; empty if the task fits without.
+    /// The victims' indexes among the tasks of the machine; empty if the task fits without
+    /// preemption.
     pub victims: Vec<usize>,
 }
 
-/// Victims with the capacity of their machine once they are stopped.
+/// Victims and the free capacity of their machine once they are stopped.
 struct VictimSet {
     victims: Vec<usize>,
     capacity: Resources,
@@ -40,10 +41,10 @@
         }
     }
 
-    /// How many tasks of the preemptor a machine would hold if all that it may preempt there
-    /// were stopped.
+    /// How many tasks of the preemptor a machine would hold if every task that it may preempt
+    /// there were stopped.
     pub(crate) fn tasks_if_preempted(&self, machine: usize) -> u32 {
-        self.fleet.note_examined();
+        self.fleet.count_examined_machine();
         let preemptor = self.preemptor;
         let mut capacity = self
             .view
@@ -59,35 +60,35 @@
         capacity.count_of(Resources::of(&preemptor.spec))
     }
 
-    /// The victims that make capacity for one more task on a machine with this free capacity,
-    /// and what that costs; `None` if no victims make enough. `already_chosen`: victims
-    /// that the same search has chosen for other tasks.
+    /// Chooses the victims that free capacity for one more task on a machine with this free
+    /// capacity; `None` if preemption cannot free enough. `already_chosen`: victims that the same
+    /// search has chosen for other tasks.
     pub(crate) fn choose(
         &self,
         machine: usize,
         free: Resources,
         already_chosen: &HashSet<TaskIndex>,
     ) -> Option<VictimChoice> {
-        self.fleet.note_examined();
+        self.fleet.count_examined_machine();
         let demand = Resources::of(&self.preemptor.spec);
         if !free.fits(demand) && self.has_no_victims(machine) {
             return None;
         }
         let view = self.fleet.machine(machine);
         let chosen = self.cheapest_victims(machine, free, already_chosen)?;
-        let wasted_s = self.weighted_waste_s(view, &chosen.victims);
+        let preemption_cost_s = self.weighted_preemption_cost_s(view, &chosen.victims);
         let spec = &self.preemptor.spec;
         let placement_cost_s = self
             .fleet
             .costs
             .placement_cost_s(view, spec, chosen.capacity);
         Some(VictimChoice {
-            cost_s: wasted_s + placement_cost_s,
+            cost_s: preemption_cost_s + placement_cost_s,
             victims: chosen.victims,
         })
     }
 
-    /// Takes victims in their order until the demand fits.
+    /// Adds eligible victims, the cheapest first, until the demand fits.
     fn cheapest_victims(
         &self,
         machine: usize,
@@ -103,7 +104,7 @@
             return Some(chosen);
         }
         let view = self.fleet.machine(machine);
-        for index in self.possible_victims(machine, already_chosen) {
+        for index in self.eligible_victims(machine, already_chosen) {
             chosen.capacity.add(view.tasks[index].resources);
             chosen.victims.push(index);
             if chosen.capacity.fits(demand) {
@@ -113,10 +114,10 @@
         None
     }
 
-    /// The tasks on a machine that may be preempted, by priority and then by what is wasted.
-    fn possible_victims(&self, machine: usize, already_chosen: &HashSet<TaskIndex>) -> Vec<usize> {
+    /// The tasks on a machine that may be preempted, by priority and then by lost work.
+    fn eligible_victims(&self, machine: usize, already_chosen: &HashSet<TaskIndex>) -> Vec<usize> {
         let tasks = &self.fleet.machine(machine).tasks;
-        let mut possible: Vec<usize> = (0..tasks.len())
+        let mut eligible: Vec<usize> = (0..tasks.len())
             .filter(|task| {
                 let task = TaskIndex {
                     machine,
@@ -125,26 +126,27 @@
                 !already_chosen.contains(&task) && self.may_preempt(task)
             })
             .collect();
-        let waste_s = |index: usize| self.fleet.costs.preemption_waste_s(&tasks[index]);
-        possible.sort_by(|a, b| {
+        let cost_s = |index: usize| self.fleet.costs.preemption_cost_s(&tasks[index]);
+        eligible.sort_by(|a, b| {
             let priorities = tasks[*a].priority.cmp(&tasks[*b].priority);
-            priorities.then_with(|| waste_s(*a).total_cmp(&waste_s(*b)))
+            priorities.then_with(|| cost_s(*a).total_cmp(&cost_s(*b)))
         });
-        possible
+        eligible
     }
 
-    /// What preempting the victims wastes, weighted by the share of the machine that each uses.
-    fn weighted_waste_s(&self, view: &MachineView, victims: &[usize]) -> f64 {
-        let weighted_waste_s = |index: &usize| {
+    /// The cost of preempting the victims in seconds, weighted by the share of the machine that
+    /// each uses.
+    fn weighted_preemption_cost_s(&self, view: &MachineView, victims: &[usize]) -> f64 {
+        let weighted_preemption_cost_s = |index: &usize| {
             let task = &view.tasks[*index];
             let share = task.resources.share_of(view.total);
-            (self.fleet.costs.preemption_waste_s(task) + 1.0) * share
+            (self.fleet.costs.preemption_cost_s(task) + 1.0) * share
         };
-        victims.iter().map(weighted_waste_s).sum::<f64>()
+        victims.iter().map(weighted_preemption_cost_s).sum::<f64>()
     }
 
-    /// Whether a task may be preempted: it has a lower priority, or it runs on capacity that
-    /// its team borrows from the preemptor's.
+    /// Whether a task may be preempted: it has a lower priority, or its team borrows quota while
+    /// the preemptor's team is within its nominal quota.
     fn may_preempt(&self, task: TaskIndex) -> bool {
         let view = &self.fleet.machine(task.machine).tasks[task.task];
         let preemptor = self.preemptor;
@@ -157,7 +159,8 @@
             && !self.view.is_victim(task)
     }
 
-    /// Whether nothing on a machine may be preempted; quick to see.
+    /// A cheap check whether no task on a machine may be preempted. May return false even if none
+    /// may.
     fn has_no_victims(&self, machine: usize) -> bool {
         let lowest = self.fleet.machine(machine).lowest_priority;
         let none_lower = lowest.is_none_or(|lowest| lowest >= self.preemptor.spec.priority);
--- a/src/plan/resources.rs
+++ b/src/plan/resources.rs
@@ -5,7 +5,7 @@
 /// Differences below this come from rounding and are ignored.
 pub(super) const EPSILON: f64 = 1e-6;
 /// More tasks than any job has.
-pub(super) const COUNT_MAX: f64 = 100_000.0;
+pub(super) const TASK_COUNT_MAX: f64 = 100_000.0;
 /// How much GPUs weigh in the share of a machine, against CPUs and memory.
 const GPU_WEIGHT: f64 = 2.0;
 
@@ -69,7 +69,7 @@
         }
     }
 
-    /// How many tasks with this demand fit, at most `COUNT_MAX`.
+    /// How many tasks with this demand fit, at most `TASK_COUNT_MAX`.
     pub fn count_of(&self, demand: Resources) -> u32 {
         let fitting = |available: f64, demand: f64| {
             if demand <= EPSILON {
@@ -81,7 +81,7 @@
         let count = fitting(self.cpus, demand.cpus)
             .min(fitting(self.gpus, demand.gpus))
             .min(fitting(self.memory_gb, demand.memory_gb));
-        count.clamp(0.0, COUNT_MAX) as u32
+        count.clamp(0.0, TASK_COUNT_MAX) as u32
     }
 
     /// The share that this is of `total`, from 0 to 1: the mean of CPUs, memory and, with more
--- a/src/plan/search/best_zone.rs
+++ b/src/plan/search/best_zone.rs
@@ -1,18 +1,18 @@
-//! The search for machines for one job, over the zones if the job must be in one.
+//! The search for machines for one job; compares the zones if all its tasks must be in one.
 
 use super::request::{Assignment, SearchContext, SearchMode};
 use super::scope::SearchScope;
 use super::zone_search::ZoneSearch;
 use crate::plan::cost::fetch_cost_s;
 
-/// What was found in a zone.
+/// The assignment found in one zone, with its cost.
 struct ZoneResult {
     assignment: Assignment,
     cost_s: f64,
 }
 
 impl ZoneResult {
-    /// More tasks are better, then fewer victims, then a lower cost.
+    /// Whether this result has more tasks, then fewer victims, then a lower cost than the other.
     fn is_better(&self, other: &ZoneResult) -> bool {
         let (own, others) = (&self.assignment, &other.assignment);
         let by_tasks = others.tasks.len().cmp(&own.tasks.len());
@@ -23,7 +23,7 @@
     }
 }
 
-/// Finds machines in the best zone if the job must be in one, else in all zones.
+/// Finds machines for a job: in the best zone if the job requires a single one, else in all.
 pub(in crate::plan) fn search(context: &SearchContext) -> Option<Assignment> {
     if !context.request.job.spec.single_zone {
         return search_zone(context, None);
@@ -44,7 +44,7 @@
     best.map(|result| result.assignment)
 }
 
-/// Finds machines in a zone, or in all.
+/// Finds machines in `zone`, or in all zones if it is `None`.
 fn search_zone(context: &SearchContext, zone: Option<&str>) -> Option<Assignment> {
     let scope = SearchScope::new(context, zone);
     let min_count = context.request.min_count;
@@ -56,7 +56,7 @@
 
 fn possible_zones<'a>(context: &SearchContext<'a>) -> Vec<&'a str> {
     let zones = &context.request.job.zones;
-    // Tasks that remain of an old attempt keep the job in their zone.
+    // Tasks of an earlier attempt that may still be placed tie the job to their zone.
     if let Some((zone, _)) = zones.iter().find(|(_, count)| **count > 0) {
         return vec![zone];
     }
@@ -68,13 +68,13 @@
     zones
 }
 
-/// The cost of an assignment as if its machines were empty, to compare zones by.
+/// The cost of an assignment with its machines counted as empty; used to compare zones.
 fn assignment_cost_s(context: &SearchContext, assignment: &Assignment) -> f64 {
     let fleet = context.view.fleet;
     let spec = &context.request.job.spec;
     let image_machines = fleet.images.get(&spec.image);
     let costs = assignment.tasks.iter().map(|assigned| {
-        let has_image = image_machines.is_some_and(|known| known.contains(assigned.machine));
+        let has_image = image_machines.is_some_and(|machines| machines.contains(assigned.machine));
         let view = fleet.machine(assigned.machine);
         fetch_cost_s(view, spec, has_image) + fleet.costs.placement_cost_s(view, spec, view.total)
     });
--- a/src/plan/search/candidate.rs
+++ b/src/plan/search/candidate.rs
@@ -1,34 +1,34 @@
-//! Machines that could take a task, in the order of their costs.
+//! Machines that could receive a task, ordered by cost.
 
 use std::cmp::Ordering;
 
 use crate::plan::resources::Resources;
 
-/// A machine that could take a task.
+/// A machine that could receive a task.
 ///
-/// The greatest is the one with the lowest cost, and at the same cost with the lowest index,
-/// so that a [`BinaryHeap`](std::collections::BinaryHeap) gives it first.
+/// The candidate with the lowest cost, and at equal cost with the lowest machine index, is the
+/// greatest, so that a [`BinaryHeap`](std::collections::BinaryHeap) pops it first.
 pub(super) struct Candidate {
     /// The cost of a placement, in seconds.
     pub cost_s: f64,
-    /// The machine's index.
+    /// The machine's index in the snapshot.
     pub machine: usize,
     /// The free capacity that the cost was calculated for.
     pub free: Resources,
     /// Indexes of the tasks on the machine that would be preempted.
     pub victims: Vec<usize>,
-    /// Where it comes from.
+    /// The queue that the candidate comes from.
     pub origin: Origin,
 }
 
-/// Where a candidate comes from.
+/// The queue that a candidate comes from.
 #[derive(Clone, Copy, PartialEq)]
 pub(super) enum Origin {
-    /// From the source with this index, which then gives its next machine.
+    /// The source with this index, which then provides its next machine.
     Source(usize),
-    /// From the preemption candidates: its victims have yet to be chosen.
+    /// The preemption candidates; the victims are not chosen yet.
     Preemption,
-    /// Its machine was examined individually.
+    /// None: the machine was examined individually.
     Examined,
 }
 
--- a/src/plan/search/free_machines.rs
+++ b/src/plan/search/free_machines.rs
@@ -9,15 +9,16 @@
 use crate::plan::indexes::{BucketIter, CapacityIndex};
 use crate::plan::resources::Resources;
 
-/// Machines in the order of what a placement on them costs.
+/// Machines of one index bucket, ordered by the cost of a placement.
 struct Source<'a> {
     machines: BucketIter<'a>,
-    /// All of them have the image; otherwise the source counts for those without it.
+    /// Whether all machines have the image. If false, the costs include a fetch, and machines
+    /// with the image are skipped as duplicates.
     has_image: bool,
 }
 
-/// Merges the buckets of the capacity indexes lazily: the heap holds one machine of each
-/// source, and the machines that were examined individually.
+/// Merges the buckets of the capacity indexes lazily: the heap holds the next machine of each
+/// source and the machines that were examined individually.
 pub(super) struct FreeMachines<'s, 'a> {
     scope: &'s SearchScope<'a>,
     sources: Vec<Source<'a>>,
@@ -35,16 +36,16 @@
         for source in 0..free.sources.len() {
             free.advance(source);
         }
-        free.push_extra_capacity();
+        free.push_machines_with_extra_capacity();
         free
     }
 
-    /// Adds the machines on which the job has capacity that the indexes don't know.
-    fn push_extra_capacity(&mut self) {
+    /// Adds the machines whose free capacity for the job exceeds what the indexes count.
+    fn push_machines_with_extra_capacity(&mut self) {
         let scope = self.scope;
-        for machine in scope.extra_capacity.iter().copied() {
+        for machine in scope.machines_with_extra_capacity.iter().copied() {
             let is_tried = scope.mode != SearchMode::Cached || scope.has_image(machine);
-            if !is_tried || !scope.is_allowed(machine) {
+            if !is_tried || !scope.is_machine_allowed(machine) {
                 continue;
             }
             let free = scope.free_for(machine);
@@ -54,8 +55,8 @@
         }
     }
 
-    /// Adds a machine back that was just assigned a task and has this capacity left. The image
-    /// is fetched for that task already.
+    /// Adds back a machine that was just assigned a task, with its remaining capacity. Further
+    /// tasks cost no fetch, as the first one fetches the image.
     pub(super) fn push_assigned(&mut self, machine: usize, free: Resources) {
         self.push(machine, free, true);
     }
@@ -70,16 +71,16 @@
         });
     }
 
-    /// Moves the next machine with capacity from a source to the heap.
+    /// Moves the next machine with enough capacity from a source to the heap.
     fn advance(&mut self, index: usize) {
         let scope = self.scope;
         let source = &mut self.sources[index];
         for machine in &mut source.machines {
-            scope.fleet.note_examined();
+            scope.fleet.count_examined_machine();
             let free = scope.free_for(machine);
             if !free.fits(scope.demand)
                 || scope.is_avoided(machine)
-                || scope.extra_capacity.contains(&machine)
+                || scope.machines_with_extra_capacity.contains(&machine)
             {
                 continue;
             }
@@ -94,7 +95,7 @@
         }
     }
 
-    /// The cheapest machine with capacity for one more task.
+    /// Returns the cheapest machine with capacity for one more task.
     pub(super) fn next(&mut self, progress: &SearchProgress) -> Option<Candidate> {
         while let Some(candidate) = self.heap.pop() {
             let machine = candidate.machine;
@@ -103,7 +104,8 @@
                 has_image = self.sources[source].has_image;
                 self.advance(source);
             }
-            // A machine with the image comes from a source of those that have it, too.
+            // Machines with the image are in the sources of both indexes; the copy from the index
+            // of all machines is dropped.
             let is_duplicate = !has_image && self.scope.has_image(machine);
             if !is_duplicate
                 && progress.is_current(&candidate)
@@ -116,7 +118,8 @@
     }
 }
 
-/// The buckets of the machines with the image and, if they are tried, of all machines.
+/// The buckets of the machines with the image and, unless only these are allowed, of all
+/// machines.
 fn sources<'a>(scope: &SearchScope<'a>) -> Vec<Source<'a>> {
     let buckets = |index: &'a CapacityIndex, has_image| {
         let buckets = scope.buckets(index).into_iter();
--- a/src/plan/search/mod.rs
+++ b/src/plan/search/mod.rs
@@ -1,14 +1,14 @@
 //! The search for placements for a job's tasks.
 //!
-//! The machines come from [`FleetIndexes`](super::indexes::FleetIndexes) lazily, in the order
-//! of what a placement on them costs, so a search costs in proportion to the tasks it places
-//! and not to the number of machines. A search changes nothing: its [`Assignment`] is applied
-//! by the cycle.
+//! The machines come from [`FleetIndexes`](super::indexes::FleetIndexes) lazily, ordered by the
+//! cost of a placement, so the time of a search is proportional to the number of tasks that it
+//! places and not to the number of machines. A search is read-only: the cycle applies its
+//! [`Assignment`].
 //!
-//! Within this folder `request` has the input and output, `scope` what stays the same during a
-//! search in one zone, and `progress` what it has assigned so far. `free_machines` and
-//! `preemptable_machines` are the two queues that candidates come from, `zone_search` takes
-//! from them, and `best_zone` compares zones.
+//! `request` has the input and output of a search, `scope` its constant parameters within one
+//! zone, and `progress` its assignments so far. `free_machines` and `preemptable_machines` are
+//! the two candidate queues, `zone_search` pops candidates from them, and `best_zone` compares
+//! zones.
 
 mod best_zone;
 mod candidate;
--- a/src/plan/search/preemptable_machines.rs
+++ b/src/plan/search/preemptable_machines.rs
@@ -1,4 +1,4 @@
-//! Machines on which others would be preempted, the cheapest first.
+//! Machines on which tasks of other jobs would be preempted, the cheapest first.
 
 use std::collections::{BinaryHeap, HashSet};
 use std::iter::Peekable;
@@ -10,20 +10,21 @@
 use crate::plan::resources::Resources;
 
 /// Merges the preemption candidates lazily with the machines that are examined individually:
-/// those with assigned tasks, and those with more capacity than the candidates count.
+/// those with tasks assigned by this search, and those with more capacity for the job than the
+/// candidates count.
 pub(super) struct PreemptableMachines<'s, 'a> {
     scope: &'s SearchScope<'a>,
     /// The candidates that have the image.
     with_image: Option<Peekable<CandidateIter<'a>>>,
-    /// All candidates; their costs are without fetches.
+    /// All candidates; their costs exclude image fetches.
     all: Option<Peekable<CandidateIter<'a>>>,
-    /// The least that a fetch of the image costs.
-    fetch_min_s: f64,
+    /// The lowest cost of fetching the image, over all kinds of machines.
+    min_fetch_cost_s: f64,
     heap: BinaryHeap<Candidate>,
 }
 
 impl<'s, 'a> PreemptableMachines<'s, 'a> {
-    /// The machines in a scope, after what the search has assigned so far.
+    /// The machines in a scope, given the assignments of the search so far.
     pub(super) fn new(scope: &'s SearchScope<'a>, progress: &SearchProgress) -> Self {
         let candidates = scope.preemption_candidates();
         let with_image =
@@ -34,7 +35,7 @@
             scope,
             with_image: with_image.map(Iterator::peekable),
             all: candidates.map(|candidates| candidates.iter().peekable()),
-            fetch_min_s: fetch_costs.fold(f64::INFINITY, f64::min),
+            min_fetch_cost_s: fetch_costs.fold(f64::INFINITY, f64::min),
             heap: BinaryHeap::new(),
         };
         machines.examine_individually(progress);
@@ -43,9 +44,13 @@
 
     fn examine_individually(&mut self, progress: &SearchProgress) {
         let scope = self.scope;
-        let extra_capacity = scope.extra_capacity.iter().copied();
-        let extra_capacity = extra_capacity.filter(|machine| scope.is_allowed(*machine));
-        let examined: HashSet<usize> = progress.machines().chain(extra_capacity).collect();
+        let machines_with_extra_capacity = scope.machines_with_extra_capacity.iter().copied();
+        let machines_with_extra_capacity =
+            machines_with_extra_capacity.filter(|machine| scope.is_machine_allowed(*machine));
+        let examined: HashSet<usize> = progress
+            .machines()
+            .chain(machines_with_extra_capacity)
+            .collect();
         for machine in examined {
             let free = progress.free_on(machine);
             let free = free.unwrap_or_else(|| scope.free_for(machine));
@@ -53,7 +58,7 @@
         }
     }
 
-    /// Adds a machine with this free capacity, if victims make enough capacity for a task.
+    /// Adds a machine with this free capacity, if preemption frees enough for a task.
     pub(super) fn push_examined(
         &mut self,
         machine: usize,
@@ -64,7 +69,7 @@
             .extend(examine(self.scope, machine, free, progress));
     }
 
-    /// The cheapest machine on which victims make capacity for one more task.
+    /// Returns the cheapest machine on which preemption frees capacity for one more task.
     pub(super) fn next(&mut self, progress: &SearchProgress) -> Option<Candidate> {
         loop {
             self.admit_candidates(progress);
@@ -88,7 +93,7 @@
         }
     }
 
-    /// Moves preemption candidates to the heap that may be cheaper than all in it.
+    /// Moves to the heap the preemption candidates that may be cheaper than its best entry.
     fn admit_candidates(&mut self, progress: &SearchProgress) {
         loop {
             if let Some(cached) = self.next_cached() {
@@ -112,10 +117,10 @@
 
     fn next_uncached(&mut self) -> Option<CandidateCost> {
         let best = self.heap.peek();
-        let fetch_min_s = self.fetch_min_s;
+        let min_fetch_cost_s = self.min_fetch_cost_s;
         let all = self.all.as_mut()?;
         all.next_if(|candidate| {
-            may_be_first(candidate.cost_s + fetch_min_s, candidate.machine, best)
+            may_be_first(candidate.cost_s + min_fetch_cost_s, candidate.machine, best)
         })
     }
 
@@ -128,10 +133,10 @@
     ) {
         let scope = self.scope;
         let machine = candidate.machine;
-        scope.fleet.note_examined();
-        let is_examined =
-            progress.free_on(machine).is_some() || scope.extra_capacity.contains(&machine);
-        if is_examined || !scope.is_allowed(machine) {
+        scope.fleet.count_examined_machine();
+        let is_examined = progress.free_on(machine).is_some()
+            || scope.machines_with_extra_capacity.contains(&machine);
+        if is_examined || !scope.is_machine_allowed(machine) {
             return;
         }
         self.heap.push(Candidate {
@@ -144,13 +149,14 @@
     }
 }
 
-/// Whether a preemption candidate that costs at least `cost_s` may be used before the best in
-/// the heap. At the same cost the lowest index goes first, so the rest of an order can wait.
+/// Whether a preemption candidate that costs at least `cost_s` may precede the best in the
+/// heap. Ties go to the lowest machine index, so all later candidates can be left unread.
 fn may_be_first(cost_s: f64, machine: usize, best: Option<&Candidate>) -> bool {
     best.is_none_or(|best| Candidate::compare(cost_s, machine, best).is_lt())
 }
 
-/// A machine with the victims that make capacity for one more task, and the cost.
+/// Chooses the victims that free capacity for one more task on a machine, and calculates the
+/// cost; `None` if preemption cannot free enough.
 fn examine(
     scope: &SearchScope,
     machine: usize,
--- a/src/plan/search/progress.rs
+++ b/src/plan/search/progress.rs
@@ -1,4 +1,4 @@
-//! What a search has assigned so far.
+//! The assignments of a search so far.
 
 use std::collections::{HashMap, HashSet};
 use std::sync::Arc;
@@ -9,9 +9,9 @@
 use crate::plan::resources::Resources;
 use crate::plan::snapshot::{tasks_per_zone_max, JobView, MachineView, ZoneCounts};
 
-/// The tasks assigned so far, and what they leave for the next.
+/// The tasks assigned so far, and the capacity that remains for the next.
 pub(super) struct SearchProgress {
-    /// What the search found.
+    /// The tasks and victims so far.
     pub assignment: Assignment,
     /// Free capacity of the machines with assigned tasks.
     free: HashMap<usize, Resources>,
@@ -38,7 +38,7 @@
         self.free.get(&machine).copied()
     }
 
-    /// The machines with assigned tasks, in no order.
+    /// The machines with assigned tasks, in no particular order.
     pub(super) fn machines(&self) -> impl Iterator<Item = usize> + '_ {
         self.free.keys().copied()
     }
@@ -48,7 +48,7 @@
         &self.chosen_victims
     }
 
-    /// Whether one more task may be in a zone.
+    /// Whether the spread limit allows one more task in a zone.
     pub(super) fn zone_has_capacity(&self, zone: &Arc<str>) -> bool {
         self.zone_max == u32::MAX || self.zones.get(zone).copied().unwrap_or(0) < self.zone_max
     }
@@ -59,7 +59,7 @@
         free.is_none_or(|free| *free == candidate.free)
     }
 
-    /// Assigns a task to a candidate's machine, and returns the capacity that is left there.
+    /// Assigns a task to a candidate's machine, and returns the machine's remaining capacity.
     pub(super) fn assign(
         &mut self,
         task: u32,
--- a/src/plan/search/request.rs
+++ b/src/plan/search/request.rs
@@ -1,62 +1,60 @@
-//! What a search is asked for, goes by and finds.
+//! The input and output of a search.
 
 use crate::plan::fleet::{FleetView, TaskIndex};
 use crate::plan::indexes::FleetIndexes;
 use crate::plan::preemption::Preemptor;
 use crate::plan::snapshot::JobView;
 
-/// Which machines a job is tried on.
+/// Which machines a search considers.
 #[derive(Clone, Copy, PartialEq)]
 pub(in crate::plan) enum SearchMode {
-    /// Machines with free capacity that have or fetch its image.
+    /// Only machines with free capacity that have the job's image or are fetching it.
     Cached,
-    /// Machines with free capacity.
+    /// Only machines with free capacity.
     Free,
-    /// Also machines on which others would be preempted.
+    /// Also machines on which tasks of other jobs would be preempted.
     WithVictims,
 }
 
-/// A task with its machine.
+/// A task and the machine that it is assigned to.
 pub(in crate::plan) struct TaskAssignment {
     /// The task's number.
     pub task: u32,
-    /// The machine's index.
+    /// The machine's index in the snapshot.
     pub machine: usize,
 }
 
-/// What a search found.
+/// The result of a search.
 #[derive(Default)]
 pub(in crate::plan) struct Assignment {
-    /// Machines for the first of the pending tasks, in their order.
+    /// Machines for a prefix of the pending tasks, in the same order.
     pub tasks: Vec<TaskAssignment>,
-    /// The victims that make capacity for them.
+    /// The victims that have to be preempted for these tasks.
     pub victims: Vec<TaskIndex>,
-    /// A machine with capacity was skipped because it lacks the image.
+    /// Whether a machine with enough capacity was skipped because it lacks the image.
     pub skipped_uncached_machines: bool,
 }
 
-/// What is searched for.
+/// A request for machines for pending tasks of one job.
 #[derive(Clone, Copy)]
 pub(in crate::plan) struct SearchRequest<'a> {
-    /// The job.
     pub job: &'a JobView,
-    /// Its tasks that need machines.
+    /// The numbers of the tasks that need machines.
     pub pending: &'a [u32],
-    /// Which machines are tried.
+    /// Which machines are considered.
     pub mode: SearchMode,
-    /// The least number of tasks: the search finds that many or nothing.
+    /// The minimum number of tasks: with fewer the search returns no assignment.
     pub min_count: usize,
 }
 
-/// What a search goes by. The job's image, and with victims its preemption candidates, have to
-/// be prepared in the indexes before.
+/// The data that a search reads. The indexes must have been prepared for the job's image and,
+/// with [`SearchMode::WithVictims`], for its preemption candidates: otherwise the search misses
+/// machines.
 #[derive(Clone, Copy)]
 pub(in crate::plan) struct SearchContext<'a> {
-    /// The fleet.
     pub view: FleetView<'a>,
-    /// The indexes made from the same view.
+    /// The indexes built from the same view.
     pub indexes: &'a FleetIndexes,
-    /// What is searched for.
     pub request: SearchRequest<'a>,
     /// The job as a preemptor.
     pub preemptor: &'a Preemptor,
--- a/src/plan/search/scope.rs
+++ b/src/plan/search/scope.rs
@@ -1,4 +1,4 @@
-//! What stays the same during a search in one zone, or in all.
+//! The constant parameters of a search in one zone, or in all.
 
 use std::collections::BTreeSet;
 
@@ -10,27 +10,25 @@
 use crate::plan::resources::Resources;
 use crate::plan::snapshot::JobView;
 
-/// The machines that a job may use in a search, and what a placement on them costs.
+/// The machines that a job may use in a search, and the costs of placements on them.
 pub(super) struct SearchScope<'a> {
-    /// The job.
     pub job: &'a JobView,
-    /// What each of its tasks asks for.
+    /// The resources that each task of the job requests.
     pub demand: Resources,
-    /// Which machines are tried.
+    /// Which machines are considered.
     pub mode: SearchMode,
-    /// The machines.
     pub fleet: &'a Fleet,
-    /// Their indexes.
+    /// The indexes of the fleet.
     pub indexes: &'a FleetIndexes,
-    /// The choice of victims for the job.
+    /// Selects victims for the job.
     pub victims: VictimSelector<'a>,
-    /// Machines on which the job has capacity that the indexes don't know: its own
-    /// reservations and those of lower priority.
-    pub extra_capacity: BTreeSet<usize>,
+    /// Machines whose free capacity for the job exceeds what the indexes count: those with its
+    /// own reservations or reservations of lower priority.
+    pub machines_with_extra_capacity: BTreeSet<usize>,
     view: FleetView<'a>,
     preemptor: &'a Preemptor,
     image_machines: Option<&'a ImageMachines>,
-    /// For each kind, whether the job may use its machines in this zone.
+    /// For each kind of machine, whether the job may use it in this zone.
     kind_allowed: Vec<bool>,
 }
 
@@ -42,11 +40,11 @@
         let kind_allowed = fleet.allowed_kinds(&job.spec, zone);
         let own = fleet.reservations.machines_of(&job.id).iter().copied();
         let lower = context.indexes.reserved_below(job.spec.priority);
-        let extra_capacity = own.chain(lower);
-        let extra_capacity =
-            extra_capacity.filter(|machine| kind_allowed[fleet.kinds.of(*machine)]);
+        let machines_with_extra_capacity = own.chain(lower);
+        let machines_with_extra_capacity =
+            machines_with_extra_capacity.filter(|machine| kind_allowed[fleet.kinds.of(*machine)]);
         SearchScope {
-            extra_capacity: extra_capacity.collect(),
+            machines_with_extra_capacity: machines_with_extra_capacity.collect(),
             job,
             demand: Resources::of(&job.spec),
             mode: context.request.mode,
@@ -61,17 +59,17 @@
     }
 
     /// Whether the job may use a machine.
-    pub(super) fn is_allowed(&self, machine: usize) -> bool {
+    pub(super) fn is_machine_allowed(&self, machine: usize) -> bool {
         self.kind_allowed[self.fleet.kinds.of(machine)] && !self.is_avoided(machine)
     }
 
-    /// Whether the job failed on a machine before.
+    /// Whether the job avoids a machine because it failed there before.
     pub(super) fn is_avoided(&self, machine: usize) -> bool {
         let name = &self.fleet.machine(machine).name;
         self.job.avoided_machines.contains(name)
     }
 
-    /// Whether a machine has or fetches the job's image.
+    /// Whether a machine has the job's image or is fetching it.
     pub(super) fn has_image(&self, machine: usize) -> bool {
         let known = self.image_machines;
         known.is_some_and(|known| known.contains(machine))
@@ -101,39 +99,44 @@
         self.indexes.candidates_for(self.preemptor)
     }
 
-    /// The allowed machines of an index that may have capacity for a task, by bucket.
+    /// The machines of the allowed kinds in an index that may have capacity for a task, by bucket.
     pub(super) fn buckets(&self, index: &'a CapacityIndex) -> Vec<BucketIter<'a>> {
         let totals = self.fleet.kinds.totals();
         index.buckets_for(self.demand, &self.kind_allowed, totals)
     }
 
-    /// Whether all machines together hold `count` tasks, if all that the job may preempt were
-    /// stopped.
+    /// Whether the machines together could hold `count` tasks if every task that the job may
+    /// preempt were stopped.
     pub(super) fn can_hold(&self, count: usize) -> bool {
         let candidates = self.preemption_candidates();
         let preemptable = candidates
             .into_iter()
             .flat_map(PreemptionCandidates::iter)
             .map(|candidate| candidate.machine)
-            .filter(|machine| !self.extra_capacity.contains(machine));
+            .filter(|machine| !self.machines_with_extra_capacity.contains(machine));
         let mut held = 0;
-        for machine in self.extra_capacity.iter().copied().chain(preemptable) {
+        for machine in self
+            .machines_with_extra_capacity
+            .iter()
+            .copied()
+            .chain(preemptable)
+        {
             if held >= count as u64 {
                 break;
             }
-            if self.is_allowed(machine) {
+            if self.is_machine_allowed(machine) {
                 held += u64::from(self.victims.tasks_if_preempted(machine));
             }
         }
         held >= count as u64
     }
 
-    /// Whether a machine without the image has capacity for a task.
+    /// Whether any allowed machine without the image has capacity for a task.
     pub(super) fn has_uncached_capacity(&self) -> bool {
         let machines = self.buckets(self.indexes.all()).into_iter().flatten();
-        let mut machines = machines.chain(self.extra_capacity.iter().copied());
+        let mut machines = machines.chain(self.machines_with_extra_capacity.iter().copied());
         machines.any(|machine| {
-            self.is_allowed(machine)
+            self.is_machine_allowed(machine)
                 && !self.has_image(machine)
                 && self.free_for(machine).fits(self.demand)
         })
--- a/src/plan/search/zone_search.rs
+++ b/src/plan/search/zone_search.rs
@@ -7,13 +7,13 @@
 use super::request::{Assignment, SearchMode};
 use super::scope::SearchScope;
 
-/// A search in progress. Machines with free capacity are used first, and others only if
-/// victims are allowed.
+/// A search in progress. Machines with free capacity are used first; others only if preemption
+/// is allowed.
 pub(super) struct ZoneSearch<'s, 'a> {
     scope: &'s SearchScope<'a>,
     progress: SearchProgress,
     free_machines: FreeMachines<'s, 'a>,
-    /// Made once no machine has free capacity.
+    /// Created when no machine with free capacity is left.
     preemptable_machines: Option<PreemptableMachines<'s, 'a>>,
 }
 
@@ -28,14 +28,14 @@
         }
     }
 
-    /// Assigns machines to the pending tasks, at least `min_count` of them or none.
+    /// Assigns machines to the pending tasks; `None` if fewer than `min_count` tasks get one.
     pub(super) fn run(mut self, pending: &[u32], min_count: usize) -> Option<Assignment> {
         for (index, task) in pending.iter().enumerate() {
-            // The cycle ends once the minimum count is out of reach.
+            // Stops as soon as the minimum count is out of reach.
             if self.progress.assignment.tasks.len() + (pending.len() - index) < min_count {
                 return None;
             }
-            // Tasks are alike: if one finds no machine, none of the rest does.
+            // All tasks have the same demand: if one finds no machine, none of the rest does.
             let Some(candidate) = self.next_candidate() else {
                 break;
             };
@@ -60,7 +60,7 @@
         machines.next(progress)
     }
 
-    /// Assigns a task, and adds its machine back with the capacity that is left.
+    /// Assigns a task, and adds its machine back with the remaining capacity.
     fn assign(&mut self, task: u32, candidate: Candidate) {
         let machine = candidate.machine;
         let demand = self.scope.demand;
--- a/src/plan/snapshot.rs
+++ b/src/plan/snapshot.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::sync::Arc;
 
-use super::resources::{Resources, COUNT_MAX, EPSILON};
+use super::resources::{Resources, EPSILON, TASK_COUNT_MAX};
 use crate::job::{JobSpec, Priority};
 
 /// The number of tasks in each zone.
@@ -132,14 +132,14 @@
 
 impl TeamView {
     /// How many more tasks with this demand the limit allows.
-    pub(super) fn allowed_tasks(&self, demand: Resources) -> u32 {
+    pub(super) fn remaining_tasks(&self, demand: Resources) -> u32 {
         let allowed = |max: f64, used: f64, demand: f64| {
             if max <= 0.0 || demand <= EPSILON {
-                COUNT_MAX
+                TASK_COUNT_MAX
             } else {
                 ((max - used + EPSILON) / demand)
                     .floor()
-                    .clamp(0.0, COUNT_MAX)
+                    .clamp(0.0, TASK_COUNT_MAX)
             }
         };
         let by_cpus = allowed(self.cpus_max, self.cpus, demand.cpus);
@@ -167,7 +167,7 @@
 
     /// Whether one more task with this demand stays within the limit.
     pub fn allows(&self, demand: Resources) -> bool {
-        self.allowed_tasks(demand) > 0
+        self.remaining_tasks(demand) > 0
     }
 
     /// Counts `count` more tasks with this demand as in use.
