--- a/src/cloud/mod.rs
+++ b/src/cloud/mod.rs
@@ -1,11 +1,11 @@
-//! Which machines to rent: from unmet demand to the number of machines of each kind, by price.
+//! Plans scale-outs: from unmet demand to the number of machines of each kind to rent, by price.
 //!
 //! [`plan_scale_out`] is a pure function. Demands are satisfied in their order, each first on
-//! machines that are on their way, then on machines to be rented: of the offerings that the
-//! job allows, the one with the lowest price for each task that would go on it.
+//! machines in provisioning, then on newly rented machines: of the offerings that the job
+//! allows, the one with the lowest price per task placed on it.
 //!
-//! `offerings` lists what the cloud rents, `open_demand` is a demand being satisfied,
-//! `scale_out_plan` the plan under construction, and `planner` satisfies the demands.
+//! `offerings` lists the machines that the cloud offers, `open_demand` tracks a partly satisfied
+//! demand, `scale_out_plan` has the plan under construction, and `planner` satisfies the demands.
 
 mod offerings;
 mod open_demand;
@@ -21,14 +21,14 @@
 use planner::ScaleOutPlanner;
 use scale_out_plan::ScaleOutPlan;
 
-/// A kind of machine that the cloud rents.
+/// A kind of machine that the cloud offers for rent.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct MachineKind {
-    /// The name of its type.
+    /// The name of the machine type.
     pub machine_type: String,
-    /// Its zone.
+    /// The zone that the machine is in.
     pub zone: String,
-    /// Whether it is a spot machine.
+    /// Whether the machine is a spot machine, otherwise on-demand.
     pub spot: bool,
 }
 
@@ -37,9 +37,9 @@
 pub struct Demand {
     /// The job's specification.
     pub spec: Arc<JobSpec>,
-    /// The number of tasks.
+    /// The number of tasks without capacity.
     pub count: u32,
-    /// Where the job's other tasks are.
+    /// The number of the job's other tasks by zone.
     pub zones: ZoneCounts,
     /// The most that an on-demand machine may cost for each task of a job that may use spot
     /// machines, as a multiple of the lowest spot price for each task; 0 for no on-demand
@@ -48,7 +48,7 @@
 }
 
 impl Demand {
-    /// How many more of its tasks may be in a zone, given where others are.
+    /// How many more tasks may be in a zone, given the number of the job's tasks by zone.
     fn allowed_in_zone(&self, zone: &str, used: &ZoneCounts) -> u32 {
         let elsewhere = |(other, count): (&Arc<str>, &u32)| *count > 0 && **other != *zone;
         if self.spec.single_zone && used.iter().any(elsewhere) {
@@ -64,10 +64,10 @@
     }
 }
 
-/// Machines of a kind on their way.
+/// Machines of a kind in provisioning: rented, but not ready for tasks yet.
 #[derive(Debug, Clone)]
 pub struct IncomingMachines {
-    /// Their kind.
+    /// The kind of the machines.
     pub kind: MachineKind,
     /// The number of machines.
     pub count: u64,
@@ -76,13 +76,13 @@
 /// Machines of a kind that a scale-out rents.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct MachinesToRent {
-    /// Their kind.
+    /// The kind of the machines.
     pub kind: MachineKind,
     /// The number of machines.
     pub count: u64,
 }
 
-/// The capacity of a machine of a type.
+/// Returns the total capacity of a machine of a type.
 pub fn capacity(machine_type: &MachineType) -> Resources {
     Resources {
         cpus: machine_type.cpus,
@@ -91,7 +91,7 @@
     }
 }
 
-/// Whether any machine of the cloud could hold one task of a job.
+/// Whether a machine of any type could hold one task of a job.
 pub fn can_run(spec: &JobSpec, machine_types: &[MachineType]) -> bool {
     let demand = Resources::of(spec);
     machine_types.iter().any(|machine_type| {
@@ -100,9 +100,9 @@
     })
 }
 
-/// Decides what to rent so that every demand has capacity on machines that are on their way or
-/// rented, at most `machines_max` machines. The result is in the order of the demands that the
-/// machines are for.
+/// Decides which machines to rent so that every demand has capacity on machines in provisioning
+/// or newly rented. Rents at most `machines_max` machines, and none of a kind that
+/// `is_sold_out`. The result is in the order of the demands that the machines are for.
 pub fn plan_scale_out(
     demands: &[Demand],
     incoming: &[IncomingMachines],
--- a/src/cloud/offerings.rs
+++ b/src/cloud/offerings.rs
@@ -1,30 +1,30 @@
-//! What the cloud rents, with prices.
+//! The machines that the cloud offers, with their prices.
 
 use super::{capacity, MachineKind};
 use crate::job::JobSpec;
 use crate::plan::{is_allowed, Resources};
 use crate::wire::MachineType;
 
-/// A kind of machine that the cloud rents, with its price. Offerings go by their index.
+/// A kind of machine that the cloud offers, with its price. Offerings are identified by their
+/// index in the list.
 pub(super) struct InstanceOffering {
-    /// The kind.
     pub kind: MachineKind,
-    /// The capacity of a machine.
+    /// The total capacity of a machine.
     pub capacity: Resources,
-    /// The price of a machine for an hour.
+    /// The price of a machine per hour.
     pub price: f64,
-    /// The cloud has no more of them for now.
+    /// Whether the cloud has no more of these machines for now.
     pub is_sold_out: bool,
 }
 
 impl InstanceOffering {
-    /// The price for each task if a machine were full of tasks with this demand.
+    /// The hourly price per task on a machine full of tasks with this demand.
     pub(super) fn price_per_task(&self, demand: Resources) -> f64 {
         self.price / f64::from(self.capacity.count_of(demand))
     }
 }
 
-/// All offerings, by type, zone, and spot before on-demand.
+/// Lists all offerings, by type, then zone, then spot before on-demand.
 pub(super) fn all_offerings(
     machine_types: &[MachineType],
     is_sold_out: &dyn Fn(&MachineKind) -> bool,
--- a/src/cloud/open_demand.rs
+++ b/src/cloud/open_demand.rs
@@ -1,26 +1,25 @@
-//! A demand that is being satisfied.
+//! A demand that is being satisfied step by step.
 
 use super::offerings::{allowed_offerings, InstanceOffering};
 use super::Demand;
 use crate::plan::{Resources, ZoneCounts};
 
-/// A demand with what is unmet of it.
+/// A demand and the number of its tasks that are still without a machine.
 pub(super) struct OpenDemand<'a> {
-    /// The demand.
     pub demand: &'a Demand,
-    /// Its index among all demands.
+    /// The demand's index among all demands.
     pub index: usize,
-    /// What each task asks for.
+    /// The resources that each task requests.
     pub per_task: Resources,
     /// For each offering, whether the job may use its machines.
     pub allowed: Vec<bool>,
-    /// Tasks without a machine.
+    /// The number of tasks without a machine.
     pub unmet_count: u32,
     zones: ZoneCounts,
 }
 
 impl<'a> OpenDemand<'a> {
-    /// A demand of which nothing is met. `zones`: where the job's other tasks are.
+    /// Creates a demand with all its tasks unmet. `zones`: the job's other tasks by zone.
     pub(super) fn new(
         index: usize,
         demand: &'a Demand,
@@ -37,7 +36,7 @@
         }
     }
 
-    /// How many more of its tasks may be in a zone.
+    /// How many more tasks of the job may be in a zone.
     pub(super) fn allowed_in_zone(&self, zone: &str) -> u32 {
         self.demand.allowed_in_zone(zone, &self.zones)
     }
--- a/src/cloud/planner.rs
+++ b/src/cloud/planner.rs
@@ -1,4 +1,4 @@
-//! Satisfies demands one after the other.
+//! Satisfies demands one after the other: machines in provisioning first, then rented ones.
 
 use super::offerings::{allowed_offerings, InstanceOffering};
 use super::open_demand::OpenDemand;
@@ -6,16 +6,16 @@
 use super::Demand;
 use crate::plan::ZoneCounts;
 
-/// Prices for a task that differ by less are the same.
+/// Hourly prices per task that differ by less count as equal.
 const PRICE_EPSILON: f64 = 1e-9;
 
-/// An offering with its price for each task that would go on a machine.
+/// An offering with its price per task that would be placed on a machine.
 struct PricedOffering {
     offering: usize,
     price: f64,
 }
 
-/// What renting in one zone would lead to.
+/// The result of satisfying a demand in one zone.
 struct ZoneAttempt {
     unmet_count: u32,
     plan: ScaleOutPlan,
@@ -25,15 +25,15 @@
 pub(super) struct ScaleOutPlanner<'a> {
     demands: &'a [Demand],
     offerings: &'a [InstanceOffering],
-    /// For each demand and offering, how many tasks of this and later demands the offering's
-    /// machines may hold; one more row of zeros at the end.
+    /// For each demand and offering, the number of tasks of this and all later demands that may
+    /// use the offering; followed by one row of zeros.
     tasks_from_demand: Vec<Vec<u32>>,
     /// The most machines to rent.
     machines_max: u64,
 }
 
 impl<'a> ScaleOutPlanner<'a> {
-    /// A planner that rents at most `machines_max` machines.
+    /// Creates a planner that rents at most `machines_max` machines.
     pub(super) fn new(
         demands: &'a [Demand],
         offerings: &'a [InstanceOffering],
@@ -47,7 +47,8 @@
         }
     }
 
-    /// Satisfies a demand in the zone where the least of it stays unmet, then in the cheapest.
+    /// Satisfies a demand in the zone that leaves the fewest tasks unmet; of equal zones, in the
+    /// cheapest.
     pub(super) fn satisfy_in_best_zone(
         &self,
         index: usize,
@@ -72,7 +73,7 @@
     }
 
     /// Satisfies a demand from the machines in the plan, rents machines for the rest, and
-    /// returns how many tasks stay unmet. `zones`: where the job's other tasks are.
+    /// returns how many tasks remain unmet. `zones`: the job's other tasks by zone.
     pub(super) fn satisfy(&self, index: usize, zones: &ZoneCounts, plan: &mut ScaleOutPlan) -> u32 {
         let demand = &self.demands[index];
         let mut open = OpenDemand::new(index, demand, zones, self.offerings);
@@ -86,7 +87,7 @@
         open.unmet_count
     }
 
-    /// Places tasks on machines that are on their way, or rented for earlier demands.
+    /// Places tasks on machines in provisioning, or rented for earlier demands.
     fn use_planned_machines(&self, open: &mut OpenDemand, plan: &mut ScaleOutPlan) {
         for index in 0..plan.groups().len() {
             if open.unmet_count == 0 {
@@ -102,7 +103,7 @@
         plan.remove_empty_groups();
     }
 
-    /// Rents machines of an offering for a demand: as many as its tasks fill, at least one.
+    /// Rents machines of an offering: as many as the demand's tasks fill, at least one.
     fn rent(&self, offering: usize, open: &mut OpenDemand, plan: &mut ScaleOutPlan) {
         let details = &self.offerings[offering];
         let zone = &details.kind.zone;
@@ -114,8 +115,8 @@
         plan.remove_empty_groups();
     }
 
-    /// The offering with the lowest price for each task that would go on a machine, the first
-    /// of equal ones.
+    /// Returns the offering with the lowest price per task that would be placed on a machine; of
+    /// equal prices, the first.
     fn cheapest_offering(&self, open: &OpenDemand) -> Option<usize> {
         let on_demand_price_max = open.demand.on_demand_price_ratio * self.lowest_spot_price(open);
         let mut best: Option<PricedOffering> = None;
@@ -132,7 +133,7 @@
         best.map(|best| best.offering)
     }
 
-    /// The lowest price for each task on a full spot machine, whether the job may use it or not.
+    /// The lowest hourly price per task on a full spot machine, whether the job may use it or not.
     fn lowest_spot_price(&self, open: &OpenDemand) -> f64 {
         let offerings = self.offerings.iter();
         let spot = offerings.filter(|offering| offering.kind.spot);
@@ -141,7 +142,7 @@
     }
 
     /// Whether machines of an offering may be rented for a demand. `on_demand_price_max`: the
-    /// most that a task may cost on an on-demand machine if the job may use spot machines.
+    /// highest hourly price per task on an on-demand machine, if the job may use spot machines.
     fn is_candidate(&self, offering: usize, open: &OpenDemand, on_demand_price_max: f64) -> bool {
         let details = &self.offerings[offering];
         let is_on_demand_for_spot = open.demand.spec.spot && !details.kind.spot;
@@ -153,8 +154,8 @@
                 && details.price_per_task(open.per_task) > on_demand_price_max)
     }
 
-    /// The price for each task that would go on a machine; what later demands could still put
-    /// on it counts.
+    /// The hourly price per task that would be placed on a machine, including tasks of later demands
+    /// that could share it.
     fn price_per_expected_task(&self, offering: usize, open: &OpenDemand) -> f64 {
         let details = &self.offerings[offering];
         let fitting = details.capacity.count_of(open.per_task);
--- a/src/cloud/scale_out_plan.rs
+++ b/src/cloud/scale_out_plan.rs
@@ -1,11 +1,12 @@
-//! The plan under construction: machines on their way and to be rented, and what is free there.
+//! The plan under construction: machines in provisioning and to be rented, with their free
+//! capacity.
 
 use super::offerings::InstanceOffering;
 use super::open_demand::OpenDemand;
 use super::IncomingMachines;
 use crate::plan::Resources;
 
-/// Machines of an offering, on their way or to be rented, with the same free capacity.
+/// Machines of an offering, in provisioning or to be rented, with equal free capacity.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct MachineGroup {
     /// The offering's index.
@@ -31,19 +32,19 @@
     tasks_each: u32,
 }
 
-/// What is decided so far.
+/// The machines to rent so far, and the free capacity of all machines that demands can use.
 #[derive(Clone)]
 pub(super) struct ScaleOutPlan {
     groups: Vec<MachineGroup>,
-    /// In the order of the demands that they are for.
+    /// Machines to rent, in the order of the demands that they are for.
     rented: Vec<RentedMachines>,
     rented_count: u64,
     price: f64,
 }
 
 impl ScaleOutPlan {
-    /// A plan that rents nothing. Machines on their way that the cloud no longer offers don't
-    /// count.
+    /// Creates a plan that rents nothing. Ignores machines in provisioning of kinds that the cloud
+    /// no longer offers.
     pub(super) fn new(
         incoming: &[IncomingMachines],
         offerings: &[InstanceOffering],
@@ -65,7 +66,7 @@
         }
     }
 
-    /// The machines on their way or to be rented.
+    /// The machines in provisioning or to be rented.
     pub(super) fn groups(&self) -> &[MachineGroup] {
         &self.groups
     }
@@ -80,7 +81,7 @@
         self.rented_count
     }
 
-    /// The price for an hour of all machines to be rented.
+    /// The hourly price of all machines to be rented.
     pub(super) fn price(&self) -> f64 {
         self.price
     }
@@ -135,7 +136,8 @@
         open.add_placed(zone, full_count as u32 * tasks_each + rest);
     }
 
-    /// Moves a part of a group to a group of its own, with the capacity that its tasks leave.
+    /// Moves a part of a group to a group of its own, with the capacity that remains after its
+    /// tasks are placed.
     fn split_group(&mut self, index: usize, part: &GroupPart, per_task: Resources) {
         if part.count == 0 {
             return;
@@ -154,7 +156,7 @@
         });
     }
 
-    /// Removes the groups that were split completely.
+    /// Removes the groups without machines.
     pub(super) fn remove_empty_groups(&mut self) {
         self.groups.retain(|group| group.count > 0);
     }
--- a/src/dependencies.rs
+++ b/src/dependencies.rs
@@ -1,17 +1,17 @@
 //! The dependency graph of live jobs.
 //!
-//! The graph knows which live jobs wait for others to be done, and which are cancelled because
-//! a job that they depend on is. Users are told of such a cancellation at once, before the
-//! job's own record has it. The cost of each change is proportional to the number of jobs that
-//! it affects.
+//! The graph tracks which live jobs wait for others to be done, and which are cancelled because
+//! a job that they depend on is cancelled. Users see such a cancellation at once, before it is
+//! persisted in the job's own record. The cost of each change is proportional to the number of
+//! jobs that it affects.
 //!
 //! Invariants:
 //!
-//! - `unfinished` and `dependents` are the two directions of the same edges. An edge exists
-//!   until its dependency is done, or its dependent is no longer live.
+//! - `unfinished` and `dependents` store the same edges in both directions. An edge exists until
+//!   its dependency is done or its dependent is no longer live.
 //! - Cancellation is transitive: all live jobs that depend on a cancelled one, directly or
 //!   indirectly, are in `cancelled`.
-//! - Each dependency in `unresolved` has dependents.
+//! - Each dependency in `unresolved` has at least one dependent.
 
 use std::collections::{BTreeSet, HashMap, HashSet};
 
@@ -27,26 +27,27 @@
     },
     /// The job has ended.
     Over(FinalState),
-    /// The job is neither in the watch cache nor is its final state remembered: it has to be
-    /// looked up in the store.
+    /// Neither the job nor its final state is in the watch cache: the state has to be looked up in
+    /// the store.
     Unknown,
 }
 
-/// What a change means for a live job with dependencies. Both carry the job's id.
+/// The effect of a change on a live job with dependencies. The variants carry the job's id.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum DependencyEvent {
     /// All dependencies of the job are done.
     Ready(String),
-    /// A job that it depends on, directly or indirectly, is cancelled.
+    /// The job is cancelled, because one that it depends on directly or indirectly is.
     Cancelled(String),
 }
 
-/// The dependency graph of live jobs, see the module's documentation.
+/// The dependency graph of live jobs; see the module documentation.
 #[derive(Debug, Default)]
 pub struct DependencyGraph {
-    /// For each live job with dependencies that are not known to be done, these dependencies.
+    /// For each live job, its dependencies that are not known to be done; jobs without such
+    /// dependencies have no entry.
     unfinished: HashMap<String, BTreeSet<String>>,
-    /// For each of these dependencies, the live jobs that depend on it.
+    /// For each dependency in `unfinished`, the live jobs that depend on it.
     dependents: HashMap<String, BTreeSet<String>>,
     /// Live jobs that are cancelled because of a dependency.
     cancelled: HashSet<String>,
@@ -55,21 +56,21 @@
 }
 
 impl DependencyGraph {
-    /// Adds a live job. `state` returns the state of a dependency. Appends what follows to
-    /// `events`.
+    /// Adds a live job. `state_of` returns the state of a dependency. Appends the resulting
+    /// cancellations to `events`.
     pub fn add(
         &mut self,
         id: &str,
         dependencies: &[String],
-        state: impl Fn(&str) -> DependencyState,
+        state_of: impl Fn(&str) -> DependencyState,
         events: &mut Vec<DependencyEvent>,
     ) {
-        // Jobs that depend on this one may have been added before it.
+        // Jobs that depend on this one may have been added first and marked it as unresolved.
         self.unresolved.remove(id);
         let mut is_cancelled = false;
         let mut unfinished = BTreeSet::new();
         for dependency in dependencies {
-            let state = state(dependency);
+            let state = state_of(dependency);
             if state == DependencyState::Over(FinalState::Done) {
                 continue;
             }
@@ -98,8 +99,7 @@
         }
     }
 
-    /// Handles the cancellation of a job, live or ended: all jobs that depend on it are
-    /// cancelled, too.
+    /// Handles the cancellation of a live or ended job: cancels all jobs that depend on it.
     pub fn on_cancelled(&mut self, id: &str, events: &mut Vec<DependencyEvent>) {
         self.unresolved.remove(id);
         for dependent in self.dependents_of(id) {
@@ -107,7 +107,7 @@
         }
     }
 
-    /// Handles that a job is done, once that is committed.
+    /// Handles the completion of a job, after it is committed to the store.
     pub fn on_done(&mut self, id: &str, events: &mut Vec<DependencyEvent>) {
         self.unresolved.remove(id);
         for dependent in self.dependents.remove(id).into_iter().flatten() {
@@ -153,7 +153,7 @@
     }
 
     /// Returns whether a job depends, directly or indirectly, on one whose state has to be looked
-    /// up, so that it may be cancelled.
+    /// up in the store, so that its own cancellation is undecided.
     pub fn has_unresolved(&self, id: &str) -> bool {
         if self.unresolved.is_empty() {
             return false;
@@ -179,8 +179,8 @@
         dependents.into_iter().flatten().cloned().collect()
     }
 
-    /// Marks a live job and all that depend on it as cancelled. Jobs that are marked already are
-    /// not visited again.
+    /// Marks a live job and all its direct and indirect dependents as cancelled. Jobs that are
+    /// already marked are not visited again.
     fn cancel_with_dependents(&mut self, id: &str, events: &mut Vec<DependencyEvent>) {
         let mut pending = vec![id.to_string()];
         while let Some(job) = pending.pop() {
--- a/src/plan/decision.rs
+++ b/src/plan/decision.rs
@@ -1,11 +1,11 @@
-//! The output of a cycle.
+//! The output of a planning cycle.
 
 use std::sync::Arc;
 
 use super::resources::Resources;
 use super::snapshot::ZoneCounts;
 
-/// A task and the machine that it is to be bound to.
+/// A binding of a task to a machine.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct TaskBinding {
     /// The task's number.
@@ -14,67 +14,70 @@
     pub machine: Arc<str>,
 }
 
-/// Placements of tasks of a job.
+/// Placements of one or more tasks of a job.
 #[derive(Debug, Clone, PartialEq)]
 pub struct PlannedPlacement {
-    /// The job.
+    /// The job's id.
     pub job: Arc<str>,
-    /// Its tasks, each with its machine.
+    /// The tasks to place, each with its machine.
     pub tasks: Vec<TaskBinding>,
 }
 
 /// A task to be preempted.
 #[derive(Debug, Clone, PartialEq)]
 pub struct PlannedStop {
-    /// The victim's job.
+    /// The id of the victim's job.
     pub job: Arc<str>,
-    /// The victim's number.
+    /// The victim's task number within its job.
     pub task: u32,
-    /// The victim's machine.
+    /// The name of the victim's machine.
     pub machine: Arc<str>,
-    /// The job that it is preempted for.
+    /// The id of the job that the victim is preempted for.
     pub preemptor: Arc<str>,
 }
 
 /// Capacity to be reserved for a preemptor until the victims are stopped.
 #[derive(Debug, Clone, PartialEq)]
 pub struct PlannedReservation {
-    /// The preemptor.
+    /// The preemptor's job id.
     pub job: Arc<str>,
-    /// The machine.
+    /// The machine's name.
     pub machine: Arc<str>,
-    /// The capacity.
+    /// The reserved capacity, enough for one task.
     pub resources: Resources,
 }
 
-/// What the cycle decided.
+/// The decisions of one planning cycle.
 #[derive(Debug, Clone, Default)]
 pub struct Decision {
     /// Placements, at most one entry for each job.
     pub placements: Vec<PlannedPlacement>,
-    /// Victims; all of a gang's victims or none.
+    /// Tasks to preempt. For a gang the list has all required victims or none.
     pub stops: Vec<PlannedStop>,
-    /// Reservations for the preemptors of these victims, one for each task.
+    /// Reservations for the preemptors, one for each of their tasks that is to be placed.
     pub reservations: Vec<PlannedReservation>,
-    /// Gangs without a placement, by capacity or quota: they back off.
+    /// Gangs that could not be placed for lack of capacity or quota; the scheduler lets them back
+    /// off.
     pub failed: Vec<Arc<str>>,
-    /// Arrays that skipped machines with free capacity because these lack their image.
+    /// Arrays that skipped machines with free capacity because the machines lack their image.
     pub arrays_skipping_uncached: Vec<Arc<str>>,
-    /// Tasks for which machines would have to be rented, in the order of the decisions.
+    /// Tasks for which machines would have to be rented, in the order in which the cycle visited
+    /// their jobs.
     pub unmet: Vec<UnmetDemand>,
-    /// How often the cycle examined a machine for a job: the measure of what it cost.
+    /// How often the cycle examined a machine for a job; measures the work of the cycle.
     pub machines_examined: u64,
 }
 
-/// Tasks of a job for which there is no capacity, and where its others are or would be.
+/// Tasks of a job for which there is no capacity, and the locations of its other tasks.
 #[derive(Debug, Clone, PartialEq)]
 pub struct UnmetDemand {
-    /// The job.
+    /// The job's id.
     pub job: Arc<str>,
-    /// The number of tasks.
+    /// The number of tasks without capacity.
     pub count: u32,
-    /// Where its other tasks are or would be.
+    /// The zones of the job's other tasks: placed, or with earmarked capacity.
     pub zones: ZoneCounts,
-    /// Machines that the others would use, which must not be terminated meanwhile.
+    /// Machines with capacity earmarked for the other tasks. They are not to be terminated before
+    /// the job is placed, or the demand would grow again.
     pub machines: Vec<Arc<str>>,
 }
--- a/src/plan/fleet/images.rs
+++ b/src/plan/fleet/images.rs
@@ -1,11 +1,11 @@
-//! Which machines have or fetch which image.
+//! Which machines have an image or are fetching it.
 
 use std::collections::HashMap;
 use std::sync::Arc;
 
 use crate::plan::snapshot::MachineView;
 
-/// The machines that have or fetch an image.
+/// The machines that have an image or are fetching it.
 #[derive(Debug, Default)]
 pub(in crate::plan) struct ImageMachines {
     machines: Vec<usize>,
@@ -26,18 +26,18 @@
         }
     }
 
-    /// Whether a machine is one of them.
+    /// Whether a machine has the image or is fetching it.
     pub(crate) fn contains(&self, machine: usize) -> bool {
         self.has_image[machine]
     }
 }
 
-/// The machines of each image that a search has asked for.
+/// The machines of each prepared image.
 #[derive(Debug, Default)]
 pub(in crate::plan) struct ImageMap(HashMap<Arc<str>, ImageMachines>);
 
 impl ImageMap {
-    /// Makes sure that the machines of an image are known.
+    /// Collects the machines of an image, unless this is done already.
     pub(crate) fn prepare(&mut self, image: &str, machines: &[Arc<MachineView>]) {
         if !self.0.contains_key(image) {
             let known = ImageMachines::new(image, machines);
@@ -45,12 +45,12 @@
         }
     }
 
-    /// The machines of an image, once prepared.
+    /// The machines of an image; `None` if it is not prepared.
     pub(crate) fn get(&self, image: &str) -> Option<&ImageMachines> {
         self.0.get(image)
     }
 
-    /// The machines of an image in rising order, once prepared.
+    /// The machines of an image in ascending order; empty if it is not prepared.
     pub(crate) fn machines_with(&self, image: &str) -> &[usize] {
         self.get(image).map_or(&[], |known| &known.machines)
     }
--- a/src/plan/fleet/kinds.rs
+++ b/src/plan/fleet/kinds.rs
@@ -8,13 +8,13 @@
 
 /// The kinds of the machines: type, zone, spot or on-demand, and total capacity.
 ///
-/// Whether a job may use a machine depends on its kind alone, machines to avoid aside.
+/// Whether a job may use a machine depends only on the kind, except for avoided machines.
 pub(in crate::plan) struct MachineKinds {
-    /// One machine of each kind.
+    /// The index of one machine of each kind.
     representatives: Vec<usize>,
     /// The total capacity of a machine of each kind.
     totals: Vec<Resources>,
-    /// Each machine's kind.
+    /// The kind of each machine.
     kind_of: Vec<usize>,
 }
 
@@ -44,7 +44,7 @@
         self.kind_of[machine]
     }
 
-    /// One machine of each kind.
+    /// The index of one machine of each kind.
     pub(crate) fn representatives(&self) -> &[usize] {
         &self.representatives
     }
@@ -54,7 +54,7 @@
         &self.totals
     }
 
-    /// For each kind, whether a job may use its machines; only those of `zone`, if given.
+    /// For each kind, whether a job may use its machines; if `zone` is given, only there.
     pub(crate) fn allowed_for(
         &self,
         spec: &JobSpec,
@@ -71,7 +71,7 @@
 }
 
 fn is_same_kind(one: &MachineView, other: &MachineView) -> bool {
-    // Equal names mostly share one allocation, which is quick to compare.
+    // Equal names mostly share one allocation, so comparing the pointers first is fast.
     let same = |a: &Arc<str>, b: &Arc<str>| Arc::ptr_eq(a, b) || a == b;
     one.spot == other.spot
         && one.total == other.total
--- a/src/plan/fleet/mod.rs
+++ b/src/plan/fleet/mod.rs
@@ -2,11 +2,11 @@
 //!
 //! A [`Fleet`] owns the state that a cycle changes: the free capacity of each machine, the
 //! reservations on it, the victims chosen on it and the quota in use. [`Earmarks`] hold the
-//! capacity that gangs without a placement would use. A [`FleetView`] combines both for
-//! readers: with earmarks for a search for unmet demand, without them for all others.
+//! capacity that unplaced jobs would use. A [`FleetView`] combines both for readers: with
+//! earmarks for a search for unmet demand, without them for all others.
 //!
-//! Nothing here knows indexes or searches. The owner of a fleet has to update the indexes made
-//! from it after each change.
+//! This module does not depend on indexes or searches. The owner of a fleet has to update the
+//! indexes built from it after each change.
 
 mod earmarks;
 mod images;
@@ -35,26 +35,26 @@
 /// A task on a machine of the fleet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub(super) struct TaskIndex {
-    /// The index of its machine.
+    /// The index of the machine in the snapshot.
     pub machine: usize,
-    /// Its index among the tasks of the machine.
+    /// The task's index among the tasks of the machine.
     pub task: usize,
 }
 
-/// Machines and teams with what a cycle has decided so far.
+/// Machines and teams with the decisions of a cycle applied so far.
 pub(super) struct Fleet {
     machines: Vec<Arc<MachineView>>,
     /// The kind of each machine.
     pub kinds: MachineKinds,
-    /// Which machines have or fetch which image.
+    /// Which machines have an image or are fetching it.
     pub images: ImageMap,
-    /// What the teams use, and their nominal quotas and limits.
+    /// The usage, nominal quotas and limits of the teams.
     pub quotas: TeamQuotas,
-    /// What placements cost.
+    /// The cost model for placements.
     pub costs: CostModel,
-    /// What is reserved on each machine.
+    /// The reservations on each machine.
     pub reservations: Reservations,
-    /// Free capacity by machine, reservations included.
+    /// Free capacity by machine; reserved capacity counts as free.
     free: Vec<Resources>,
     /// Victims chosen in this cycle, by machine: no other job may choose them again.
     victims: Vec<Vec<usize>>,
@@ -62,7 +62,7 @@
 }
 
 impl Fleet {
-    /// The fleet at the beginning of a cycle.
+    /// Creates the fleet at the beginning of a cycle.
     pub(super) fn new(
         machines: Vec<Arc<MachineView>>,
         teams: HashMap<String, TeamView>,
@@ -96,17 +96,17 @@
         self.machines[machine].name.clone()
     }
 
-    /// For each kind, whether a job may use its machines; only those of `zone`, if given.
+    /// For each kind, whether a job may use its machines; if `zone` is given, only there.
     pub(super) fn allowed_kinds(&self, spec: &JobSpec, zone: Option<&str>) -> Vec<bool> {
         self.kinds.allowed_for(spec, zone, &self.machines)
     }
 
-    /// Makes sure that the machines with an image are known.
+    /// Collects the machines with an image, unless this is done already.
     pub(super) fn prepare_image(&mut self, image: &str) {
         self.images.prepare(image, &self.machines);
     }
 
-    /// Takes capacity of a machine for a task.
+    /// Subtracts a task's demand from the free capacity of a machine.
     pub(super) fn take_capacity(&mut self, machine: usize, demand: Resources) {
         self.free[machine].sub(demand);
     }
@@ -116,7 +116,7 @@
         self.victims[victim.machine].push(victim.task);
     }
 
-    /// Counts that a machine was examined for a job: the measure of what a cycle costs.
+    /// Counts one examination of a machine for a job, as a measure of the work of a cycle.
     pub(super) fn count_examined_machine(&self) {
         self.machines_examined.set(self.machines_examined.get() + 1);
     }
--- a/src/plan/fleet/reservations.rs
+++ b/src/plan/fleet/reservations.rs
@@ -8,12 +8,12 @@
 /// The reservations on all machines.
 pub(in crate::plan) struct Reservations {
     by_machine: Vec<Vec<Reservation>>,
-    /// Jobs that had reservations when the cycle began, each with its machines.
+    /// Jobs that had reservations when the cycle began and still have them, with their machines.
     holders: HashMap<Arc<str>, Vec<usize>>,
 }
 
 impl Reservations {
-    /// The reservations at the beginning of a cycle.
+    /// Collects the reservations at the beginning of a cycle.
     pub(crate) fn new(machines: &[Arc<MachineView>]) -> Reservations {
         let mut holders: HashMap<Arc<str>, Vec<usize>> = HashMap::new();
         for (index, machine) in machines.iter().enumerate() {
@@ -44,13 +44,13 @@
         self.holders.get(job).map_or(&[], Vec::as_slice)
     }
 
-    /// Adds a reservation on a machine. Its job does not become a holder in this cycle: a job
-    /// that preempts is not searched for again before the next.
+    /// Adds a reservation on a machine. The job does not become a holder in this cycle, because a
+    /// preemptor gets no further search before the next one.
     pub(crate) fn add(&mut self, machine: usize, reservation: Reservation) {
         self.by_machine[machine].push(reservation);
     }
 
-    /// Releases what a holder has reserved, and returns the machines.
+    /// Releases the reservations of a holder, and returns their machines.
     pub(crate) fn release(&mut self, job: &str) -> Vec<usize> {
         let machines = self.holders.remove(job).unwrap_or_default();
         for machine in &machines {
--- a/src/plan/fleet/team_quotas.rs
+++ b/src/plan/fleet/team_quotas.rs
@@ -1,15 +1,15 @@
-//! What the teams use of their quotas within a cycle.
+//! The quota usage of the teams within a cycle.
 
 use std::collections::HashMap;
 
 use crate::plan::resources::Resources;
 use crate::plan::snapshot::{JobView, TeamView};
 
-/// The quotas of all teams, by name. A team that is not known may have no tasks.
+/// The quotas of all teams, by name. No tasks are allowed for an unknown team.
 pub(in crate::plan) struct TeamQuotas(HashMap<String, TeamView>);
 
 impl TeamQuotas {
-    /// The quotas at the beginning of a cycle.
+    /// Creates the quotas from the usage at the beginning of a cycle.
     pub(crate) fn new(teams: HashMap<String, TeamView>) -> TeamQuotas {
         TeamQuotas(teams)
     }
@@ -20,7 +20,7 @@
         team.is_some_and(TeamView::is_within_nominal_quota)
     }
 
-    /// Whether a team uses more than its nominal quota.
+    /// Whether a team's usage exceeds its nominal quota.
     pub(crate) fn borrows_quota(&self, team: &str) -> bool {
         self.0.get(team).is_some_and(TeamView::borrows_quota)
     }
@@ -32,7 +32,7 @@
         team.map_or(0, |team| team.remaining_tasks(demand)) as usize
     }
 
-    /// Counts tasks of a job as in use by its team.
+    /// Adds tasks of a job to its team's usage.
     pub(crate) fn charge(&mut self, job: &JobView, count: usize) {
         if let Some(team) = self.0.get_mut(&job.spec.team) {
             team.add_tasks(Resources::of(&job.spec), count);
--- a/src/plan/fleet/view.rs
+++ b/src/plan/fleet/view.rs
@@ -1,4 +1,4 @@
-//! What a reader sees of a fleet, with or without earmarked capacity.
+//! Read access to a fleet, with earmarked capacity counted as free or as used.
 
 use std::sync::Arc;
 
@@ -7,48 +7,48 @@
 use crate::plan::resources::Resources;
 use crate::plan::snapshot::Reservation;
 
-/// A fleet as a search sees it.
+/// The read-only view of a fleet that a search uses.
 ///
-/// Capacity that is earmarked for gangs without a placement is free for any job that can start
-/// now, but counts only once when unmet demand is calculated. So there are two views.
+/// Capacity that is earmarked for unplaced jobs is free for any job that can start now, but must
+/// not count for two jobs when unmet demand is calculated; hence the two kinds of view.
 #[derive(Clone, Copy)]
 pub(in crate::plan) struct FleetView<'a> {
     /// The machines and teams.
     pub fleet: &'a Fleet,
-    /// What does not count as free; `None`: earmarked capacity counts as free.
+    /// Capacity that counts as used; `None` if earmarked capacity counts as free.
     earmarks: Option<&'a Earmarks>,
 }
 
 impl<'a> FleetView<'a> {
-    /// The fleet without the capacity of the earmarks, if any.
+    /// Creates a view in which the capacity of `earmarks`, if any, counts as used.
     pub(crate) fn new(fleet: &'a Fleet, earmarks: Option<&'a Earmarks>) -> FleetView<'a> {
         FleetView { fleet, earmarks }
     }
 
-    /// The fleet as it is, for placements and preemptions.
+    /// The view for placements and preemptions: earmarked capacity counts as free.
     pub(crate) fn actual(fleet: &'a Fleet) -> FleetView<'a> {
         FleetView::new(fleet, None)
     }
 
-    /// The fleet without earmarked capacity, for unmet demand.
+    /// The view for unmet demand: earmarked capacity counts as used.
     pub(crate) fn without_earmarks(fleet: &'a Fleet, earmarks: &'a Earmarks) -> FleetView<'a> {
         FleetView::new(fleet, Some(earmarks))
     }
 
-    /// The free capacity for a job: reservations of others count as used, unless the job has
-    /// a higher priority.
+    /// The free capacity for a job: reservations of other jobs count as used, except those of
+    /// lower priority.
     pub(crate) fn free_for(&self, machine: usize, job: &Arc<str>, priority: Priority) -> Resources {
         self.free_excluding(machine, |reservation| {
             reservation.job != *job && reservation.priority >= priority
         })
     }
 
-    /// The free capacity for a job of a priority without a reservation on the machine.
+    /// The free capacity for a job of this priority that has no reservation on the machine.
     pub(crate) fn free_for_priority(&self, machine: usize, priority: Priority) -> Resources {
         self.free_excluding(machine, |reservation| reservation.priority >= priority)
     }
 
-    /// The free capacity beside all reservations.
+    /// The free capacity with all reservations counted as used.
     pub(crate) fn unreserved_capacity(&self, machine: usize) -> Resources {
         self.free_excluding(machine, |_| true)
     }
@@ -66,7 +66,7 @@
         free
     }
 
-    /// Whether a task is a victim of another job already.
+    /// Whether a task has already been chosen as a victim.
     pub(crate) fn is_victim(&self, task: TaskIndex) -> bool {
         let is_prospective = |earmarks: &Earmarks| earmarks.is_prospective_victim(task);
         self.fleet.victims[task.machine].contains(&task.task)
--- a/src/plan/mod.rs
+++ b/src/plan/mod.rs
@@ -1,30 +1,31 @@
 //! The planner: a pure function from a [`Snapshot`] of machines, jobs and teams to a
 //! [`Decision`] about placements, victims, reservations and unmet demand.
 //!
-//! Nothing here knows sockets, clocks or records. The same snapshot always gives the same
-//! decision.
+//! This module uses no sockets, clocks or stored records. The same snapshot always gives the
+//! same decision.
 //!
 //! # Layers
 //!
-//! A module uses modules of its own and of lower layers only. The lowest layer comes first:
+//! A module depends only on modules of its own layer and of lower ones, lowest first:
 //!
 //! 1. `resources`, `snapshot`, `decision`: the input and output of a cycle, public.
-//! 2. `cost`, `ranked_machine`, `queue_order`: pure helpers on these.
+//! 2. `cost`, `ranked_machine`, `queue_order`: pure functions and types on these.
 //! 3. `fleet`: the cycle's view of the machines and teams. It owns what changes within a
 //!    cycle: free capacity, reservations, chosen victims, quota in use, earmarked capacity.
-//! 4. `preemption`: which tasks a job may preempt, and which victims cost the least.
+//! 4. `preemption`: which tasks a job may preempt, and which victims have the lowest cost.
 //! 5. `indexes`: the machines of a fleet in the orders that searches need.
-//! 6. `search`: finds machines for the tasks of one job; changes nothing.
-//! 7. `cycle`: goes through the queue, applies what the searches find to the fleet, keeps
-//!    the indexes up to date and records the decision.
+//! 6. `search`: finds machines for the tasks of one job; read-only.
+//! 7. `cycle`: iterates over the queue, applies search results to the fleet, keeps the indexes
+//!    up to date and builds the decision.
 //!
 //! # Invariants
 //!
-//! - Machines go by their index in the snapshot throughout a cycle.
-//! - Capacity only shrinks within a cycle: victims are stopped later, so what they
+//! - Within a cycle a machine is identified by its index in the snapshot.
+//! - Capacity only shrinks within a cycle: victims are stopped later, so the capacity that they
 //!   free is reserved for their preemptor and not used in the same cycle.
 //! - No task is chosen as a victim twice.
-//! - A search costs in proportion to the tasks it places, not to the number of machines.
+//! - The time of a search is proportional to the number of tasks that it places, not to the
+//!   number of machines.
 
 mod cost;
 mod cycle;
--- a/src/plan/queue_order.rs
+++ b/src/plan/queue_order.rs
@@ -5,14 +5,14 @@
 use super::snapshot::{JobView, Snapshot};
 use crate::job::Priority;
 
-/// What jobs are ordered by, the most significant field first.
+/// The sort key of a job, the most significant field first. Lower keys are scheduled first.
 struct OrderKey<'a> {
     exceeds_nominal_quota: bool,
     priority: Reverse<Priority>,
-    /// It has missed all its objectives, so it loses nothing by waiting longer.
+    /// Whether the job has missed all its objectives, so that further waiting does no harm.
     has_missed_objectives: bool,
-    /// Seconds until the job has to start, plus the work that is left; negative infinity for
-    /// overdue jobs.
+    /// Seconds until the job has to start, plus the expected run time of its pending tasks;
+    /// negative infinity for overdue jobs.
     slack_s: f64,
     ready_at_s: f64,
     id: &'a str,
@@ -21,7 +21,7 @@
 impl<'a> OrderKey<'a> {
     fn new(job: &'a JobView, snapshot: &Snapshot) -> OrderKey<'a> {
         let team = snapshot.teams.get(&job.spec.team);
-        // Jobs with little left to do go first: more of them are in time.
+        // Schedules jobs with little remaining work first, so that more jobs meet their objectives.
         let work_s = job.pending.len() as f64 * job.spec.expected_s;
         let start_by_s = job.start_by_s.unwrap_or(job.ready_at_s);
         OrderKey {
@@ -58,9 +58,9 @@
     }
 }
 
-/// The indexes of the snapshot's jobs in queue order: teams within their nominal quota first,
-/// then by priority, then jobs that can still meet an objective or are overdue, then overdue
-/// jobs, then by the least slack and work, then by age.
+/// Returns the indexes of the snapshot's jobs in queue order. Jobs of teams within their nominal
+/// quota come first, then jobs of higher priority, then jobs that can still meet an objective or
+/// are overdue, of these the overdue ones; the rest is ordered by slack plus work, then by age.
 pub(super) fn queue_order(snapshot: &Snapshot) -> Vec<usize> {
     let keys = snapshot.jobs.iter().map(|job| OrderKey::new(job, snapshot));
     let mut keyed: Vec<(usize, OrderKey)> = keys.enumerate().collect();
--- a/src/plan/ranked_machine.rs
+++ b/src/plan/ranked_machine.rs
@@ -1,4 +1,4 @@
-//! Machines as entries of ordered indexes.
+//! The entry type of the ordered machine indexes.
 
 /// A non-negative number as a sort key.
 ///
@@ -19,11 +19,12 @@
     }
 }
 
-/// A machine in an index: the lowest rank first, then the lowest index.
+/// A machine in an ordered index: the lowest rank first, then the lowest machine index.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct RankedMachine {
-    /// What the index is ordered by. The order of the fields is the order of the entries.
+    /// The sort key. Declared before `machine`, because the derived order compares fields in
+    /// declaration order.
     pub rank: Rank,
-    /// The machine's index.
+    /// The machine's index in the snapshot.
     pub machine: usize,
 }
--- a/src/plan/resources.rs
+++ b/src/plan/resources.rs
@@ -1,20 +1,20 @@
-//! Amounts of CPUs, GPUs and memory, as tasks ask for them and machines have them.
+//! Amounts of CPUs, GPUs and memory: the demand of tasks and the capacity of machines.
 
 use crate::job::JobSpec;
 
-/// Differences below this come from rounding and are ignored.
+/// The tolerance for rounding errors in comparisons of amounts.
 pub(super) const EPSILON: f64 = 1e-6;
-/// More tasks than any job has.
+/// An upper bound on computed task counts; no job has more tasks.
 pub(super) const TASK_COUNT_MAX: f64 = 100_000.0;
-/// How much GPUs weigh in the share of a machine, against CPUs and memory.
+/// The weight of GPUs in the share of a machine, relative to CPUs and memory.
 const GPU_WEIGHT: f64 = 2.0;
 
 /// Amounts of resources: the demand of a task, or the capacity of a machine.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Resources {
-    /// CPUs.
+    /// The number of CPUs.
     pub cpus: f64,
-    /// GPUs.
+    /// The number of GPUs.
     pub gpus: f64,
     /// Memory in GB.
     pub memory_gb: f64,
@@ -30,21 +30,21 @@
         }
     }
 
-    /// Adds another amount of each.
+    /// Adds the amount of each resource.
     pub fn add(&mut self, other: Resources) {
         self.cpus += other.cpus;
         self.gpus += other.gpus;
         self.memory_gb += other.memory_gb;
     }
 
-    /// Subtracts another amount of each. The result may be negative.
+    /// Subtracts the amount of each resource. The result may be negative.
     pub fn sub(&mut self, other: Resources) {
         self.cpus -= other.cpus;
         self.gpus -= other.gpus;
         self.memory_gb -= other.memory_gb;
     }
 
-    /// Each amount multiplied by a factor.
+    /// Returns each amount multiplied by a factor.
     pub fn scaled(self, factor: f64) -> Resources {
         Resources {
             cpus: self.cpus * factor,
@@ -53,14 +53,14 @@
         }
     }
 
-    /// Whether there is enough of each for a task with this demand.
+    /// Whether there is enough of each resource for a task with this demand.
     pub fn fits(&self, demand: Resources) -> bool {
         self.cpus + EPSILON >= demand.cpus
             && self.gpus + EPSILON >= demand.gpus
             && self.memory_gb + EPSILON >= demand.memory_gb
     }
 
-    /// The lesser amount of each.
+    /// Returns the minimum of each resource.
     pub(super) fn min(self, other: Resources) -> Resources {
         Resources {
             cpus: self.cpus.min(other.cpus),
@@ -69,7 +69,7 @@
         }
     }
 
-    /// How many tasks with this demand fit, at most `TASK_COUNT_MAX`.
+    /// How many tasks with this demand fit into the capacity, at most `TASK_COUNT_MAX`.
     pub fn count_of(&self, demand: Resources) -> u32 {
         let fitting = |available: f64, demand: f64| {
             if demand <= EPSILON {
@@ -84,8 +84,8 @@
         count.clamp(0.0, TASK_COUNT_MAX) as u32
     }
 
-    /// The share that this is of `total`, from 0 to 1: the mean of CPUs, memory and, with more
-    /// weight, GPUs.
+    /// The share of `total`, from 0 to 1: the weighted mean of the shares of CPUs, memory and, with
+    /// a higher weight, GPUs.
     pub(super) fn share_of(&self, total: Resources) -> f64 {
         let share = |part: f64, total: f64| if total > EPSILON { part / total } else { 0.0 };
         (share(self.cpus, total.cpus)
@@ -95,10 +95,10 @@
     }
 }
 
-/// The slowest fetch that is assumed, in GB per second.
+/// The lowest fetch rate that estimates assume, in GB per second.
 const FETCH_MIN_GB_PER_S: f64 = 0.01;
 
-/// How long the fetch of an image is expected to take, in seconds.
+/// Estimates the time to fetch an image, in seconds.
 pub fn fetch_s(image_gb: f64, fetch_gb_per_s: f64) -> f64 {
     image_gb / fetch_gb_per_s.max(FETCH_MIN_GB_PER_S)
 }
--- a/src/plan/snapshot.rs
+++ b/src/plan/snapshot.rs
@@ -1,4 +1,4 @@
-//! The input of a cycle: machines, jobs and teams at one moment.
+//! The input of a planning cycle: machines, jobs and teams at one moment.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::sync::Arc;
@@ -9,112 +9,115 @@
 /// The number of tasks in each zone.
 pub type ZoneCounts = BTreeMap<Arc<str>, u32>;
 
-/// A task that may be on a machine.
+/// A task that may be running on a machine.
 #[derive(Debug, Clone)]
 pub struct TaskView {
-    /// Its job.
+    /// The id of the task's job.
     pub job: Arc<str>,
-    /// Its number.
+    /// The task's number within its job.
     pub task: u32,
-    /// Its demand.
+    /// The capacity that the task uses.
     pub resources: Resources,
-    /// Its job's priority.
+    /// The job's priority.
     pub priority: Priority,
-    /// Its job's team.
+    /// The name of the job's team.
     pub team: Arc<str>,
-    /// It may be preempted: it is not being stopped already.
+    /// Whether the task may be preempted; false if it is being stopped already.
     pub stoppable: bool,
-    /// What stopping it wastes, in seconds of lost work and checkpointing.
+    /// The cost of stopping the task, in seconds of lost work and of checkpointing.
     pub stop_cost_s: f64,
-    /// For a task without checkpoints: when it started, in seconds on the planner's clock. All
-    /// that it has run since is wasted, too.
+    /// When a task without checkpoints started, in seconds on the planner's clock: preemption
+    /// loses all work since then. `None` for a task with checkpoints or not yet running.
     pub running_since_s: Option<f64>,
 }
 
 /// Capacity that is reserved on a machine for a preemptor.
 #[derive(Debug, Clone)]
 pub struct Reservation {
-    /// The preemptor.
+    /// The preemptor's job id.
     pub job: Arc<str>,
-    /// The capacity.
+    /// The reserved capacity.
     pub resources: Resources,
     /// The preemptor's priority.
     pub priority: Priority,
 }
 
-/// A machine.
+/// A machine that may receive tasks.
 #[derive(Debug, Clone)]
 pub struct MachineView {
-    /// Its name.
+    /// The machine's unique name.
     pub name: Arc<str>,
-    /// The name of its type.
+    /// The name of the machine's type.
     pub machine_type: Arc<str>,
-    /// Its zone.
+    /// The zone that the machine is in.
     pub zone: Arc<str>,
-    /// Whether it is a spot machine.
+    /// Whether the machine is a spot machine.
     pub spot: bool,
-    /// Its total capacity.
+    /// The total capacity of the machine.
     pub total: Resources,
-    /// Its free capacity, reservations included.
+    /// The capacity that no task uses; reserved capacity counts as free.
     pub free: Resources,
-    /// Images that it has or fetches.
+    /// Images that the machine has or is fetching.
     pub images: Vec<Arc<str>>,
-    /// How fast it fetches images, in GB per second.
+    /// The rate at which the machine fetches images, in GB per second.
     pub fetch_gb_per_s: f64,
-    /// Tasks that may be on it.
+    /// Tasks that may be running on the machine.
     pub tasks: Vec<TaskView>,
-    /// The lowest priority among the tasks that may be preempted.
+    /// The lowest priority among the tasks that may be preempted; `None` if there are none.
     pub lowest_priority: Option<Priority>,
     /// Capacity reserved for preemptors whose victims are still being stopped.
     pub reservations: Vec<Reservation>,
 }
 
-/// The lowest priority among the tasks that may be preempted.
+/// Returns the lowest priority among the tasks that may be preempted; `None` if there are none.
 pub fn lowest_priority(tasks: &[TaskView]) -> Option<Priority> {
     let stoppable = tasks.iter().filter(|task| task.stoppable);
     stoppable.map(|task| task.priority).min()
 }
 
-/// A job with tasks to be placed.
+/// A job with pending tasks.
 #[derive(Debug, Clone)]
 #[expect(
     clippy::struct_excessive_bools,
     reason = "independent facts about a job, of which any combination occurs"
 )]
 pub struct JobView {
-    /// Its id.
+    /// The job's id.
     pub id: Arc<str>,
-    /// Its specification.
+    /// The job's specification.
     pub spec: Arc<JobSpec>,
-    /// The numbers of its tasks without a placement.
+    /// The numbers of the tasks without a placement.
     pub pending: Vec<u32>,
-    /// When it became ready, in seconds on the planner's clock: its objectives count from then.
+    /// When the job became ready, in seconds on the planner's clock; its objectives are relative
+    /// to this time.
     pub ready_at_s: f64,
-    /// When it has to start to meet the next of its objectives, in seconds on the planner's
-    /// clock; `None` if all are missed.
+    /// The latest start, in seconds on the planner's clock, that meets the next of the job's
+    /// objectives; `None` if all are missed.
     pub start_by_s: Option<f64>,
-    /// Where its placed tasks are, those of an old attempt included.
+    /// The number of placed tasks by zone, including tasks of an earlier attempt.
     pub zones: ZoneCounts,
-    /// Machines on which it failed.
+    /// The names of machines on which the job failed.
     pub avoided_machines: HashSet<Arc<str>>,
-    /// It is not placed in this cycle, but keeps its reservations.
+    /// The job is backing off: it is not placed in this cycle, but keeps its reservations.
     pub backing_off: bool,
-    /// A gang with old placements that are not proven empty yet: it is not placed in this
-    /// cycle. Its unmet demand counts victims, as it may preempt once it is placed again.
+    /// The job is a gang with earlier placements whose tasks are not yet known to have ended: it
+    /// is not placed in this cycle. Its unmet demand assumes preemption, because it may preempt
+    /// once it is placed again.
     pub incomplete: bool,
-    /// It has waited so long without a single start that it goes first in its priority.
+    /// The job has waited so long without starting any task that it goes first among jobs of its
+    /// priority.
     pub overdue: bool,
-    /// An array may still skip machines without its image in favour of jobs that have theirs
-    /// there.
+    /// The job is an array that may still skip machines without its image, in favour of jobs whose
+    /// image is cached there.
     pub prefers_cached: bool,
 }
 
-/// A team's usage, nominal quota and quota limit.
+/// A team's quota usage, nominal quota and quota limit.
 #[derive(Debug, Clone, Default)]
 pub struct TeamView {
-    /// CPUs in use.
+    /// CPUs used by the team's placed tasks.
     pub cpus: f64,
-    /// GPUs in use.
+    /// GPUs used by the team's placed tasks.
     pub gpus: f64,
     /// The limit of CPUs; 0 for no limit.
     pub cpus_max: f64,
@@ -124,9 +127,9 @@
     pub nominal_cpus: f64,
     /// The nominal quota of GPUs.
     pub nominal_gpus: f64,
-    /// CPUs that all of its unfinished jobs ask for.
+    /// CPUs requested by all unfinished jobs of the team.
     pub requested_cpus: f64,
-    /// GPUs that all of its unfinished jobs ask for.
+    /// GPUs requested by all unfinished jobs of the team.
     pub requested_gpus: f64,
 }
 
@@ -147,20 +150,20 @@
         by_cpus.min(by_gpus) as u32
     }
 
-    /// Whether all its unfinished work fits into the nominal quota.
+    /// Whether the requests of all unfinished jobs fit into the nominal quota.
     pub(super) fn is_within_nominal_quota(&self) -> bool {
         (self.nominal_cpus > 0.0 || self.nominal_gpus > 0.0)
             && self.requested_cpus <= self.nominal_cpus + EPSILON
             && self.requested_gpus <= self.nominal_gpus + EPSILON
     }
 
-    /// Whether it uses no more than its limit.
+    /// Whether the team's usage is within its limit.
     pub fn is_within_limit(&self) -> bool {
         let within = |max: f64, used: f64| max <= 0.0 || used <= max + EPSILON;
         within(self.cpus_max, self.cpus) && within(self.gpus_max, self.gpus)
     }
 
-    /// Whether it uses more than its nominal quota.
+    /// Whether the team's usage exceeds its nominal quota.
     pub(super) fn borrows_quota(&self) -> bool {
         self.cpus > self.nominal_cpus + EPSILON || self.gpus > self.nominal_gpus + EPSILON
     }
@@ -170,31 +173,31 @@
         self.remaining_tasks(demand) > 0
     }
 
-    /// Counts `count` more tasks with this demand as in use.
+    /// Adds `count` tasks with this demand to the team's usage.
     pub fn add_tasks(&mut self, demand: Resources, count: usize) {
         self.cpus += demand.cpus * count as f64;
         self.gpus += demand.gpus * count as f64;
     }
 }
 
-/// The input of a cycle. Machines are shared with the caller: those that did not change since
-/// the last snapshot are not copied.
+/// The input of a planning cycle. Machines are shared with the caller, so machines that did not
+/// change since the last snapshot are not copied.
 #[derive(Debug, Clone, Default)]
 pub struct Snapshot {
     /// Machines that may receive tasks.
     pub machines: Vec<Arc<MachineView>>,
-    /// Jobs with tasks to be placed, in any order.
+    /// Jobs with pending tasks, in any order.
     pub jobs: Vec<JobView>,
-    /// All teams, by name.
+    /// Quota and usage of all teams, by team name.
     pub teams: HashMap<String, TeamView>,
-    /// The planner's clock, in seconds.
+    /// The time of the snapshot on the planner's clock, in seconds.
     pub now_s: f64,
     /// The penalty for using an on-demand machine where a spot one would do, in seconds of
     /// waiting.
     pub on_demand_penalty_s: f64,
 }
 
-/// Whether a job may use a machine of a type in a zone, its capacity aside.
+/// Whether a job's constraints allow a machine of this type and zone, regardless of capacity.
 pub fn is_allowed(spec: &JobSpec, machine_type: &str, zone: &str, spot: bool) -> bool {
     let types = spec.machine_types.as_ref();
     (spec.spot || !spot)
@@ -202,7 +205,7 @@
         && spec.zone.as_ref().is_none_or(|only| only == zone)
 }
 
-/// The most tasks of a job that may be in one zone; [`u32::MAX`] for no limit.
+/// Returns the most tasks of a job that may be in one zone; [`u32::MAX`] for no limit.
 pub fn tasks_per_zone_max(spec: &JobSpec) -> u32 {
     if spec.spread {
         spec.tasks.div_ceil(2)
--- a/src/task_runs.rs
+++ b/src/task_runs.rs
@@ -1,8 +1,8 @@
-//! Sets of tasks, and runs of tasks on their machines, as job records store them.
+//! The task sets and task runs that job records store.
 
 use serde::{Deserialize, Serialize};
 
-/// Successive tasks, from the first to the last inclusive.
+/// Consecutive task numbers from `first` to `last`, inclusive.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct TaskRange {
     pub(crate) first: u32,
@@ -16,7 +16,7 @@
     }
 }
 
-/// A set of task numbers, as inclusive ranges `(first, last)`. Stored as a list of pairs.
+/// A set of task numbers as inclusive ranges `(first, last)`. Serialized as a list of pairs.
 ///
 /// Invariant: the ranges are sorted and separated by at least one task.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Merges a range with the next one if no task is between them.
+    /// Merges a range with the next one if they are adjacent.
     fn merge_with_next(&mut self, index: usize) {
         let Some((next_first, next_last)) = self.0.get(index + 1).copied() else {
             return;
@@ -59,7 +59,7 @@
         self.0.partition_point(|(_, last)| *last < task)
     }
 
-    /// Makes it the set of the first `count` tasks.
+    /// Replaces the contents with the first `count` tasks, from 0.
     pub fn fill(&mut self, count: u32) {
         self.0.clear();
         if let Some(last) = count.checked_sub(1) {
@@ -67,12 +67,13 @@
         }
     }
 
-    /// Appends a range, which must follow all others.
+    /// Appends a range. It has to begin at least two tasks after the last one ends, or the invariant
+    /// breaks.
     pub(crate) fn push_range(&mut self, range: TaskRange) {
         self.0.push((range.first, range.last));
     }
 
-    /// Returns the ranges, lowest first.
+    /// Returns the ranges in ascending order.
     pub(crate) fn ranges(&self) -> impl DoubleEndedIterator<Item = TaskRange> + '_ {
         let ranges = self.0.iter();
         ranges.map(|&(first, last)| TaskRange { first, last })
@@ -80,7 +81,7 @@
 
     /// Returns the number of tasks in the set.
     pub fn len(&self) -> u64 {
-        // In 64 bits, as a range of all task numbers has one more than fits into 32.
+        // Computed in 64 bits, because the range of all 32-bit task numbers has 2^32 elements.
         let length = |range: TaskRange| u64::from(range.last - range.first) + 1;
         self.ranges().map(length).sum()
     }
@@ -91,7 +92,8 @@
     }
 }
 
-/// Successive tasks that may be on a machine under one attempt. Stored as a list of four.
+/// Consecutive tasks of one attempt that may be on the same machine. Serialized as a list of
+/// four values.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(from = "(u32, u32, u64, String)", into = "(u32, u32, u64, String)")]
 pub struct TaskRun {
@@ -99,7 +101,7 @@
     pub first: u32,
     /// The number of tasks.
     pub count: u32,
-    /// Their attempt.
+    /// The attempt that the tasks belong to.
     pub attempt: u64,
     /// The machine's name.
     pub machine: String,
