--- a/src/plan/cycle/decision_builder.rs
+++ b/src/plan/cycle/decision_builder.rs
@@ -24,12 +24,12 @@
     }
 
     /// Adds a gang that could not be placed; the scheduler lets it back off.
-    pub(super) fn add_failed(&mut self, job: &JobView) {
+    pub(super) fn add_unplaced_gang(&mut self, job: &JobView) {
         self.decision.failed.push(job.id.clone());
     }
 
     /// Adds an array that skipped machines because they lack its image.
-    pub(super) fn add_skipped(&mut self, job: &JobView) {
+    pub(super) fn add_skipped_array(&mut self, job: &JobView) {
         let skipped = &mut self.decision.arrays_skipping_uncached;
         skipped.push(job.id.clone());
     }
--- a/src/plan/cycle/mod.rs
+++ b/src/plan/cycle/mod.rs
@@ -64,7 +64,7 @@
         let count = job.pending.len();
         if self.remaining_tasks(job) < count {
             if is_schedulable(job) {
-                self.decision.add_failed(job);
+                self.decision.add_unplaced_gang(job);
             }
             // Charge the waiting gang's demand as well: if later jobs used up the team's remaining
             // quota, a large gang would never start.
@@ -87,7 +87,7 @@
             self.preempt(job, &found);
             return;
         }
-        self.decision.add_failed(job);
+        self.decision.add_unplaced_gang(job);
         self.add_unmet_demand(job);
     }
 
@@ -107,7 +107,7 @@
         self.place(job, &found);
         let rest = &pending[found.tasks.len()..];
         if found.skipped_uncached_machines {
-            self.decision.add_skipped(job);
+            self.decision.add_skipped_array(job);
             self.skipped.push(SkippedArray { job, pending: rest });
             return;
         }
--- a/src/plan/indexes/capacity_index.rs
+++ b/src/plan/indexes/capacity_index.rs
@@ -116,7 +116,7 @@
         kind_allowed: &[bool],
         totals: &[Resources],
     ) -> Vec<BucketIter<'_>> {
-        let least = just_below(demand);
+        let least = with_rounding_tolerance(demand);
         let mut found = Vec::new();
         for (kind, total) in totals
             .iter()
@@ -149,8 +149,8 @@
     }
 }
 
-/// The least capacity that still holds a demand within the rounding tolerance.
-fn just_below(demand: Resources) -> Resources {
+/// Returns the least capacity that still fits a demand within the rounding tolerance.
+fn with_rounding_tolerance(demand: Resources) -> Resources {
     Resources {
         cpus: demand.cpus - EPSILON,
         gpus: demand.gpus - EPSILON,
