--- a/examples/scheduling_cost.rs
+++ b/examples/scheduling_cost.rs
@@ -169,7 +169,7 @@
     }
 
     fn plan_and_apply(&mut self, what: &str, snapshot: Snapshot) {
-        let decision = timed(what, 1, || plan::cycle(snapshot));
+        let decision = timed(what, 1, || plan::run_cycle(snapshot));
         timed("its application, with scale-out", 1, || {
             self.scheduler
                 .apply_decision(decision, 4, self.now, self.wall_ms);
@@ -278,7 +278,7 @@
         );
         self.pass(14_000);
         // The gangs keep their machines meanwhile.
-        let decision = plan::cycle(self.scheduler.snapshot(self.now, self.wall_ms));
+        let decision = plan::run_cycle(self.scheduler.snapshot(self.now, self.wall_ms));
         self.scheduler
             .apply_decision(decision, 4, self.now, self.wall_ms);
         self.commit();
--- a/src/cloud/mod.rs
+++ b/src/cloud/mod.rs
@@ -15,7 +15,7 @@
 use std::sync::Arc;
 
 use crate::job::JobSpec;
-use crate::plan::{is_allowed, tasks_per_zone_max, Resources, ZoneCounts};
+use crate::plan::{is_kind_allowed, tasks_per_zone_max, Resources, ZoneCounts};
 use crate::wire::MachineType;
 use offerings::all_offerings;
 use planner::ScaleOutPlanner;
@@ -95,7 +95,7 @@
 pub fn can_run(spec: &JobSpec, machine_types: &[MachineType]) -> bool {
     let demand = Resources::of(spec);
     machine_types.iter().any(|machine_type| {
-        let allowed = |zone: &String| is_allowed(spec, &machine_type.name, zone, spec.spot);
+        let allowed = |zone: &String| is_kind_allowed(spec, &machine_type.name, zone, spec.spot);
         capacity(machine_type).fits(demand) && machine_type.zones.iter().any(allowed)
     })
 }
--- a/src/cloud/offerings.rs
+++ b/src/cloud/offerings.rs
@@ -2,7 +2,7 @@
 
 use super::{capacity, MachineKind};
 use crate::job::JobSpec;
-use crate::plan::{is_allowed, Resources};
+use crate::plan::{is_kind_allowed, Resources};
 use crate::wire::MachineType;
 
 /// A kind of machine that the cloud offers, with its price. Offerings are identified by their
@@ -20,7 +20,7 @@
 impl InstanceOffering {
     /// The hourly price per task on a machine full of tasks with this demand.
     pub(super) fn price_per_task(&self, demand: Resources) -> f64 {
-        self.price / f64::from(self.capacity.count_of(demand))
+        self.price / f64::from(self.capacity.max_task_count(demand))
     }
 }
 
@@ -58,7 +58,7 @@
 pub(super) fn allowed_offerings(spec: &JobSpec, offerings: &[InstanceOffering]) -> Vec<bool> {
     let allowed = |offering: &InstanceOffering| {
         let kind = &offering.kind;
-        is_allowed(spec, &kind.machine_type, &kind.zone, kind.spot)
+        is_kind_allowed(spec, &kind.machine_type, &kind.zone, kind.spot)
     };
     offerings.iter().map(allowed).collect()
 }
--- a/src/cloud/planner.rs
+++ b/src/cloud/planner.rs
@@ -107,7 +107,7 @@
     fn rent(&self, offering: usize, open: &mut OpenDemand, plan: &mut ScaleOutPlan) {
         let details = &self.offerings[offering];
         let zone = &details.kind.zone;
-        let tasks_each = details.capacity.count_of(open.per_task).max(1);
+        let tasks_each = details.capacity.max_task_count(open.per_task).max(1);
         let count_max = self.machines_max - plan.rented_count();
         let count = u64::from(open.unmet_in_zone(zone) / tasks_each).clamp(1, count_max);
         let group = plan.rent(offering, details, count);
@@ -146,7 +146,7 @@
     fn is_candidate(&self, offering: usize, open: &OpenDemand, on_demand_price_max: f64) -> bool {
         let details = &self.offerings[offering];
         let is_on_demand_for_spot = open.demand.spec.spot && !details.kind.spot;
-        details.capacity.count_of(open.per_task) > 0
+        details.capacity.max_task_count(open.per_task) > 0
             && open.allowed[offering]
             && !details.is_sold_out
             && open.allowed_in_zone(&details.kind.zone) > 0
@@ -158,7 +158,7 @@
     /// that could share it.
     fn price_per_expected_task(&self, offering: usize, open: &OpenDemand) -> f64 {
         let details = &self.offerings[offering];
-        let fitting = details.capacity.count_of(open.per_task);
+        let fitting = details.capacity.max_task_count(open.per_task);
         let later = self.tasks_from_demand[open.index + 1][offering];
         let tasks = fitting.min(open.unmet_count.saturating_add(later)).max(1);
         details.price / f64::from(tasks)
--- a/src/cloud/scale_out_plan.rs
+++ b/src/cloud/scale_out_plan.rs
@@ -112,7 +112,7 @@
     /// Machines that receive tasks become groups of their own.
     pub(super) fn use_group(&mut self, index: usize, open: &mut OpenDemand, zone: &str) {
         let group = self.groups[index];
-        let tasks_each = group.free.count_of(open.per_task);
+        let tasks_each = group.free.max_task_count(open.per_task);
         let tasks_max = open.unmet_in_zone(zone);
         if tasks_each == 0 || tasks_max == 0 {
             return;
--- a/src/controller/user_requests.rs
+++ b/src/controller/user_requests.rs
@@ -159,7 +159,11 @@
         if is_cancel {
             return self.cancel_job(request_id, &job);
         }
-        if self.watch_cache.dependencies.has_unresolved(&job) {
+        if self
+            .watch_cache
+            .dependencies
+            .has_unresolved_dependency(&job)
+        {
             // The outcome of a dependency that is still being looked up may cancel the job.
             let after_event = self.clock.sequence() + 1;
             let stage = RequestStage::AwaitCache {
--- a/src/dependencies.rs
+++ b/src/dependencies.rs
@@ -26,7 +26,7 @@
         cancelled: bool,
     },
     /// The job has ended.
-    Over(FinalState),
+    Ended(FinalState),
     /// Neither the job nor its final state is in the watch cache: the state has to be looked up in
     /// the store.
     Unknown,
@@ -71,7 +71,7 @@
         let mut unfinished = BTreeSet::new();
         for dependency in dependencies {
             let state = state_of(dependency);
-            if state == DependencyState::Over(FinalState::Done) {
+            if state == DependencyState::Ended(FinalState::Done) {
                 continue;
             }
             if state == DependencyState::Unknown {
@@ -92,10 +92,10 @@
 
     fn is_dependency_cancelled(&self, id: &str, state: DependencyState) -> bool {
         match state {
-            DependencyState::Over(FinalState::Cancelled)
+            DependencyState::Ended(FinalState::Cancelled)
             | DependencyState::Live { cancelled: true } => true,
             DependencyState::Live { cancelled: false } => self.cancelled.contains(id),
-            DependencyState::Over(FinalState::Done) | DependencyState::Unknown => false,
+            DependencyState::Ended(FinalState::Done) | DependencyState::Unknown => false,
         }
     }
 
@@ -154,7 +154,7 @@
 
     /// Returns whether a job depends, directly or indirectly, on one whose state has to be looked
     /// up in the store, so that its own cancellation is undecided.
-    pub fn has_unresolved(&self, id: &str) -> bool {
+    pub fn has_unresolved_dependency(&self, id: &str) -> bool {
         if self.unresolved.is_empty() {
             return false;
         }
--- a/src/plan/cost.rs
+++ b/src/plan/cost.rs
@@ -4,7 +4,7 @@
 //! where a spot machine would do, and a share of that penalty for the capacity left unused on
 //! the machine. With preemption, the work that the victims lose is added.
 
-use super::resources::{fetch_s, Resources};
+use super::resources::{estimated_fetch_s, Resources};
 use super::snapshot::{MachineView, TaskView};
 use crate::job::JobSpec;
 
@@ -48,5 +48,5 @@
     if has_image {
         return 0.0;
     }
-    fetch_s(spec.image_gb, machine.fetch_gb_per_s)
+    estimated_fetch_s(spec.image_gb, machine.fetch_gb_per_s)
 }
--- a/src/plan/cycle/decision_builder.rs
+++ b/src/plan/cycle/decision_builder.rs
@@ -1,7 +1,7 @@
 //! Builds the [`Decision`] of a cycle: translates machine indexes into machine names.
 
 use crate::plan::decision::{
-    Decision, PlannedPlacement, PlannedReservation, PlannedStop, TaskBinding, UnmetDemand,
+    Decision, PlannedPlacement, PlannedPreemption, PlannedReservation, TaskBinding, UnmetDemand,
 };
 use crate::plan::fleet::Fleet;
 use crate::plan::resources::Resources;
@@ -25,7 +25,7 @@
 
     /// Adds a gang that could not be placed; the scheduler lets it back off.
     pub(super) fn add_unplaced_gang(&mut self, job: &JobView) {
-        self.decision.failed.push(job.id.clone());
+        self.decision.unplaced_gangs.push(job.id.clone());
     }
 
     /// Adds an array that skipped machines because they lack its image.
@@ -56,7 +56,7 @@
     pub(super) fn add_preemption(&mut self, job: &JobView, assignment: &Assignment, fleet: &Fleet) {
         for victim in &assignment.victims {
             let view = &fleet.machine(victim.machine).tasks[victim.task];
-            self.decision.stops.push(PlannedStop {
+            self.decision.preemptions.push(PlannedPreemption {
                 job: view.job.clone(),
                 task: view.task,
                 machine: fleet.machine_name(victim.machine),
--- a/src/plan/cycle/mod.rs
+++ b/src/plan/cycle/mod.rs
@@ -31,7 +31,7 @@
 
 /// Runs one planning cycle over the whole queue. Deterministic: the same snapshot always gives
 /// the same decision.
-pub fn cycle(mut snapshot: Snapshot) -> Decision {
+pub fn run_cycle(mut snapshot: Snapshot) -> Decision {
     let queue = queue_order(&snapshot);
     let jobs = std::mem::take(&mut snapshot.jobs);
     let demands = queue.iter().map(|index| Resources::of(&jobs[*index].spec));
@@ -123,11 +123,11 @@
     /// A low-priority array is first placed only on machines that have its image. Other free
     /// machines are left to later jobs whose image is there, and used for the array afterwards.
     fn array_search_mode(&self, job: &JobView) -> SearchMode {
-        let prefers_cached = job.prefers_cached
+        let prefers_cached_image = job.prefers_cached_image
             && job.spec.priority == Priority::Low
             && !(job.spec.single_zone || job.spec.spread)
             && !self.is_within_nominal_quota(job);
-        if prefers_cached {
+        if prefers_cached_image {
             SearchMode::Cached
         } else {
             SearchMode::Free
@@ -217,5 +217,5 @@
 
 /// Whether a job may be placed in this cycle.
 fn is_schedulable(job: &JobView) -> bool {
-    !(job.backing_off || job.incomplete)
+    !(job.backing_off || job.awaiting_task_exits)
 }
--- a/src/plan/cycle/state.rs
+++ b/src/plan/cycle/state.rs
@@ -130,7 +130,7 @@
         };
         let found = self.search_without_earmarks(request);
         let is_partial = |found: &Assignment| found.tasks.len() < job.pending.len();
-        if job.incomplete && found.as_ref().is_none_or(is_partial) {
+        if job.awaiting_task_exits && found.as_ref().is_none_or(is_partial) {
             return self.search_without_earmarks(SearchRequest {
                 mode: SearchMode::WithVictims,
                 ..request
--- a/src/plan/decision.rs
+++ b/src/plan/decision.rs
@@ -25,7 +25,7 @@
 
 /// A task to be preempted.
 #[derive(Debug, Clone, PartialEq)]
-pub struct PlannedStop {
+pub struct PlannedPreemption {
     /// The id of the victim's job.
     pub job: Arc<str>,
     /// The victim's task number within its job.
@@ -53,12 +53,12 @@
     /// Placements, at most one entry for each job.
     pub placements: Vec<PlannedPlacement>,
     /// Tasks to preempt. For a gang the list has all required victims or none.
-    pub stops: Vec<PlannedStop>,
+    pub preemptions: Vec<PlannedPreemption>,
     /// Reservations for the preemptors, one for each of their tasks that is to be placed.
     pub reservations: Vec<PlannedReservation>,
     /// Gangs that could not be placed for lack of capacity or quota; the scheduler lets them back
     /// off.
-    pub failed: Vec<Arc<str>>,
+    pub unplaced_gangs: Vec<Arc<str>>,
     /// Arrays that skipped machines with free capacity because the machines lack their image.
     pub arrays_skipping_uncached: Vec<Arc<str>>,
     /// Tasks for which machines would have to be rented, in the order in which the cycle visited
--- a/src/plan/fleet/kinds.rs
+++ b/src/plan/fleet/kinds.rs
@@ -4,7 +4,7 @@
 
 use crate::job::JobSpec;
 use crate::plan::resources::Resources;
-use crate::plan::snapshot::{is_allowed, MachineView};
+use crate::plan::snapshot::{is_kind_allowed, MachineView};
 
 /// The kinds of the machines: type, zone, spot or on-demand, and total capacity.
 ///
@@ -63,7 +63,7 @@
     ) -> Vec<bool> {
         let allowed = |representative: &usize| {
             let view = &machines[*representative];
-            is_allowed(spec, &view.machine_type, &view.zone, view.spot)
+            is_kind_allowed(spec, &view.machine_type, &view.zone, view.spot)
                 && zone.is_none_or(|zone| *zone == *view.zone)
         };
         self.representatives.iter().map(allowed).collect()
--- a/src/plan/mod.rs
+++ b/src/plan/mod.rs
@@ -39,12 +39,12 @@
 mod search;
 mod snapshot;
 
-pub use cycle::cycle;
+pub use cycle::run_cycle;
 pub use decision::{
-    Decision, PlannedPlacement, PlannedReservation, PlannedStop, TaskBinding, UnmetDemand,
+    Decision, PlannedPlacement, PlannedPreemption, PlannedReservation, TaskBinding, UnmetDemand,
 };
-pub use resources::{fetch_s, Resources};
+pub use resources::{estimated_fetch_s, Resources};
 pub use snapshot::{
-    is_allowed, lowest_priority, tasks_per_zone_max, JobView, MachineView, Reservation, Snapshot,
-    TaskView, TeamView, ZoneCounts,
+    is_kind_allowed, lowest_preemptable_priority, tasks_per_zone_max, JobView, MachineView,
+    Reservation, Snapshot, TaskView, TeamView, ZoneCounts,
 };
--- a/src/plan/preemption/victims.rs
+++ b/src/plan/preemption/victims.rs
@@ -57,7 +57,7 @@
                 }
             }
         }
-        capacity.count_of(Resources::of(&preemptor.spec))
+        capacity.max_task_count(Resources::of(&preemptor.spec))
     }
 
     /// Chooses the victims that free capacity for one more task on a machine with this free
@@ -152,7 +152,7 @@
         let preemptor = self.preemptor;
         let is_borrowing =
             || *view.team != *preemptor.spec.team && self.fleet.quotas.borrows_quota(&view.team);
-        view.stoppable
+        view.preemptable
             && view.job != preemptor.job
             && (view.priority < preemptor.spec.priority
                 || (preemptor.is_within_nominal_quota && is_borrowing()))
@@ -162,7 +162,7 @@
     /// A cheap check whether no task on a machine may be preempted. May return false even if none
     /// may.
     fn has_no_victims(&self, machine: usize) -> bool {
-        let lowest = self.fleet.machine(machine).lowest_priority;
+        let lowest = self.fleet.machine(machine).lowest_preemptable_priority;
         let none_lower = lowest.is_none_or(|lowest| lowest >= self.preemptor.spec.priority);
         !self.preemptor.is_within_nominal_quota && none_lower
     }
--- a/src/plan/resources.rs
+++ b/src/plan/resources.rs
@@ -70,7 +70,7 @@
     }
 
     /// How many tasks with this demand fit into the capacity, at most `TASK_COUNT_MAX`.
-    pub fn count_of(&self, demand: Resources) -> u32 {
+    pub fn max_task_count(&self, demand: Resources) -> u32 {
         let fitting = |available: f64, demand: f64| {
             if demand <= EPSILON {
                 f64::INFINITY
@@ -99,6 +99,6 @@
 const FETCH_MIN_GB_PER_S: f64 = 0.01;
 
 /// Estimates the time to fetch an image, in seconds.
-pub fn fetch_s(image_gb: f64, fetch_gb_per_s: f64) -> f64 {
+pub fn estimated_fetch_s(image_gb: f64, fetch_gb_per_s: f64) -> f64 {
     image_gb / fetch_gb_per_s.max(FETCH_MIN_GB_PER_S)
 }
--- a/src/plan/snapshot.rs
+++ b/src/plan/snapshot.rs
@@ -23,7 +23,7 @@
     /// The name of the job's team.
     pub team: Arc<str>,
     /// Whether the task may be preempted; false if it is being stopped already.
-    pub stoppable: bool,
+    pub preemptable: bool,
     /// The cost of stopping the task, in seconds of lost work and of checkpointing.
     pub stop_cost_s: f64,
     /// When a task without checkpoints started, in seconds on the planner's clock: preemption
@@ -64,15 +64,15 @@
     /// Tasks that may be running on the machine.
     pub tasks: Vec<TaskView>,
     /// The lowest priority among the tasks that may be preempted; `None` if there are none.
-    pub lowest_priority: Option<Priority>,
+    pub lowest_preemptable_priority: Option<Priority>,
     /// Capacity reserved for preemptors whose victims are still being stopped.
     pub reservations: Vec<Reservation>,
 }
 
 /// Returns the lowest priority among the tasks that may be preempted; `None` if there are none.
-pub fn lowest_priority(tasks: &[TaskView]) -> Option<Priority> {
-    let stoppable = tasks.iter().filter(|task| task.stoppable);
-    stoppable.map(|task| task.priority).min()
+pub fn lowest_preemptable_priority(tasks: &[TaskView]) -> Option<Priority> {
+    let preemptable = tasks.iter().filter(|task| task.preemptable);
+    preemptable.map(|task| task.priority).min()
 }
 
 /// A job with pending tasks.
@@ -103,13 +103,13 @@
     /// The job is a gang with earlier placements whose tasks are not yet known to have ended: it
     /// is not placed in this cycle. Its unmet demand assumes preemption, because it may preempt
     /// once it is placed again.
-    pub incomplete: bool,
+    pub awaiting_task_exits: bool,
     /// The job has waited so long without starting any task that it goes first among jobs of its
     /// priority.
     pub overdue: bool,
     /// The job is an array that may still skip machines without its image, in favour of jobs whose
     /// image is cached there.
-    pub prefers_cached: bool,
+    pub prefers_cached_image: bool,
 }
 
 /// A team's quota usage, nominal quota and quota limit.
@@ -169,7 +169,7 @@
     }
 
     /// Whether one more task with this demand stays within the limit.
-    pub fn allows(&self, demand: Resources) -> bool {
+    pub fn allows_task(&self, demand: Resources) -> bool {
         self.remaining_tasks(demand) > 0
     }
 
@@ -198,7 +198,7 @@
 }
 
 /// Whether a job's constraints allow a machine of this type and zone, regardless of capacity.
-pub fn is_allowed(spec: &JobSpec, machine_type: &str, zone: &str, spot: bool) -> bool {
+pub fn is_kind_allowed(spec: &JobSpec, machine_type: &str, zone: &str, spot: bool) -> bool {
     let types = spec.machine_types.as_ref();
     (spec.spot || !spot)
         && types.is_none_or(|types| types.iter().any(|name| name == machine_type))
--- a/src/scheduler/decisions.rs
+++ b/src/scheduler/decisions.rs
@@ -10,7 +10,7 @@
 use super::{Job, Placement, Scheduler};
 use crate::machine::Machine;
 use crate::plan::{
-    is_allowed, Decision, PlannedPlacement, PlannedReservation, Reservation, Resources,
+    is_kind_allowed, Decision, PlannedPlacement, PlannedReservation, Reservation, Resources,
     TaskBinding, TeamView,
 };
 
@@ -33,7 +33,7 @@
         for placement in &decision.placements {
             self.apply_placement(placement, &mut teams, now);
         }
-        for stop in &decision.stops {
+        for stop in &decision.preemptions {
             let task = TaskKey::new(&stop.job, stop.task);
             info!(%task, preemptor = %stop.preemptor, "stopping task for preemption");
             self.stop_gracefully(&task, now);
@@ -41,7 +41,7 @@
         for reservation in decision.reservations {
             self.apply_reservation(reservation, now);
         }
-        for id in &decision.failed {
+        for id in &decision.unplaced_gangs {
             if let Some(job) = self.jobs.get_mut(&**id) {
                 job.retry.back_off(self.operator.backoff_max_s, now);
             }
@@ -133,7 +133,7 @@
             free.sub(demand);
             let task = binding.task;
             let is_pending = !job.done.contains(task) && job.placement(task).is_none();
-            if is_pending && team.allows(demand) {
+            if is_pending && team.allows_task(demand) {
                 team.add_tasks(demand, 1);
                 valid.push(binding.clone());
             }
@@ -143,7 +143,8 @@
 
     fn may_place_on(&self, job: &Job, machine: &Machine, now: u64) -> bool {
         let (machine_type, zone) = (&machine.machine_type, &machine.zone);
-        self.accepts_tasks(machine, now) && is_allowed(&job.spec, machine_type, zone, machine.spot)
+        self.accepts_tasks(machine, now)
+            && is_kind_allowed(&job.spec, machine_type, zone, machine.spot)
     }
 
     /// The bindings that fit in the job's record; for a gang, all or none.
--- a/src/scheduler/gangs.rs
+++ b/src/scheduler/gangs.rs
@@ -6,7 +6,7 @@
 use super::placement::TaskKey;
 use super::{to_ms, Job, Placement, Scheduler};
 use crate::machine::{Machine, TaskPhase};
-use crate::plan::fetch_s;
+use crate::plan::estimated_fetch_s;
 
 /// Part of the formation timeout, in heartbeat intervals.
 const FORMATION_TIMEOUT_HEARTBEAT_INTERVALS: f64 = 4.0;
@@ -33,7 +33,7 @@
             .filter_map(|placement| self.machines.get(&*placement.machine));
         let slowest_fetch_s = machines
             .filter_map(|machine| self.catalog.machine_type(&machine.machine_type))
-            .map(|machine_type| fetch_s(job.spec.image_gb, machine_type.fetch_gb_per_s))
+            .map(|machine_type| estimated_fetch_s(job.spec.image_gb, machine_type.fetch_gb_per_s))
             .fold(0.0, f64::max);
         // On a slow link a fetch may take many times its nominal duration, so the timeout grows
         // with each failed formation: a fixed one could interrupt every attempt, and the gang would
--- a/src/scheduler/job_views.rs
+++ b/src/scheduler/job_views.rs
@@ -62,7 +62,7 @@
         Some(JobView {
             backing_off: job.retry.is_backing_off(now),
             overdue: is_overdue,
-            prefers_cached: !is_overdue
+            prefers_cached_image: !is_overdue
                 && !job.waiting_for_cache_since.is_some_and(cache_wait_ended),
             ..self.base_view(job, pending, zones, context)
         })
@@ -93,7 +93,7 @@
         let tasks = 0..job.spec.tasks;
         let pending: Vec<u32> = tasks.filter(|task| !present.contains(task)).collect();
         (!pending.is_empty()).then(|| JobView {
-            incomplete: true,
+            awaiting_task_exits: true,
             ..self.base_view(job, pending, zones, context)
         })
     }
@@ -118,9 +118,9 @@
             zones,
             avoided_machines: job.retry.avoided_machines(lease_s, context.time.now),
             backing_off: false,
-            incomplete: false,
+            awaiting_task_exits: false,
             overdue: false,
-            prefers_cached: false,
+            prefers_cached_image: false,
         }
     }
 
--- a/src/scheduler/machine_catalog.rs
+++ b/src/scheduler/machine_catalog.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use crate::cloud::MachineKind;
-use crate::plan::fetch_s;
+use crate::plan::estimated_fetch_s;
 use crate::wire::MachineType;
 
 /// The cloud's machine types, with their names and zones interned.
@@ -60,7 +60,7 @@
     pub(super) fn longest_fetch_s(&self, image_gb: f64) -> f64 {
         self.machine_types
             .iter()
-            .map(|machine_type| fetch_s(image_gb, machine_type.fetch_gb_per_s))
+            .map(|machine_type| estimated_fetch_s(image_gb, machine_type.fetch_gb_per_s))
             .fold(0.0, f64::max)
     }
 
--- a/src/scheduler/machine_views.rs
+++ b/src/scheduler/machine_views.rs
@@ -7,7 +7,7 @@
 use super::Scheduler;
 use crate::cloud;
 use crate::machine::{BoundTask, Machine};
-use crate::plan::{lowest_priority, MachineView, Resources, TaskView};
+use crate::plan::{lowest_preemptable_priority, MachineView, Resources, TaskView};
 use crate::wire::MachineType;
 
 /// Cost of stopping a task without checkpoints, in addition to its lost progress.
@@ -106,7 +106,7 @@
             free: self.free_resources(machine),
             images: self.present_images(machine),
             fetch_gb_per_s: machine_type.fetch_gb_per_s,
-            lowest_priority: lowest_priority(&tasks),
+            lowest_preemptable_priority: lowest_preemptable_priority(&tasks),
             tasks,
             reservations: machine.reservations.clone(),
         }
@@ -122,7 +122,7 @@
             resources: task.resources,
             priority: job.spec.priority,
             team: job.spec.team.as_str().into(),
-            stoppable: placement.stop.is_none(),
+            preemptable: placement.stop.is_none(),
             stop_cost_s: if has_checkpoints {
                 job.spec.checkpoint_grace_s
             } else {
--- a/src/scheduler/spot_queue.rs
+++ b/src/scheduler/spot_queue.rs
@@ -107,7 +107,7 @@
         let slots_on = |name: &str| {
             let machine_type = self.catalog.machine_type(name);
             machine_type.map_or(0.0, |machine_type| {
-                f64::from(cloud::capacity(machine_type).count_of(task))
+                f64::from(cloud::capacity(machine_type).max_task_count(task))
             })
         };
         let mut on_demand_tasks = 0;
--- a/src/scheduler/standby_capacity.rs
+++ b/src/scheduler/standby_capacity.rs
@@ -8,7 +8,7 @@
 use super::Scheduler;
 use crate::cloud::{self, Demand};
 use crate::machine::Machine;
-use crate::plan::{is_allowed, Resources, ZoneCounts};
+use crate::plan::{is_kind_allowed, Resources, ZoneCounts};
 
 /// The standby capacity of all job classes.
 #[derive(Default)]
@@ -88,12 +88,12 @@
         let is_usable = !machine.spot
             && machine.termination_reason.is_none()
             && machine.bound_tasks.iter().all(|task| task.spot)
-            && is_allowed(spec, &machine.machine_type, &machine.zone, false);
+            && is_kind_allowed(spec, &machine.machine_type, &machine.zone, false);
         if !is_usable {
             return None;
         }
         let machine_type = self.catalog.machine_type(&machine.machine_type)?;
-        let task_slots = cloud::capacity(machine_type).count_of(Resources::of(spec)) as usize;
+        let task_slots = cloud::capacity(machine_type).max_task_count(Resources::of(spec)) as usize;
         (task_slots > 0).then_some(StandbyCandidate {
             machine,
             task_slots,
--- a/src/scheduler/task_exits.rs
+++ b/src/scheduler/task_exits.rs
@@ -40,7 +40,7 @@
         };
         match job.spec.shape {
             // The tasks of a gang complete together: if one is done, all are.
-            Shape::Gang => job.done.fill(job.spec.tasks),
+            Shape::Gang => job.done.set_to_first(job.spec.tasks),
             Shape::Array => job.done.insert(task.task),
             Shape::Service => {}
         }
--- a/src/serve.rs
+++ b/src/serve.rs
@@ -154,7 +154,7 @@
 fn run_planner(shared: &Shared, waker: &Waker) {
     loop {
         let PlanRequest { epoch, snapshot } = shared.inbox.take();
-        let decision = plan::cycle(snapshot);
+        let decision = plan::run_cycle(snapshot);
         lock(&shared.controller).apply_plan(shared.clock.now(), epoch, decision);
         if let Err(error) = waker.wake() {
             error!(%error, "failed to wake the event loop; the plan waits for its next turn");
--- a/src/task_runs.rs
+++ b/src/task_runs.rs
@@ -60,7 +60,7 @@
     }
 
     /// Replaces the contents with the first `count` tasks, from 0.
-    pub fn fill(&mut self, count: u32) {
+    pub fn set_to_first(&mut self, count: u32) {
         self.0.clear();
         if let Some(last) = count.checked_sub(1) {
             self.push_range(TaskRange { first: 0, last });
--- a/src/watch_cache/mod.rs
+++ b/src/watch_cache/mod.rs
@@ -353,7 +353,7 @@
     id: &str,
 ) -> DependencyState {
     match (finals.get(id), jobs.get(id)) {
-        (Some(state), _) => DependencyState::Over(state),
+        (Some(state), _) => DependencyState::Ended(state),
         (None, Some(job)) => DependencyState::Live {
             cancelled: job.record.cancelled,
         },
--- a/tests/common/sim.rs
+++ b/tests/common/sim.rs
@@ -298,7 +298,7 @@
         });
         if let Some(snapshot) = snapshot {
             let epoch = controller.epoch();
-            let decision = metered(meter, index, WorkKind::PLAN, || plan::cycle(snapshot));
+            let decision = metered(meter, index, WorkKind::PLAN, || plan::run_cycle(snapshot));
             metered(meter, index, WorkKind::APPLY, || {
                 controller.apply_plan(now, epoch, decision);
             });
--- a/tests/job_dependencies/graph.rs
+++ b/tests/job_dependencies/graph.rs
@@ -25,7 +25,7 @@
         graph.add(&in_fan, &[name(0)], live, &mut events);
     }
     assert!(events.is_empty());
-    assert!(!graph.has_unresolved(&name(length - 1)));
+    assert!(!graph.has_unresolved_dependency(&name(length - 1)));
     graph.on_cancelled(&name(0), &mut events);
     assert_eq!(events.len(), 2 * length - 1);
     assert!(graph.is_cancelled(&name(length - 1)));
@@ -53,14 +53,16 @@
     graph.add("run-4", &[], state_of, &mut events);
     assert_eq!(graph.unresolved().iter().collect::<Vec<_>>(), ["run-1"]);
     assert!(
-        graph.has_unresolved("run-2")
-            && graph.has_unresolved("run-3")
-            && !graph.has_unresolved("run-4")
+        graph.has_unresolved_dependency("run-2")
+            && graph.has_unresolved_dependency("run-3")
+            && !graph.has_unresolved_dependency("run-4")
     );
     graph.on_done("run-1", &mut events);
     assert_eq!(events, [DependencyEvent::Ready("run-2".into())]);
     assert!(
-        !graph.has_unresolved("run-3") && graph.is_waiting("run-3") && !graph.is_waiting("run-2")
+        !graph.has_unresolved_dependency("run-3")
+            && graph.is_waiting("run-3")
+            && !graph.is_waiting("run-2")
     );
     // A dependent that becomes known before its dependency, as in a read in the order of keys.
     events.clear();
@@ -71,7 +73,7 @@
         &mut events,
     );
     graph.add("run-6", &[], state_of, &mut events);
-    assert!(!graph.has_unresolved("run-5") && graph.is_waiting("run-5"));
+    assert!(!graph.has_unresolved_dependency("run-5") && graph.is_waiting("run-5"));
     graph.on_cancelled("run-6", &mut events);
     assert_eq!(events, [DependencyEvent::Cancelled("run-5".into())]);
     graph.remove("run-5");
@@ -102,7 +104,7 @@
             set("g/j/run-3", job(&["run-2"]), 3),
         ],
     );
-    assert!(cache.dependencies.has_unresolved("run-3"));
+    assert!(cache.dependencies.has_unresolved_dependency("run-3"));
     cache.record_final("run-1", FinalState::Cancelled);
     assert_eq!(
         cache.take_dependency_events(),
@@ -111,7 +113,7 @@
             DependencyEvent::Cancelled("run-3".into())
         ]
     );
-    assert!(cache.is_cancelled("run-3") && !cache.dependencies.has_unresolved("run-3"));
+    assert!(cache.is_cancelled("run-3") && !cache.dependencies.has_unresolved_dependency("run-3"));
     assert_eq!(
         cache.dependency_state("run-2"),
         DependencyState::Live { cancelled: false },
--- a/tests/unit/plan.rs
+++ b/tests/unit/plan.rs
@@ -2,21 +2,21 @@
 
 use crate::support::*;
 use gaugesill::job::{Priority, Shape};
-use gaugesill::plan::{cycle, JobView, TaskBinding, TeamView};
+use gaugesill::plan::{run_cycle, JobView, TaskBinding, TeamView};
 use std::collections::{BTreeMap, HashMap};
 
 #[test]
 fn a_gang_starts_whole_or_not_at_all() {
     let gang = job("g", spec(Shape::Gang, 3, 4.0, Priority::Normal));
-    let decision = cycle(snapshot(vec![machine("m1", "a", 8.0)], vec![gang.clone()]));
-    assert!(decision.placements.is_empty() && decision.stops.is_empty());
-    assert_eq!(decision.failed, ["g".into()]);
+    let decision = run_cycle(snapshot(vec![machine("m1", "a", 8.0)], vec![gang.clone()]));
+    assert!(decision.placements.is_empty() && decision.preemptions.is_empty());
+    assert_eq!(decision.unplaced_gangs, ["g".into()]);
     // Two tasks fit already: the unmet demand is one.
     assert_eq!(decision.unmet[0].count, 1);
     let two = vec![machine("m1", "a", 8.0), machine("m2", "a", 4.0)];
-    let decision = cycle(snapshot(two, vec![gang]));
+    let decision = run_cycle(snapshot(two, vec![gang]));
     assert_eq!(decision.placements[0].tasks.len(), 3);
-    assert!(decision.failed.is_empty() && decision.unmet.is_empty());
+    assert!(decision.unplaced_gangs.is_empty() && decision.unmet.is_empty());
 }
 
 #[test]
@@ -24,10 +24,10 @@
     let mut m1 = machine("m1", "a", 0.0);
     m1.tasks = vec![filler("low", 0, 4.0), filler("low", 1, 4.0)];
     let gang = job("g", spec(Shape::Gang, 3, 4.0, Priority::Normal));
-    let decision = cycle(snapshot(vec![m1.clone()], vec![gang.clone()]));
-    assert!(decision.stops.is_empty() && decision.reservations.is_empty());
-    let decision = cycle(snapshot(vec![m1, machine("m2", "a", 4.0)], vec![gang]));
-    assert_eq!(decision.stops.len(), 2);
+    let decision = run_cycle(snapshot(vec![m1.clone()], vec![gang.clone()]));
+    assert!(decision.preemptions.is_empty() && decision.reservations.is_empty());
+    let decision = run_cycle(snapshot(vec![m1, machine("m2", "a", 4.0)], vec![gang]));
+    assert_eq!(decision.preemptions.len(), 2);
     assert_eq!(
         decision.reservations.len(),
         3,
@@ -44,8 +44,8 @@
     task.team = "u".into();
     m1.tasks = vec![task];
     let gang = job("g", spec(Shape::Gang, 1, 4.0, Priority::Normal));
-    let decision = cycle(snapshot(vec![m1.clone()], vec![gang.clone()]));
-    assert!(decision.stops.is_empty());
+    let decision = run_cycle(snapshot(vec![m1.clone()], vec![gang.clone()]));
+    assert!(decision.preemptions.is_empty());
     let mut input = snapshot(vec![m1], vec![gang]);
     let own = TeamView {
         nominal_cpus: 4.0,
@@ -58,7 +58,7 @@
         ..TeamView::default()
     };
     input.teams = HashMap::from([("t".to_string(), own), ("u".to_string(), borrower)]);
-    assert_eq!(cycle(input).stops.len(), 1);
+    assert_eq!(run_cycle(input).preemptions.len(), 1);
 }
 
 /// Capacity for one of three jobs: the job that has missed all its objectives goes last, and of
@@ -75,9 +75,9 @@
         one("large", 5, Some(1.0)),
         one("small", 1, Some(5.0)),
     ];
-    let decision = cycle(snapshot(vec![machine("m1", "a", 8.0)], jobs.clone()));
+    let decision = run_cycle(snapshot(vec![machine("m1", "a", 8.0)], jobs.clone()));
     assert_eq!(&*decision.placements[0].job, "small");
-    let decision = cycle(snapshot(vec![machine("m1", "a", 8.0)], jobs[..2].to_vec()));
+    let decision = run_cycle(snapshot(vec![machine("m1", "a", 8.0)], jobs[..2].to_vec()));
     assert_eq!(&*decision.placements[0].job, "large");
 }
 
@@ -85,20 +85,20 @@
 fn reserved_capacity_waits_for_its_gang_without_new_victims() {
     let mut m1 = machine("m1", "a", 4.0);
     let mut leaving = filler("low", 0, 4.0);
-    leaving.stoppable = false;
+    leaving.preemptable = false;
     m1.tasks = vec![leaving];
     m1.reservations = vec![held("g", 8.0, Priority::Normal)];
     let mut m2 = machine("m2", "a", 0.0);
     m2.tasks = vec![filler("low", 1, 8.0)];
     let gang = job("g", spec(Shape::Gang, 1, 8.0, Priority::Normal));
     let small = job("s", spec(Shape::Array, 1, 2.0, Priority::Low));
-    let decision = cycle(snapshot(
+    let decision = run_cycle(snapshot(
         vec![m1.clone(), m2.clone()],
         vec![gang.clone(), small],
     ));
-    assert!(decision.stops.is_empty() && decision.placements.is_empty());
+    assert!(decision.preemptions.is_empty() && decision.placements.is_empty());
     // Other capacity is free now: the gang may use it.
-    let decision = cycle(snapshot(vec![m1, machine("m3", "a", 8.0)], vec![gang]));
+    let decision = run_cycle(snapshot(vec![m1, machine("m3", "a", 8.0)], vec![gang]));
     let binding = TaskBinding {
         task: 0,
         machine: "m3".into(),
@@ -112,10 +112,13 @@
     m1.reservations = vec![held("low", 8.0, Priority::Normal)];
     let high = job("high", spec(Shape::Gang, 1, 8.0, Priority::High));
     let equal = job("equal", spec(Shape::Gang, 1, 8.0, Priority::Normal));
-    assert!(cycle(snapshot(vec![m1.clone()], vec![equal]))
+    assert!(run_cycle(snapshot(vec![m1.clone()], vec![equal]))
         .placements
         .is_empty());
-    assert_eq!(cycle(snapshot(vec![m1], vec![high])).placements.len(), 1);
+    assert_eq!(
+        run_cycle(snapshot(vec![m1], vec![high])).placements.len(),
+        1
+    );
 }
 
 /// Found on a quiet day of a large fleet: a tenth of all tasks pulled images, although jobs with
@@ -125,21 +128,21 @@
 fn arrays_prefer_machines_with_their_image() {
     let mut cached = machine("m1", "a", 4.0);
     cached.images = vec!["img".into()];
-    let first = |prefers_cached| {
+    let first = |prefers_cached_image| {
         let mut spec = spec(Shape::Array, 2, 4.0, Priority::Low);
         spec.image = "other".into();
         JobView {
-            prefers_cached,
+            prefers_cached_image,
             ..job("first", spec)
         }
     };
     let second = JobView {
         start_by_s: Some(90.0),
-        prefers_cached: true,
+        prefers_cached_image: true,
         ..job("second", spec(Shape::Array, 1, 4.0, Priority::Low))
     };
     let placed = |jobs: Vec<JobView>| {
-        let decision = cycle(snapshot(vec![cached.clone()], jobs));
+        let decision = run_cycle(snapshot(vec![cached.clone()], jobs));
         let place = decision
             .placements
             .first()
@@ -151,7 +154,7 @@
         )
     };
     let one = |id: &str| Some((id.to_string(), 1));
-    let both = |prefers_cached| vec![first(prefers_cached), second.clone()];
+    let both = |prefers_cached_image| vec![first(prefers_cached_image), second.clone()];
     assert_eq!(placed(both(true)), (one("second"), 1, 2u32));
     assert_eq!(placed(vec![first(true)]), (one("first"), 1, 1));
     assert_eq!(placed(both(false)), (one("first"), 0, 2));
@@ -162,13 +165,15 @@
     let mut one = spec(Shape::Gang, 2, 4.0, Priority::Normal);
     one.single_zone = true;
     let split = vec![machine("m1", "a", 4.0), machine("m2", "b", 4.0)];
-    assert!(cycle(snapshot(split.clone(), vec![job("g", one.clone())]))
-        .placements
-        .is_empty());
+    assert!(
+        run_cycle(snapshot(split.clone(), vec![job("g", one.clone())]))
+            .placements
+            .is_empty()
+    );
     // Remaining tasks of an old attempt restrict the others to their zone.
     let mut bound = job("g", one);
     bound.zones = BTreeMap::from([("b".into(), 1)]);
-    let decision = cycle(snapshot(
+    let decision = run_cycle(snapshot(
         vec![machine("m1", "a", 8.0), machine("m2", "b", 8.0)],
         vec![bound],
     ));
@@ -178,13 +183,13 @@
         .all(|binding| &*binding.machine == "m2"));
     let mut apart = spec(Shape::Gang, 3, 1.0, Priority::Normal);
     apart.spread = true;
-    assert!(cycle(snapshot(
+    assert!(run_cycle(snapshot(
         vec![machine("m1", "a", 8.0)],
         vec![job("g", apart.clone())]
     ))
     .placements
     .is_empty());
-    let decision = cycle(snapshot(split, vec![job("g", apart)]));
+    let decision = run_cycle(snapshot(split, vec![job("g", apart)]));
     let in_a = decision.placements[0]
         .tasks
         .iter()
@@ -209,8 +214,8 @@
             ..TeamView::default()
         },
     )]);
-    let decision = cycle(input);
-    assert!(decision.placements.is_empty() && decision.failed.is_empty());
+    let decision = run_cycle(input);
+    assert!(decision.placements.is_empty() && decision.unplaced_gangs.is_empty());
 }
 
 /// Found in the log of a day that began with eight gangs: no machines were rented for those
@@ -219,7 +224,7 @@
 fn machines_are_rented_for_a_gang_backing_off() {
     let mut gang = job("g", spec(Shape::Gang, 2, 8.0, Priority::Normal));
     gang.backing_off = true;
-    let decision = cycle(snapshot(vec![machine("m1", "a", 2.0)], vec![gang]));
-    assert!(decision.placements.is_empty() && decision.failed.is_empty());
+    let decision = run_cycle(snapshot(vec![machine("m1", "a", 2.0)], vec![gang]));
+    assert!(decision.placements.is_empty() && decision.unplaced_gangs.is_empty());
     assert_eq!(decision.unmet[0].count, 2);
 }
--- a/tests/unit/scalability.rs
+++ b/tests/unit/scalability.rs
@@ -104,8 +104,8 @@
     let examined = |machines: usize| {
         let (views, jobs) = full_queue(machines);
         let tasks: usize = jobs.iter().map(|job| job.pending.len()).sum();
-        let decision = plan::cycle(snapshot(views, jobs));
-        assert!(!decision.placements.is_empty() && !decision.stops.is_empty());
+        let decision = plan::run_cycle(snapshot(views, jobs));
+        assert!(!decision.placements.is_empty() && !decision.preemptions.is_empty());
         decision.machines_examined as f64 / (machines + tasks) as f64
     };
     let (small, large) = (examined(500), examined(6000));
--- a/tests/unit/snapshots.rs
+++ b/tests/unit/snapshots.rs
@@ -2,7 +2,7 @@
 
 use crate::support::*;
 use gaugesill::job::{JobRecord, Priority, Shape, TaskRun};
-use gaugesill::plan::cycle;
+use gaugesill::plan::run_cycle;
 use gaugesill::scheduler::{Effect, StatusOrigin};
 use std::sync::Arc;
 
@@ -39,7 +39,7 @@
     old.start_by_s = None;
     old.overdue = true;
     let new = job("new", spec(Shape::Array, 1, 8.0, Priority::Low));
-    let decision = cycle(snapshot(vec![machine("m1", "a", 8.0)], vec![new, old]));
+    let decision = run_cycle(snapshot(vec![machine("m1", "a", 8.0)], vec![new, old]));
     assert_eq!(&*decision.placements[0].job, "old");
 }
 
@@ -52,7 +52,7 @@
     scheduler.on_machine_list(&[], 1000, 1000);
     add_record(&mut scheduler, "run-1", record);
     let mut rents = |now: u64| {
-        let decision = cycle(scheduler.snapshot(now, 1_000_000));
+        let decision = run_cycle(scheduler.snapshot(now, 1_000_000));
         scheduler.apply_decision(decision, 3, now, 1_000_000);
         let effects = scheduler.take_effects();
         effects
@@ -72,7 +72,7 @@
     add_record(&mut scheduler, "run-1", record);
     assert!(!scheduler.is_ready_to_plan(2000) && scheduler.is_ready_to_plan(9500));
     let mut plan = |now: u64| {
-        let decision = cycle(scheduler.snapshot(now, 1_000_000));
+        let decision = run_cycle(scheduler.snapshot(now, 1_000_000));
         let placed = decision.placements.len();
         scheduler.apply_decision(decision, 3, now, 1_000_000);
         let effects = scheduler.take_effects();
@@ -135,6 +135,6 @@
     );
     let snapshot = scheduler.snapshot(1600, 1_001_600);
     assert_eq!(snapshot.jobs[0].zones.get("a"), Some(&2));
-    let decision = cycle(snapshot);
+    let decision = run_cycle(snapshot);
     assert!(decision.placements.is_empty(), "zone a holds half of it");
 }
--- a/tests/unit/support.rs
+++ b/tests/unit/support.rs
@@ -59,7 +59,7 @@
         images: vec![],
         fetch_gb_per_s: 1.0,
         tasks: vec![],
-        lowest_priority: None,
+        lowest_preemptable_priority: None,
         reservations: vec![],
     }
 }
@@ -75,9 +75,9 @@
         zones: BTreeMap::new(),
         avoided_machines: HashSet::new(),
         backing_off: false,
-        incomplete: false,
+        awaiting_task_exits: false,
         overdue: false,
-        prefers_cached: false,
+        prefers_cached_image: false,
     }
 }
 
@@ -93,7 +93,7 @@
         },
         priority: Priority::Low,
         team: "t".into(),
-        stoppable: true,
+        preemptable: true,
         stop_cost_s: 1.0,
         running_since_s: None,
     }
@@ -118,7 +118,7 @@
         machines: machines
             .into_iter()
             .map(|machine| MachineView {
-                lowest_priority: plan::lowest_priority(&machine.tasks),
+                lowest_preemptable_priority: plan::lowest_preemptable_priority(&machine.tasks),
                 ..machine
             })
             .map(Arc::new)
