--- a/crates/duty-lease/src/assignment.rs
+++ b/crates/duty-lease/src/assignment.rs
@@ -1,39 +1,40 @@
-//! Which controller is to be the candidate for each duty.
+//! Chooses the controller that is the candidate for each duty's lease.
 //!
-//! A pure function of what a controller knows. Controllers that know different things may
-//! come to different results; the leases decide then.
+//! The assignment is a pure function of the local view of live controllers and holders.
+//! Controllers with different views may choose different candidates; the leases then decide
+//! which of them holds the duty.
 
 use std::collections::BTreeMap;
 
 use crate::Duty;
 
-/// A duty moves for balance only from a controller that has this many more than another.
-const IMBALANCE: usize = 2;
+/// Number of duties by which a controller must exceed another before one is moved.
+const REBALANCE_MIN_DIFFERENCE: usize = 2;
 
-/// A controller that is live.
+/// A live controller.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct LiveMember {
     /// Its name.
     pub name: String,
-    /// For how long it has been live without a gap, in milliseconds.
+    /// Time for which it has been live without interruption, in milliseconds.
     pub live_for_ms: u64,
 }
 
-/// The rules of an assignment.
+/// Constraints on an assignment.
 #[derive(Debug, Clone, Default)]
 pub struct AssignmentRules {
-    /// A controller gets duties of others only once it has been live for this time, in
-    /// milliseconds, so that one that comes and goes moves nothing.
+    /// Time for which a controller must have been live before it gets duties of others, in
+    /// milliseconds, so that a flapping controller moves no duties.
     pub settle_ms: u64,
-    /// Where operators want a duty to be, while that controller is live.
+    /// The controllers that operators chose for duties; ignored while they are not live.
     pub pinned: BTreeMap<Duty, String>,
 }
 
-/// Assigns duties to the live controllers; without any, to none.
+/// Assigns duties to the live controllers; empty if there are none.
 ///
-/// A duty stays where it is while its controller is live, unless operators want it elsewhere
-/// or another controller has at least two duties less. All controllers that know the same
-/// come to the same result.
+/// A duty stays with its holder while the holder is live, unless operators pinned it to
+/// another controller or another controller has at least two duties fewer. Controllers with
+/// the same view compute the same assignment.
 pub fn assign(
     duties: &[Duty],
     live: &[LiveMember],
@@ -51,7 +52,7 @@
     assignment.assigned
 }
 
-/// Controllers that may get duties; all that are live if none has been for long enough.
+/// Controllers that may get duties; all live ones if none has been live for `settle_ms`.
 fn settled_members(live: &[LiveMember], settle_ms: u64) -> Vec<&str> {
     let is_settled = |member: &LiveMember| member.live_for_ms >= settle_ms;
     let none_settled = !live.iter().any(is_settled);
@@ -64,10 +65,10 @@
     names
 }
 
-/// An assignment in the making.
+/// An assignment under construction.
 struct Assignment<'a> {
     assigned: BTreeMap<Duty, String>,
-    /// How many duties each live controller has.
+    /// Number of duties assigned to each live controller.
     loads: BTreeMap<&'a str, usize>,
 }
 
@@ -80,8 +81,8 @@
         }
     }
 
-    /// Assigns duties that are pinned to, or held by, a live controller. They are counted
-    /// before any duty moves.
+    /// Assigns duties that are pinned to, or held by, a live controller. Runs before any duty
+    /// moves, so that the loads include them.
     fn keep(
         &mut self,
         duties: &[Duty],
@@ -97,7 +98,7 @@
         }
     }
 
-    /// Assigns the duties that are left, each to the settled controller with the least.
+    /// Assigns each remaining duty to the settled controller with the fewest duties.
     fn distribute(&mut self, duties: &[Duty], settled: &[&'a str]) {
         for duty in duties {
             if self.assigned.contains_key(duty) {
@@ -109,8 +110,8 @@
         }
     }
 
-    /// Moves duties that are not pinned from controllers that have too many more than
-    /// another.
+    /// Moves unpinned duties from controllers that have at least
+    /// [`REBALANCE_MIN_DIFFERENCE`] more than the least loaded one.
     fn balance(&mut self, settled: &[&'a str], rules: &AssignmentRules) {
         let duties: Vec<Duty> = self.assigned.keys().copied().collect();
         for duty in duties {
@@ -121,7 +122,7 @@
             let Some(target) = self.least_loaded(settled) else {
                 continue;
             };
-            if self.load(name) >= self.load(target) + IMBALANCE {
+            if self.load(name) >= self.load(target) + REBALANCE_MIN_DIFFERENCE {
                 self.remove(duty);
                 self.add(duty, target);
             }
--- a/crates/duty-lease/src/intent.rs
+++ b/crates/duty-lease/src/intent.rs
@@ -1,7 +1,7 @@
 //! Scaling requests, the intents that satisfy them, and the orders that intents record.
 //!
-//! These are stored values: fields and variants are named as they are in the store. The
-//! fields `version` are the versions of keys and are not stored.
+//! These types are serialized into the store under their field and variant names, which must
+//! not change. The `version` fields hold the version of the record's key and are not stored.
 
 use std::fmt;
 
@@ -9,7 +9,7 @@
 
 use crate::{Duty, Token};
 
-/// An order to the outside world.
+/// An order to the cloud provider.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Order {
@@ -21,23 +21,23 @@
         zone: String,
         /// Whether the provider may interrupt them at any time.
         spot: bool,
-        /// At most this number of machines.
+        /// The maximum number of machines; the provider may rent fewer.
         count: u32,
     },
     /// Delete machines.
     Delete {
         /// Their names.
         machines: Vec<String>,
-        /// Only machines that no record places a task on. Otherwise the tasks on record are
-        /// lost with the machines.
+        /// Delete the machines only if no recorded task runs on them. If false, the tasks
+        /// recorded on them are lost with the machines.
         if_empty: bool,
     },
 }
 
-/// The name of an order. It is never used again for another order, by any controller.
+/// The unique name of an order. No controller reuses it for another order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct OrderId {
-    /// The duty.
+    /// The duty under which it is sent.
     pub duty: Duty,
     /// The token of the holder that recorded the intent.
     pub token: Token,
@@ -51,8 +51,8 @@
     }
 }
 
-/// What the planning leader wants done. The leader decides what is done, the holder of the
-/// duty does it.
+/// A request of the planning leader to change the fleet. The holder of the duty carries it
+/// out.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ScalingRequest {
     /// The name of the request.
@@ -64,15 +64,15 @@
     pub version: u64,
 }
 
-/// An order that was recorded before it was sent. While it is on record the order may
-/// have been sent, and may be on its way; it is removed once nothing more is to be done.
+/// The record of an order that is written before the order is sent. While it exists, the
+/// order may have been sent and may be in flight; it is removed once the order has a result.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Intent {
     /// The order's name.
     pub id: OrderId,
     /// The name of the scaling request that it satisfies.
     pub request: String,
-    /// The order.
+    /// The order to send to the provider.
     pub order: Order,
     /// The version of its key.
     #[serde(skip)]
@@ -83,12 +83,12 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum OrderResult {
-    /// Machines were rented, possibly fewer than requested; their names.
+    /// The names of the rented machines, possibly fewer than requested.
     Rented(Vec<String>),
-    /// The provider has no machine of the kind.
+    /// The provider has no machine of the requested type, zone and price class.
     NoCapacity,
-    /// The machines are deleted.
+    /// The machines were deleted.
     Deleted,
-    /// It was not carried out and never will be.
+    /// The order was not carried out and will not be retried.
     Rejected,
 }
--- a/crates/duty-lease/src/lease/clock.rs
+++ b/crates/duty-lease/src/lease/clock.rs
@@ -1,12 +1,12 @@
-//! Detects from the readings of a clock that the process was paused or the clock went back.
+//! Detects from clock readings that the process was paused or that the clock went back.
 //!
-//! A holder counts its lease's time on its own steady clock. While the process stands still
-//! it can't see that time pass, and a clock that went back hides time that has passed:
-//! either way the time since the last renewal is unknown.
+//! A holder measures the age of its lease on its own steady clock. A paused process can't
+//! observe that time passes, and a clock that went back hides elapsed time: in both cases the
+//! time since the last renewal is unknown.
 
 use super::events::SuspensionReason;
 
-/// Watches the readings of one clock.
+/// Checks successive readings of one clock.
 #[derive(Debug, Clone)]
 pub(super) struct PauseDetector {
     /// A longer gap between two readings counts as a pause.
@@ -22,8 +22,8 @@
         }
     }
 
-    /// Records a reading of the clock. Returns why the time since the one before can't be
-    /// relied upon, if it can't.
+    /// Records a clock reading. Returns the reason if the time since the previous reading is
+    /// unreliable.
     pub(super) fn observe(&mut self, now: u64) -> Option<SuspensionReason> {
         let last_reading = self.last_reading.replace(now)?;
         if now < last_reading {
--- a/crates/duty-lease/src/lease/events.rs
+++ b/crates/duty-lease/src/lease/events.rs
@@ -1,15 +1,16 @@
-//! What a lease reports to its owner: changes of the holder, and interruptions of a holder.
+//! Events that a lease reports to its caller: changes of the holder, and suspensions of its
+//! orders.
 
 use crate::Token;
 
-/// Why a holder may not give orders for the moment.
+/// Why a holder's orders are suspended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SuspensionReason {
-    /// The gap since it last read the clock is long: the process may have been paused.
+    /// The gap between two clock readings was long: the process may have been paused.
     Paused,
     /// The clock went back.
     ClockWentBack,
-    /// The lease is new: its time counts from the grant, whose age only a renewal confirms.
+    /// The lease is new: it expires with its grant, whose age only a renewal confirms.
     NotRenewedYet,
 }
 
@@ -24,16 +25,16 @@
     Fenced,
 }
 
-/// A change of the holder, or an interruption of a holder. Each has the holder's token.
+/// A change of the holder, or of whether it may send orders. Each carries the holder's token.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LeaseEvent {
-    /// This controller holds the duty.
+    /// This controller has acquired the duty.
     Gained(Token),
-    /// It holds the duty, and may not give orders until the lease is confirmed.
+    /// It holds the duty, but may not send orders until the lease is confirmed.
     Suspended(Token, SuspensionReason),
-    /// The lease was confirmed.
+    /// The lease was confirmed; orders may be sent again.
     Resumed(Token),
-    /// It does not hold the duty any more.
+    /// It lost the duty without releasing it.
     Lost(Token, LossReason),
     /// It has released the duty.
     Released(Token),
--- a/crates/duty-lease/src/lease/mod.rs
+++ b/crates/duty-lease/src/lease/mod.rs
@@ -1,25 +1,26 @@
-//! One controller's part in the lease of one duty, as a state machine over events and time.
+//! One controller's state machine for the lease of one duty, driven by events and time.
 //!
-//! [`DutyLease`] decides which request goes to the store next and whether this controller
-//! may give orders. It owns the state of the election or of the own lease, the latest view
-//! of the duty's keys, and the request in flight. Its parts:
+//! [`DutyLease`] decides which request to send to the store next and whether this controller
+//! may send orders. It owns the state of the acquisition or of the held lease, the latest
+//! view of the duty's keys, and the request in flight. Its modules:
 //!
 //! - [`protocol`]: requests, responses and the stored values;
-//! - [`events`]: what is reported to the owner;
+//! - [`events`]: events reported to the caller;
 //! - [`clock`]: detection of pauses;
 //! - [`observation`]: the latest view and the highest token;
 //! - [`requests`]: the request in flight and the time of the next;
-//! - [`responses`]: what a response changes, by state;
-//! - [`holding`]: how long an own lease allows orders.
+//! - [`responses`]: state transitions on responses;
+//! - [`holding`]: how long a held lease allows orders.
 //!
 //! Invariants:
 //!
 //! - Orders are allowed only while a confirmed renewal is recent and was sent after the last
 //!   pause ([`DutyLease::order_token`]).
-//! - An acquisition with an unknown outcome is read, never assumed; if it was not carried
-//!   out, its grant is ended, without which it can't be carried out late.
-//! - An election uses the view that it began with: with a newer one it could take the key
-//!   from a holder.
+//! - After an acquisition with an unknown outcome the keys are read before anything is
+//!   assumed. If the acquisition was not carried out, its grant is ended, so that the store
+//!   can't carry it out late.
+//! - An acquisition uses the versions of the view that it began with: those of a newer view
+//!   could overwrite the key of another holder.
 
 mod clock;
 mod events;
@@ -42,28 +43,28 @@
 enum State {
     /// Another controller holds the duty, or none does.
     Following,
-    /// Asks for a grant.
+    /// Requesting a grant.
     Granting,
-    /// Has a grant and writes the lease key.
+    /// Writing the lease key, with a grant.
     Acquiring(Acquisition),
-    /// The outcome of the acquisition is unknown and has to be read.
-    Unknown(Acquisition),
-    /// Has the lease key.
+    /// The outcome of the acquisition is unknown; reading the lease key to learn it.
+    Verifying(Acquisition),
+    /// Holding the lease.
     Holding(Holding),
-    /// Has given the lease up, and waits for the answer.
+    /// Ending the grant, after a release or an abandoned acquisition.
     Releasing { grant: u64 },
 }
 
-/// Whether a controller is to acquire a duty.
+/// Whether a controller may acquire the lease of a duty.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Candidacy {
-    /// It acquires the duty when the lease is free.
+    /// It acquires the lease when the lease is free.
     Candidate,
-    /// It does not acquire the duty, and releases the lease if it holds it.
+    /// It does not acquire the lease, and releases the lease if it holds it.
     Observer,
 }
 
-/// One controller's part in the lease of one duty.
+/// One controller's state machine for the lease of one duty.
 #[derive(Debug, Clone)]
 pub struct DutyLease {
     member: String,
@@ -72,14 +73,16 @@
     observed: ObservedLease,
     candidacy: Candidacy,
     requests: RequestSchedule,
-    /// After an own release, others are to acquire the lease first until then.
+    /// After a release this controller does not acquire the lease again before this time, so
+    /// that another one can.
     standby_until: u64,
     pause_detector: PauseDetector,
     events: Vec<LeaseEvent>,
 }
 
 impl DutyLease {
-    /// A controller that follows and is a candidate. `member` is its name.
+    /// Creates the state machine of a candidate that does not hold the lease. `member` is the
+    /// controller's name.
     pub fn new(member: &str, timing: LeaseTiming) -> DutyLease {
         DutyLease {
             member: member.to_string(),
@@ -94,31 +97,32 @@
         }
     }
 
-    /// Returns the events since the last call, in their order.
+    /// Drains the events since the last call, oldest first.
     pub fn take_events(&mut self) -> Vec<LeaseEvent> {
         std::mem::take(&mut self.events)
     }
 
-    /// The token under which this controller holds the duty, whether or not it may give
-    /// orders; `None` if it does not hold it.
+    /// The token under which this controller holds the duty, even while orders are
+    /// suspended; `None` if it does not hold the duty.
     pub fn token(&self) -> Option<Token> {
         self.holding().map(|holding| holding.token)
     }
 
-    /// Whether it neither holds the duty nor is about to. Its reads may then be answered
-    /// from the watch.
+    /// Whether this controller neither holds the lease nor is acquiring or releasing it. Its
+    /// reads may then be answered from the watch cache.
     pub fn is_following(&self) -> bool {
         self.state == State::Following
     }
 
-    /// The version of the own lease key, on condition of which intents are recorded; `None`
-    /// if this controller does not hold the duty.
+    /// The version of the lease key that this controller holds, which conditions the writes
+    /// of intents; `None` if it does not hold the duty.
     pub fn holder_version(&self) -> Option<u64> {
         self.holding().map(|holding| holding.version)
     }
 
-    /// The token under which an order may be given now. To be called right before each
-    /// order, with the clock read anew.
+    /// The token under which an order may be sent now; `None` if none may. Call it right
+    /// before each order with a fresh clock reading: the order window may have ended since an
+    /// earlier one.
     pub fn order_token(&mut self, now: u64) -> Option<Token> {
         self.check_clock(now);
         let order_window_ms = self.timing.order_window_ms();
@@ -137,9 +141,9 @@
         self.candidacy == Candidacy::Candidate
     }
 
-    /// Returns the request that has come due, with its number: the response is passed to
-    /// [`DutyLease::on_response`] under it. To be called often, as pauses of the process
-    /// are recognized by gaps between the calls.
+    /// Returns the request that is due, if any. Pass its response to
+    /// [`DutyLease::on_response`] with the request's number. Call this often: gaps between
+    /// the calls are how pauses of the process are detected.
     pub fn tick(&mut self, now: u64) -> Option<NumberedRequest> {
         self.check_clock(now);
         self.expire_request(now);
@@ -151,7 +155,7 @@
         Some(NumberedRequest { id, request })
     }
 
-    /// The response to a request. One that comes late, or again, changes nothing.
+    /// Handles the response to a request; late and duplicate responses are ignored.
     pub fn on_response(&mut self, id: u64, response: LeaseResponse, now: u64) {
         self.check_clock(now);
         let Some(in_flight) = self.requests.finish(id) else {
@@ -165,16 +169,16 @@
             State::Acquiring(acquisition) => {
                 self.on_acquisition_response(acquisition, &response, sent_at, now);
             }
-            State::Unknown(acquisition) => {
-                self.on_unknown_read(acquisition, &response, now);
+            State::Verifying(acquisition) => {
+                self.on_verification_read(acquisition, &response, now);
             }
             State::Holding(_) => self.on_renewal_response(&response, sent_at, now),
             State::Releasing { .. } => self.on_release_response(&response, now),
         }
     }
 
-    /// The keys of the duty, as a watch shows them. The view may be older than what is
-    /// known.
+    /// Handles a view of the duty's keys from the watch; ignored if an earlier response
+    /// showed a newer state.
     pub fn on_view(&mut self, view: &LeaseView, now: u64) {
         self.check_clock(now);
         if let Some(version) = self.holder_version() {
@@ -188,16 +192,16 @@
         }
     }
 
-    /// The provider refused an order because it has seen a higher token.
+    /// Handles an order that the provider refused because it has seen a higher token.
     pub fn on_fenced(&mut self, now: u64) {
         self.lose(LossReason::Fenced, now);
     }
 }
 
-/// Time and pauses.
+/// Clock checks and timeouts.
 impl DutyLease {
-    /// After a pause, and after a clock that went back, the time that has passed is unknown:
-    /// the lease has to be confirmed before the next order.
+    /// Suspends orders after a pause or a clock that went back: the elapsed time is unknown,
+    /// so the lease must be confirmed before the next order.
     fn check_clock(&mut self, now: u64) {
         let Some(reason) = self.pause_detector.observe(now) else {
             return;
@@ -219,7 +223,7 @@
         self.events.push(event);
     }
 
-    /// A request without an answer in time has an unknown outcome.
+    /// Treats a request that got no response in time as one with an unknown outcome.
     fn expire_request(&mut self, now: u64) {
         let timeout_ms = self.timing.answer_timeout_ms();
         if let Some(id) = self.requests.timed_out(now, timeout_ms) {
@@ -232,14 +236,14 @@
     }
 }
 
-/// Requests, by state.
+/// The next request, by state.
 impl DutyLease {
     fn next_request(&mut self, now: u64) -> Option<LeaseRequest> {
         match self.state {
             State::Following => Some(self.next_request_following(now)),
             State::Granting => Some(self.grant_request()),
             State::Acquiring(acquisition) => self.acquire_request(acquisition),
-            State::Unknown(_) => Some(LeaseRequest::Read),
+            State::Verifying(_) => Some(LeaseRequest::Read),
             State::Holding(holding) if self.is_candidate() => Some(LeaseRequest::Renew {
                 grant: holding.grant,
             }),
@@ -248,11 +252,10 @@
         }
     }
 
-    /// Reads the keys again and again. A candidate begins an election when the lease is
-    /// free.
+    /// Polls the duty's keys; a candidate starts an acquisition when the lease is free.
     fn next_request_following(&mut self, now: u64) -> LeaseRequest {
-        let may_campaign = self.is_candidate() && now >= self.standby_until;
-        if may_campaign && self.is_free() {
+        let may_acquire = self.is_candidate() && now >= self.standby_until;
+        if may_acquire && self.is_free() {
             self.state = State::Granting;
             return self.grant_request();
         }
@@ -283,9 +286,9 @@
     }
 }
 
-/// Changes of the holder.
+/// Transitions between holding and following.
 impl DutyLease {
-    /// Holds the duty, without orders until a renewal has confirmed the grant.
+    /// Becomes the holder, with orders suspended until a renewal has confirmed the grant.
     fn hold(&mut self, holding: Holding, now: u64) {
         let token = holding.token;
         let reason = SuspensionReason::NotRenewedYet;
@@ -320,7 +323,7 @@
         self.observed.is_free_for(&self.member)
     }
 
-    /// The lease key's value while this controller holds the duty under a token.
+    /// The value of the lease key when this controller holds the duty under `token`.
     fn own_key(&self, token: Token) -> HolderKey {
         HolderKey {
             member: self.member.clone(),
--- a/crates/duty-lease/src/lease/observation.rs
+++ b/crates/duty-lease/src/lease/observation.rs
@@ -1,7 +1,7 @@
-//! What a controller knows of a duty's lease from the store.
+//! A controller's view of a duty's lease keys in the store.
 //!
-//! Invariant: the highest token that was seen never goes down, so a view of an earlier
-//! holder is recognized as out of date and rejected.
+//! Invariant: the highest observed token never decreases, so a view of an earlier holder is
+//! recognized as out of date and rejected.
 
 use super::protocol::LeaseView;
 use crate::Token;
@@ -10,7 +10,7 @@
 #[derive(Debug, Clone, Default)]
 pub(super) struct ObservedLease {
     view: Option<LeaseView>,
-    /// A view with a lower token is out of date.
+    /// Views with a lower token are out of date.
     highest_token: Token,
 }
 
@@ -19,8 +19,8 @@
         self.view.as_ref()
     }
 
-    /// Replaces the view with a newer one. Returns false, and keeps what there is, if the
-    /// view is out of date.
+    /// Replaces the view. Returns false, and keeps the present one, if the new view is out of
+    /// date.
     pub(super) fn accept(&mut self, view: &LeaseView) -> bool {
         if view.token < self.highest_token {
             return false;
@@ -30,18 +30,18 @@
         true
     }
 
-    /// Forgets the view, not the highest token.
+    /// Discards the view, but not the highest token.
     pub(super) fn clear(&mut self) {
         self.view = None;
     }
 
-    /// An own acquisition is known before any view shows it.
+    /// Records the token of this controller's acquisition, which no view shows yet.
     pub(super) fn raise_token(&mut self, token: Token) {
         self.highest_token = self.highest_token.max(token);
     }
 
-    /// Whether `member` may acquire the lease: no controller holds it, or an earlier
-    /// process of that name. Without a view it may not.
+    /// Whether `member` may acquire the lease: nobody holds it, or an earlier process of the
+    /// same member does. False without a view.
     pub(super) fn is_free_for(&self, member: &str) -> bool {
         self.view.as_ref().is_some_and(|view| {
             let holder = view.holder.as_ref();
@@ -49,7 +49,7 @@
         })
     }
 
-    /// The token of the next holder.
+    /// The token for the next holder.
     pub(super) fn next_token(&self) -> Token {
         let last_token = self.view.as_ref().map_or(0, |view| view.token);
         last_token + 1
--- a/crates/duty-lease/src/lease/protocol.rs
+++ b/crates/duty-lease/src/lease/protocol.rs
@@ -1,8 +1,8 @@
-//! The messages between a controller and the store about one duty's lease, and the values
-//! that the store keeps for it.
+//! Messages between a controller and the store about one duty's lease, and the values that
+//! the store holds for it.
 //!
-//! These types carry no behaviour. A response belongs to the request whose number it
-//! comes back with, see [`super::DutyLease::tick`].
+//! These are plain data types. A response is matched to its request by the request's number,
+//! see [`super::DutyLease::tick`].
 
 use serde::{Deserialize, Serialize};
 
@@ -17,15 +17,15 @@
     pub token: Token,
 }
 
-/// What the store holds for a duty, as of one read.
+/// The lease keys of a duty in the store, as of one read.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct LeaseView {
     /// The lease key; `None` if no controller holds the duty.
     pub holder: Option<HolderKey>,
     /// The version of the lease key; 0 if it does not exist.
     pub holder_version: u64,
-    /// The last token that was issued. Kept apart from the lease key, which vanishes with
-    /// its grant.
+    /// The last token that was issued. It has a key of its own, as the lease key is deleted
+    /// with its grant.
     pub token: Token,
     /// The version of the token's key; 0 if it does not exist.
     pub token_version: u64,
@@ -38,13 +38,13 @@
     Read,
     /// Create a grant.
     CreateGrant {
-        /// Its time to live without a renewal, in milliseconds.
+        /// Time after which the grant expires without a renewal, in milliseconds.
         ttl_ms: u64,
     },
     /// Write the lease key and raise the token, in one transaction; both keys must still
     /// have these versions.
     Acquire {
-        /// The grant that the lease key is attached to.
+        /// The id of the grant that the lease key is attached to.
         grant: u64,
         /// The new value of the lease key, with the new token.
         holder: HolderKey,
@@ -55,20 +55,20 @@
     },
     /// Renew a grant.
     Renew {
-        /// The grant.
+        /// The id of the grant.
         grant: u64,
     },
-    /// End a grant, and with it the lease.
+    /// End a grant, which deletes the lease key attached to it.
     Release {
-        /// The grant.
+        /// The id of the grant.
         grant: u64,
     },
 }
 
-/// A request with the number that its response is passed back under.
+/// A request with the number that identifies its response.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct NumberedRequest {
-    /// The number, used once per lease.
+    /// The number, unique within one [`super::DutyLease`].
     pub id: u64,
     /// The request.
     pub request: LeaseRequest,
@@ -77,16 +77,16 @@
 /// The result of a [`LeaseRequest`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum LeaseResponse {
-    /// The keys of the duty as read.
+    /// The lease keys as read.
     View(LeaseView),
-    /// The grant was created; its id.
+    /// The id of the grant that was created.
     Granted(u64),
     /// The lease key was written for this controller.
     Acquired {
-        /// Its version.
+        /// The new version of the lease key.
         version: u64,
     },
-    /// A key had another version.
+    /// A key did not have the expected version.
     Conflict,
     /// The grant was renewed.
     Renewed,
@@ -96,6 +96,6 @@
     Released,
     /// The request was not carried out.
     Refused,
-    /// Unknown outcome: the request may have been carried out, or may yet be.
+    /// Unknown outcome: the request may have been carried out, or may still be.
     NoAnswer,
 }
--- a/crates/duty-lease/src/lease/responses.rs
+++ b/crates/duty-lease/src/lease/responses.rs
@@ -1,13 +1,13 @@
-//! What the response to a lease's request changes, by the state in which it comes.
+//! State transitions of a lease on the responses to its requests.
 //!
-//! Each handler leaves the state machine with a state and the time of the next request.
+//! Each handler sets the next state and the time of the next request.
 
 use super::holding::{Acquisition, Confirmation, Holding};
 use super::protocol::LeaseResponse;
 use super::{DutyLease, LeaseEvent, LossReason, State};
 
 impl DutyLease {
-    /// A read that shows an earlier state than is known counts as not carried out.
+    /// Replaces a read that shows an outdated state with a refusal.
     pub(super) fn reject_outdated_view(&mut self, response: LeaseResponse) -> LeaseResponse {
         match response {
             LeaseResponse::View(view) if !self.observed.accept(&view) => LeaseResponse::Refused,
@@ -18,7 +18,7 @@
     pub(super) fn on_read(&mut self, response: &LeaseResponse, now: u64) {
         let is_held = matches!(response, LeaseResponse::View(_)) && !self.is_free();
         let next_at = if is_held {
-            // That the lease has become free is known sooner from the watch.
+            // Polling may be slow: the watch shows earlier that the lease has become free.
             now + self.timing.renewal_interval_ms()
         } else {
             self.retry_at(now)
@@ -49,14 +49,14 @@
                 self.hold(Holding::new(acquisition, version, sent_at, now), now);
             }
             LeaseResponse::NoAnswer => {
-                self.state = State::Unknown(acquisition);
+                self.state = State::Verifying(acquisition);
                 self.requests.schedule(now);
             }
             _ => self.abandon_acquisition(acquisition, now),
         }
     }
 
-    pub(super) fn on_unknown_read(
+    pub(super) fn on_verification_read(
         &mut self,
         acquisition: Acquisition,
         response: &LeaseResponse,
@@ -73,8 +73,8 @@
         }
     }
 
-    /// The acquisition was not carried out, and may yet be: the grant is ended, without
-    /// which it can't.
+    /// Ends the grant of an acquisition that was not carried out so far: without the grant it
+    /// can't be carried out late.
     fn abandon_acquisition(&mut self, acquisition: Acquisition, now: u64) {
         self.state = State::Releasing {
             grant: acquisition.grant,
@@ -90,7 +90,7 @@
         }
     }
 
-    /// A renewal counts from its sending, however late its answer comes.
+    /// Extends the lease from when the renewal was sent, not from when its response arrived.
     fn on_renewed(&mut self, sent_at: u64, now: u64) {
         let State::Holding(holding) = &mut self.state else {
             return;
--- a/crates/duty-lease/src/lib.rs
+++ b/crates/duty-lease/src/lib.rs
@@ -1,20 +1,21 @@
-//! Duties that exactly one controller has at a time, under fenced leases.
+//! Assigns singleton duties to controllers under leases with fencing tokens.
 //!
-//! A *duty* is work on something that all controllers share, such as renting machines or
-//! returning them. Its holder has a lease: a key in the store that exists while the holder
-//! renews its grant. Each change of the holder raises the duty's *fencing token*, which is
-//! kept apart from the lease and never goes down.
+//! A *duty* is work on a resource that all controllers share, such as renting machines or
+//! returning them; at most one controller does it at a time. Its holder has a lease: a key in
+//! the store that exists while the holder renews its grant. Each change of the holder
+//! increments the duty's *fencing token*, which is stored apart from the lease key and never
+//! decreases.
 //!
-//! Three mechanisms keep a holder that was replaced from doing harm:
+//! Three mechanisms keep a replaced holder from acting on shared resources:
 //!
-//! 1. It stops giving orders before its lease can have ended anywhere ([`DutyLease`]).
-//! 2. Each order is recorded as an *intent* before it is sent, on condition that the lease
-//!    is still the sender's ([`OrderBook`]).
-//! 3. The provider makes late orders harmless: one that checks tokens refuses lower ones;
-//!    one that does not gets only orders that may be carried out twice.
+//! 1. It stops sending orders before its lease can have expired on any clock ([`DutyLease`]).
+//! 2. Each order is recorded as an *intent* before it is sent, on condition that the sender
+//!    still holds the lease ([`OrderBook`]).
+//! 3. Late orders are harmless at the provider: one that checks tokens refuses lower ones;
+//!    one that does not receives only idempotent orders.
 //!
-//! All types receive events and the time and return actions. They use no sockets and no
-//! clocks, and are deterministic.
+//! All types are deterministic state machines: they receive events and the current time,
+//! return actions, and use no sockets and no clocks.
 
 mod assignment;
 mod intent;
@@ -35,11 +36,11 @@
 
 use serde::{Deserialize, Serialize};
 
-/// A fencing token: the higher one is the newer holder's. 0 means that none was issued.
+/// A fencing token; a newer holder has a higher one. 0 means that none was issued.
 pub type Token = u64;
 
-/// Work that one controller at a time does for all. The variants' names in kebab case are
-/// stored, and are used in settings.
+/// Work that one controller at a time does for the cluster. The variant names in kebab case
+/// appear in stored records and in settings.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Duty {
@@ -49,7 +50,7 @@
     Return,
     /// Find idle machines.
     ReclaimIdle,
-    /// Remove records without an owner.
+    /// Remove order records that no leader processes any more.
     CleanState,
 }
 
--- a/crates/duty-lease/src/order_book/entry.rs
+++ b/crates/duty-lease/src/order_book/entry.rs
@@ -1,4 +1,4 @@
-//! One order in progress: its intent, its next step and the time of its requests.
+//! One order in progress: its intent, its next step and its request in flight.
 
 use super::protocol::{OrderRequest, WriteGuard};
 use crate::intent::{Intent, OrderResult, ScalingRequest};
@@ -14,11 +14,11 @@
 /// The next step of an order.
 #[derive(Debug, Clone, PartialEq)]
 pub(super) enum Step {
-    /// The intent is to be recorded.
+    /// Record the intent.
     Record { request: ScalingRequest },
-    /// The order is to be sent.
+    /// Send the order to the provider.
     Send,
-    /// The intent is to be completed.
+    /// Complete the intent with the order's result.
     Complete { result: OrderResult },
 }
 
@@ -27,8 +27,8 @@
 pub(super) struct Entry {
     pub(super) intent: Intent,
     pub(super) step: Step,
-    /// When the step's request in flight was sent. An answer that has not come in time will
-    /// not come: the request is repeated, which changes nothing if it was carried out.
+    /// When the step's request in flight was sent. Without a response in time the request is
+    /// repeated; it is idempotent.
     pub(super) sent_at: Option<u64>,
     not_before: u64,
 }
@@ -43,17 +43,17 @@
         }
     }
 
-    /// The order is an open intent on record, as of a read.
+    /// Handles a read that shows the order's intent as recorded and open.
     pub(super) fn on_intent_read(&mut self, intent: &Intent) {
         if matches!(self.step, Step::Record { .. }) {
-            // It was recorded, though the answer did not come.
+            // The intent was recorded, but the response was lost.
             self.step = Step::Send;
             self.sent_at = None;
         }
         self.intent.version = intent.version;
     }
 
-    /// Whether the entry is about to record an intent for this scaling request.
+    /// Whether the entry is recording an intent for this scaling request.
     pub(super) fn is_recording(&self, request: &ScalingRequest) -> bool {
         match &self.step {
             Step::Record { request: own } => own.id == request.id,
@@ -61,15 +61,15 @@
         }
     }
 
-    /// Whether the step's request is to be sent, for the first time or again.
+    /// Whether the step's request is to be sent or repeated now.
     pub(super) fn is_due(&self, now: u64, timeout_ms: u64) -> bool {
-        // A clock that went back counts as a time that is over.
-        let waits = |sent_at: u64| now >= sent_at && now < sent_at + timeout_ms;
-        now >= self.not_before && !self.sent_at.is_some_and(waits)
+        // If the clock went back, the timeout counts as expired.
+        let is_awaiting_response = |sent_at: u64| now >= sent_at && now < sent_at + timeout_ms;
+        now >= self.not_before && !self.sent_at.is_some_and(is_awaiting_response)
     }
 
-    /// The step's request; `None` if it is an order, and `order_token` does not allow
-    /// orders under the held lease.
+    /// The step's request; `None` if the step is to send the order and `order_token` does not
+    /// allow orders under the held lease.
     pub(super) fn request(
         &self,
         held_lease: HeldLease,
@@ -96,7 +96,7 @@
         }
     }
 
-    /// Repeats the step's request from this time on.
+    /// Repeats the step's request at `at`.
     pub(super) fn retry(&mut self, at: u64) {
         self.sent_at = None;
         self.not_before = at;
--- a/crates/duty-lease/src/order_book/mod.rs
+++ b/crates/duty-lease/src/order_book/mod.rs
@@ -1,15 +1,16 @@
-//! A duty holder's orders, from the scaling request to the completion.
+//! Tracks a duty holder's orders from the scaling request to the completion.
 //!
-//! [`OrderBook`] owns the orders in progress of one duty while this controller holds it.
-//! Each order goes through three steps, of which any may be the last before a crash:
+//! [`OrderBook`] owns the orders in progress of one duty while this controller holds the
+//! duty. Each order goes through three steps; the process may crash after any of them:
 //!
-//! 1. The intent is recorded and the scaling request removed, in one transaction on
-//!    condition that this controller still holds the lease.
-//! 2. The order is sent under the holder's present token, as often as required.
-//! 3. The intent is completed, on the same condition.
+//! 1. Record the intent and remove the scaling request, in one transaction on condition that
+//!    this controller still holds the lease.
+//! 2. Send the order under the holder's present token, with retries.
+//! 3. Complete the intent, on the same condition.
 //!
-//! A successor finds the open intents of earlier holders and sends their orders again, by
-//! their own names: the provider carries out each name once.
+//! A successor finds the open intents of earlier holders and sends their orders again under
+//! their original names, which serve as idempotency keys: the provider carries out each name
+//! once.
 //!
 //! Invariants: an order is sent only after its intent was recorded and while the lease
 //! allows orders; no name is used for two orders; without the lease there are no entries.
@@ -25,8 +26,8 @@
 use crate::{Duty, LeaseTiming, Token};
 use entry::{Entry, HeldLease, Step};
 
-/// Most orders in progress at a time.
-const IN_PROGRESS_MAX: usize = 8;
+/// No further orders are started while this many are in progress.
+const ORDERS_IN_PROGRESS_MAX: usize = 8;
 
 /// A duty holder's orders.
 #[derive(Debug, Clone)]
@@ -39,7 +40,7 @@
 }
 
 impl OrderBook {
-    /// An empty order book of a controller that does not hold the duty.
+    /// Creates an empty order book for a controller that does not hold the duty.
     pub fn new(duty: Duty, timing: LeaseTiming) -> OrderBook {
         OrderBook {
             duty,
@@ -50,28 +51,28 @@
         }
     }
 
-    /// This controller holds the duty under this token.
+    /// Starts with an empty order book, after this controller has acquired the duty.
     pub fn on_gained(&mut self, token: Token, guard: WriteGuard) {
         self.held_lease = Some(HeldLease { token, guard });
         self.next_sequence = 1;
         self.entries.clear();
     }
 
-    /// This controller does not hold the duty any more. What was begun is on record for the
-    /// next holder.
+    /// Drops all orders in progress, after this controller has lost or released the duty. The
+    /// next holder resumes them from their recorded intents.
     pub fn on_lost(&mut self) {
         self.held_lease = None;
         self.entries.clear();
     }
 
-    /// How many orders are in progress.
+    /// Number of orders in progress.
     pub fn in_progress(&self) -> usize {
         self.entries.len()
     }
 
-    /// What the store holds for the duty, as of one read: open intents, including those of
-    /// earlier holders, and scaling requests. Resumes the intents, and begins to satisfy
-    /// requests while there is room.
+    /// Handles a view of the duty's records: open intents, including those of earlier
+    /// holders, and scaling requests. Resumes the intents, and starts orders for requests up
+    /// to the limit of orders in progress.
     pub fn on_view(&mut self, intents: &[Intent], requests: &[ScalingRequest]) {
         let Some(held_lease) = self.held_lease else {
             return;
@@ -80,7 +81,7 @@
             self.resume(intent);
         }
         for request in requests {
-            if self.entries.len() >= IN_PROGRESS_MAX {
+            if self.entries.len() >= ORDERS_IN_PROGRESS_MAX {
                 break;
             }
             if !self.is_being_satisfied(request) {
@@ -120,8 +121,8 @@
         self.entries.insert(id, Entry::new(intent, step));
     }
 
-    /// Returns the requests that have come due. `order_token`: the token under which orders
-    /// may be given at this very moment, see [`crate::DutyLease::order_token`].
+    /// Returns the requests that are due. `order_token` is the token under which orders may
+    /// be sent at this moment, see [`crate::DutyLease::order_token`].
     pub fn tick(&mut self, order_token: Option<Token>, now: u64) -> Vec<OrderRequest> {
         let Some(held_lease) = self.held_lease else {
             return vec![];
@@ -140,7 +141,7 @@
         requests
     }
 
-    /// The outcome of recording an intent.
+    /// Handles the outcome of recording an intent.
     pub fn on_recorded(&mut self, id: OrderId, outcome: RecordOutcome, now: u64) {
         let retry_at = self.retry_at(now);
         let Some(entry) = self.entries.get_mut(&id) else {
@@ -155,8 +156,8 @@
                 entry.intent.version = version;
                 entry.step = Step::Send;
             }
-            // The scaling request was removed, the duty was lost, or the intent was recorded
-            // before: the next view shows which.
+            // The scaling request was removed, the duty was lost, or an earlier attempt
+            // recorded the intent; the next view shows which.
             RecordOutcome::Conflict => {
                 self.entries.remove(&id);
             }
@@ -164,7 +165,7 @@
         }
     }
 
-    /// The outcome of sending an order. Returns whether it shows that the holder is fenced.
+    /// Handles the outcome of sending an order. Returns whether the holder is fenced.
     pub fn on_sent(&mut self, id: OrderId, outcome: OrderOutcome, now: u64) -> FencingStatus {
         let retry_at = self.retry_at(now);
         let Some(entry) = self.entries.get_mut(&id) else {
@@ -182,15 +183,15 @@
         FencingStatus::NotFenced
     }
 
-    /// The outcome of completing an intent.
+    /// Handles the outcome of completing an intent.
     pub fn on_completed(&mut self, id: OrderId, outcome: RecordOutcome, now: u64) {
         let retry_at = self.retry_at(now);
         let Some(entry) = self.entries.get_mut(&id) else {
             return;
         };
         match outcome {
-            // After a conflict the next view shows the state: an intent that is still open is
-            // resumed, and its order repeated.
+            // After a conflict the next view shows the state: if the intent is still open, it
+            // is resumed and its order is sent again.
             RecordOutcome::Written { .. } | RecordOutcome::Conflict => {
                 self.entries.remove(&id);
             }
--- a/crates/duty-lease/src/order_book/protocol.rs
+++ b/crates/duty-lease/src/order_book/protocol.rs
@@ -1,20 +1,21 @@
-//! The requests of an order book and their outcomes.
+//! Requests of an order book and their outcomes.
 
 use crate::intent::{Intent, OrderId, OrderResult, ScalingRequest};
 use crate::{Order, Token};
 
-/// The condition of every write: the lease key has this version.
+/// The condition of every write: the lease key still has this version, so the lease is still
+/// the writer's.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct WriteGuard {
     /// The version of the lease key.
     pub holder_version: u64,
 }
 
-/// A request of the order book.
+/// A request that the order book's caller executes.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum OrderRequest {
-    /// Record the intent, which must not exist, and remove the scaling request, which must
-    /// have its version, in one transaction.
+    /// Record the intent and remove the scaling request in one transaction, on condition that
+    /// the intent does not exist and the request's key is unchanged.
     Record {
         /// The intent.
         intent: Intent,
@@ -32,8 +33,8 @@
         /// The sender's token.
         token: Token,
     },
-    /// Remove the intent, which must have its version, and record its result, in one
-    /// transaction.
+    /// Remove the intent and record its result in one transaction, on condition that the
+    /// intent's key is unchanged.
     Complete {
         /// The intent.
         intent: Intent,
@@ -47,34 +48,34 @@
 /// The outcome of a write.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RecordOutcome {
-    /// Carried out; the key now has this version.
+    /// Carried out.
     Written {
-        /// The version.
+        /// The new version of the key.
         version: u64,
     },
     /// A condition did not hold.
     Conflict,
-    /// Not carried out, or an unknown outcome.
+    /// Not carried out, or the outcome is unknown.
     Unknown,
 }
 
-/// Whether the provider has refused an order of this holder for a newer holder's token.
+/// Whether the provider has refused an order because it has seen a newer holder's token.
 #[must_use]
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FencingStatus {
-    /// It has not, as far as is known.
+    /// No order is known to have been refused for its token.
     NotFenced,
-    /// It has: this holder has lost the duty.
+    /// An order was refused: this holder has lost the duty.
     Fenced,
 }
 
 /// The outcome of an order that was sent.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum OrderOutcome {
-    /// Carried out, now or before.
+    /// Carried out, by this attempt or an earlier one.
     Done(OrderResult),
     /// Refused: the provider has seen a higher token.
     Fenced,
-    /// Not carried out, or an unknown outcome.
+    /// Not carried out, or the outcome is unknown.
     Unknown,
 }
