--- a/src/duties/keys.rs
+++ b/src/duties/keys.rs
@@ -1,6 +1,6 @@
-//! The keys of duties' records in the store.
+//! Keys of the duty records in the store.
 //!
-//! All are below [`DUTIES_PREFIX`], which versions without duties ignore:
+//! All start with [`DUTIES_PREFIX`], which versions without duties ignore:
 //!
 //! | key | value |
 //! | --- | --- |
@@ -11,21 +11,21 @@
 
 use duty_lease::Duty;
 
-/// The store's format from which on duties have left the leader. Versions without duties
-/// neither lead nor answer users from then on.
+/// The first stored format in which the holders of leases, not the leader, carry out duties.
+/// Versions without duties neither lead nor answer users at this format.
 pub const DUTIES_FORMAT: u64 = 2;
-/// All keys of duties.
+/// Prefix of all duty records.
 pub const DUTIES_PREFIX: &str = "g/d/";
-/// The leases of all duties.
+/// Prefix of the lease records of all duties.
 pub const LEASES_PREFIX: &str = "g/d/l/";
-/// Scaling requests, recorded orders and results.
+/// Prefix of scaling requests, recorded orders and results.
 const ORDERS_PREFIX: &str = "g/d/o/";
 
 const HOLDER: &str = "holder";
 const TOKEN: &str = "token";
 const REFUSAL: &str = "refused";
 
-/// The key that the holder of a duty has while its grant is valid.
+/// The lease key of a duty, which exists while the holder's grant is valid.
 pub fn holder_key(duty: Duty) -> String {
     lease_key(duty, HOLDER)
 }
@@ -35,7 +35,7 @@
     lease_key(duty, TOKEN)
 }
 
-/// The key of a duty's last order that the provider refused for its token.
+/// The key of the record of a duty's last order that the provider refused for its token.
 pub fn refusal_key(duty: Duty) -> String {
     lease_key(duty, REFUSAL)
 }
@@ -54,11 +54,11 @@
 pub struct OrderKey {
     /// The duty that carries it out.
     pub duty: Duty,
-    /// The name of the scaling request, which is never used again.
+    /// The name of the scaling request, which is never reused.
     pub request: String,
 }
 
-/// The record that a key below [`DUTIES_PREFIX`] holds.
+/// The kind of record under a key that starts with [`DUTIES_PREFIX`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) enum DutyKey {
     Holder(Duty),
@@ -68,7 +68,7 @@
 }
 
 impl DutyKey {
-    /// `None` if the key is not one of this version.
+    /// Parses a key; `None` if this version does not know it.
     pub(super) fn parse(key: &str) -> Option<DutyKey> {
         match key.strip_prefix(LEASES_PREFIX) {
             Some(lease) => DutyKey::parse_lease(lease),
--- a/src/duties/mod.rs
+++ b/src/duties/mod.rs
@@ -1,13 +1,12 @@
-//! Duties of the controllers under fenced leases: their records in the store, and a report
-//! on them for operators.
+//! Stored records of duties under fenced leases, and a report on them for operators.
 //!
-//! The leases and the order book are in the package `duty-lease`; what a controller does
-//! with them is in [`crate::controller`].
+//! The state machines of leases and order books are in the package `duty-lease`; the
+//! controller runs them in [`crate::controller`].
 //!
 //! - `keys`: the keys of the records;
 //! - `records`: the types of the stored values, and the local copy of all records;
-//! - `report`: the state of duties as operators see it;
-//! - `query`: reads that state from the store.
+//! - `report`: the report on duties for operators;
+//! - `query`: reads the data of the report from the store.
 
 mod keys;
 mod query;
--- a/src/duties/query.rs
+++ b/src/duties/query.rs
@@ -1,7 +1,7 @@
-//! Reads the state of duties from the store, for the command line.
+//! Reads the state of duties from the store for the command line.
 //!
-//! The query runs outside any controller, with an event loop of its own and one call at a
-//! time, and ends within [`TIMEOUT`].
+//! The query runs outside any controller, on its own event loop, makes one call at a time and
+//! ends within [`QUERY_TIMEOUT`].
 
 use std::collections::HashSet;
 use std::io;
@@ -17,29 +17,29 @@
 use crate::settings::Settings;
 use crate::wire::{self, KeyValue, Page};
 
-/// The whole query takes no longer.
-const TIMEOUT: Duration = Duration::from_secs(5);
-/// A key or a page of keys takes no longer.
+/// Timeout of the whole query.
+const QUERY_TIMEOUT: Duration = Duration::from_secs(5);
+/// Timeout of reading one key or one page of keys.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
-/// Keys in a page.
-const PAGE_MAX: usize = 500;
-/// Sockets that the query may use.
-const SOCKETS: usize = 64;
-/// Largest answer, in bytes: a page of the store has up to 512 KiB.
-const REPLY_MAX: usize = 1024 * 1024;
-/// The store's format if it has no key for it.
-const FORMAT_DEFAULT: u64 = 0;
+/// Maximum number of keys in a page.
+const KEYS_PER_PAGE_MAX: usize = 500;
+/// Maximum number of sockets that the query may use.
+const SOCKETS_MAX: usize = 64;
+/// Largest response that is accepted, in bytes. The store's pages have up to 512 KiB.
+const RESPONSE_MAX_BYTES: usize = 1024 * 1024;
+/// The stored format if the store has no key for it.
+const DEFAULT_FORMAT: u64 = 0;
 
 /// Why the state of duties can't be read.
 #[derive(Debug, Error)]
 pub enum QueryError {
-    /// Sockets can't be opened or polled.
+    /// Opening or polling sockets failed.
     #[error("no sockets: {0}")]
     Sockets(#[from] io::Error),
-    /// The store does not answer in time.
+    /// The store did not respond in time.
     #[error("the state service at {0} does not answer")]
     NoAnswer(SocketAddr),
-    /// The store refuses the request.
+    /// The store refused the request.
     #[error("the state service at {address} refuses with status {status}")]
     Refused {
         /// The store's address.
@@ -47,7 +47,7 @@
         /// The HTTP status.
         status: u16,
     },
-    /// The store's answer is malformed or too large, or its pages don't end.
+    /// The store's response is malformed or too large, or a page repeats earlier keys.
     #[error("the answer of the state service at {0} can't be read")]
     Unreadable(SocketAddr),
 }
@@ -56,8 +56,8 @@
 ///
 /// # Errors
 ///
-/// [`QueryError`] if sockets can't be used, or if the store does not answer in time, refuses,
-/// or gives an answer that can't be read.
+/// [`QueryError`] if sockets can't be used, or if the store does not respond in time, refuses
+/// the request, or returns a response that can't be read.
 pub fn read_report(settings: &Settings) -> Result<DutyReport, QueryError> {
     let mut query = Query::new(settings.endpoints.state)?;
     let format = query.read_format()?;
@@ -65,19 +65,19 @@
     Ok(DutyReport::new(&pairs, format, wall_clock_ms()))
 }
 
-/// The time of day in milliseconds.
+/// The wall-clock time in milliseconds since the Unix epoch.
 fn wall_clock_ms() -> u64 {
     let elapsed = SystemTime::now().duration_since(UNIX_EPOCH);
     elapsed.map_or(0, |elapsed| elapsed.as_millis() as u64)
 }
 
-/// An answer of the store.
-struct Answer {
+/// A response of the store.
+struct Response {
     status: u16,
     body: Vec<u8>,
 }
 
-/// One call at a time to the store.
+/// A client that makes one call at a time to the store.
 struct Query {
     event_loop: EventLoop,
     address: SocketAddr,
@@ -87,28 +87,28 @@
 
 impl Query {
     fn new(address: SocketAddr) -> io::Result<Query> {
-        // The event loop requires addresses to listen on; these are not published.
+        // The event loop requires addresses to listen on; these are not advertised.
         let any_port = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
         let limits = ConnectionLimits {
-            fd_limit: SOCKETS,
+            fd_limit: SOCKETS_MAX,
             vital: HashSet::from([address]),
-            agent_idle: TIMEOUT,
-            reply_max: REPLY_MAX,
+            agent_idle: QUERY_TIMEOUT,
+            reply_max: RESPONSE_MAX_BYTES,
         };
         Ok(Query {
             event_loop: EventLoop::new(any_port, any_port, limits)?,
             address,
             last_tag: 0,
-            deadline: Instant::now() + TIMEOUT,
+            deadline: Instant::now() + QUERY_TIMEOUT,
         })
     }
 
     fn read_format(&mut self) -> Result<u64, QueryError> {
-        let answer = self.get(&wire::key_path(FORMAT_KEY))?;
-        if answer.status == status::NOT_FOUND {
-            return Ok(FORMAT_DEFAULT);
+        let response = self.get(&wire::key_path(FORMAT_KEY))?;
+        if response.status == status::NOT_FOUND {
+            return Ok(DEFAULT_FORMAT);
         }
-        let body = self.expect_ok(answer)?;
+        let body = self.expect_ok(response)?;
         let pair = wire::decode::<KeyValue>(&body);
         let format = pair.ok().and_then(|pair| read_number(&pair.value));
         format.ok_or(QueryError::Unreadable(self.address))
@@ -134,53 +134,53 @@
 
     /// Reads the page of keys after `last_key`, or the first one.
     fn read_page(&mut self, last_key: Option<&str>) -> Result<Page, QueryError> {
-        let path = wire::keys_path(DUTIES_PREFIX, last_key, PAGE_MAX);
-        let answer = self.get(&path)?;
-        let body = self.expect_ok(answer)?;
+        let path = wire::keys_path(DUTIES_PREFIX, last_key, KEYS_PER_PAGE_MAX);
+        let response = self.get(&path)?;
+        let body = self.expect_ok(response)?;
         wire::decode(&body).map_err(|_| QueryError::Unreadable(self.address))
     }
 
-    fn expect_ok(&self, answer: Answer) -> Result<Vec<u8>, QueryError> {
-        if answer.status == status::OK {
-            return Ok(answer.body);
+    fn expect_ok(&self, response: Response) -> Result<Vec<u8>, QueryError> {
+        if response.status == status::OK {
+            return Ok(response.body);
         }
         Err(QueryError::Refused {
             address: self.address,
-            status: answer.status,
+            status: response.status,
         })
     }
 
-    /// Sends a GET request and waits for its answer.
-    fn get(&mut self, path: &str) -> Result<Answer, QueryError> {
+    /// Sends a GET request and waits for the response.
+    fn get(&mut self, path: &str) -> Result<Response, QueryError> {
         self.last_tag += 1;
         let (tag, address) = (self.last_tag, self.address);
         self.event_loop
             .call(tag, address, "GET", path, &[], CALL_TIMEOUT);
         loop {
-            let left = self.deadline.saturating_duration_since(Instant::now());
-            if left.is_zero() {
+            let remaining = self.deadline.saturating_duration_since(Instant::now());
+            if remaining.is_zero() {
                 return Err(QueryError::NoAnswer(address));
             }
-            let events = self.event_loop.turn(left.min(CALL_TIMEOUT))?;
+            let events = self.event_loop.turn(remaining.min(CALL_TIMEOUT))?;
             let mut outcomes = events
                 .into_iter()
                 .filter_map(|event| outcome_of(event, tag));
             if let Some(outcome) = outcomes.next() {
-                return self.answer(outcome);
+                return self.response_from(outcome);
             }
         }
     }
 
-    fn answer(&self, outcome: Outcome) -> Result<Answer, QueryError> {
+    fn response_from(&self, outcome: Outcome) -> Result<Response, QueryError> {
         match outcome {
-            Outcome::Answer { status, body } => Ok(Answer { status, body }),
+            Outcome::Answer { status, body } => Ok(Response { status, body }),
             Outcome::TooLarge => Err(QueryError::Unreadable(self.address)),
             Outcome::NoAnswer | Outcome::NotSent => Err(QueryError::NoAnswer(self.address)),
         }
     }
 }
 
-/// The outcome of the call with this tag, if the event is its reply.
+/// The outcome of the call with this tag, if the event is its response.
 fn outcome_of(event: Event, call_tag: u64) -> Option<Outcome> {
     match event {
         Event::Reply { tag, outcome } if tag == call_tag => Some(outcome),
--- a/src/duties/records/leases.rs
+++ b/src/duties/records/leases.rs
@@ -1,6 +1,7 @@
-//! The local copy of duties' leases.
+//! Local copy of the lease records of duties.
 //!
-//! Invariant: versions of each key only rise, except that a removed lease key has none.
+//! Invariant: the version of each key only increases, except that a deleted lease key has
+//! version 0.
 
 use std::collections::BTreeMap;
 
@@ -22,8 +23,9 @@
         self.views.get(&duty)?.holder.as_ref()
     }
 
-    /// The lease key was set or removed. Returns false, and changes nothing, if that is not
-    /// newer than what is known: an own acquisition may be ahead of the watch.
+    /// Applies a write or a deletion of the lease key. Returns false, and changes nothing, if
+    /// the known version is at least as new: this controller's own acquisition may be ahead
+    /// of the watch.
     pub(super) fn set_holder(
         &mut self,
         duty: Duty,
@@ -39,8 +41,8 @@
         true
     }
 
-    /// A token was issued. Returns false, and changes nothing, if that is not newer than
-    /// what is known.
+    /// Applies a newly issued token. Returns false, and changes nothing, if the known version
+    /// is at least as new.
     pub(super) fn set_token(&mut self, duty: Duty, token: Token, version: u64) -> bool {
         let view = self.views.entry(duty).or_default();
         if view.token_version >= version {
@@ -51,7 +53,7 @@
                 duty = duty.name(),
                 token,
                 previous_token = view.token,
-                "fencing token went down"
+                "fencing token in the store decreased"
             );
         }
         view.token = token;
--- a/src/duties/records/mod.rs
+++ b/src/duties/records/mod.rs
@@ -1,20 +1,21 @@
-//! The local copy of duties' records in the store.
+//! Local copy of the duty records in the store.
 //!
-//! An order is one key that goes through three phases: the leader writes that it is
-//! *needed*, the holder of the duty *records* the order before it sends it, and the record
-//! is removed or *completed* with a result. Each step has the version of the key as a
-//! condition, so each scaling request is satisfied at most once.
+//! An order is one key that goes through three phases: the leader writes it as *needed*, the
+//! holder of the duty marks it as *recorded* before sending the order, and then the key is
+//! deleted or *completed* with a result. Each step is conditional on the version of the key,
+//! so each scaling request is satisfied at most once.
 //!
-//! [`DutyRecords`] is fed by pages and the watch, and by own writes, which run ahead of the
-//! watch. Its parts own their state:
+//! [`DutyRecords`] is updated from pages, from the watch and from this controller's own
+//! writes, which are applied before the watch shows them. Its modules own their state:
 //!
 //! - [`leases`]: the view of each duty's lease;
-//! - [`orders`]: the orders' records, own removals, and which machines are being terminated;
-//! - [`unreadable`]: keys whose values this version can't read.
+//! - [`orders`]: the order records, this controller's removals, and which machines are being
+//!   terminated;
+//! - [`unreadable`]: keys whose values this version can't decode.
 //!
-//! Invariants: an older version of a key does not replace a newer one that is known,
-//! whichever way it comes; a record that can't be read is kept and not acted upon; the
-//! generation rises with each change of a lease or an order.
+//! Invariants: an older version of a key never replaces a newer one, whichever source it
+//! comes from; a record that can't be decoded is kept and not acted upon; the generation
+//! increases with each change of a lease or an order.
 
 mod leases;
 mod orders;
@@ -34,7 +35,7 @@
 use orders::CachedOrders;
 use unreadable::UnreadableKeys;
 
-/// What the store holds of duties.
+/// Local copy of all duty records.
 #[derive(Debug, Default)]
 pub struct DutyRecords {
     leases: CachedLeases,
@@ -45,9 +46,9 @@
     generation: u64,
 }
 
-/// What is on record.
+/// Queries.
 impl DutyRecords {
-    /// A number that rises with each change.
+    /// A number that increases with each change.
     pub fn generation(&self) -> u64 {
         self.generation
     }
@@ -62,22 +63,22 @@
         self.leases.holder(duty)
     }
 
-    /// All orders, in the order of their keys.
+    /// All orders, sorted by key.
     pub fn orders(&self) -> impl Iterator<Item = StoredOrderRef<'_>> {
         self.orders.iter()
     }
 
-    /// A duty's orders, in the order of their keys.
+    /// A duty's orders, sorted by key.
     pub fn orders_of(&self, duty: Duty) -> impl Iterator<Item = StoredOrderRef<'_>> {
         self.orders().filter(move |order| order.key.duty == duty)
     }
 
-    /// The order under this key.
+    /// The order under a key.
     pub fn order(&self, key: &OrderKey) -> Option<StoredOrderRef<'_>> {
         self.orders.get(key)
     }
 
-    /// A duty's recorded orders, without those whose latest form can't be read.
+    /// A duty's recorded orders, without those whose latest value can't be decoded.
     pub fn intents(&self, duty: Duty) -> Vec<Intent> {
         let orders = self.orders.readable(duty);
         orders
@@ -86,7 +87,7 @@
     }
 
     /// A duty's scaling requests that no order was recorded for, without those whose latest
-    /// form can't be read.
+    /// value can't be decoded.
     pub fn requests(&self, duty: Duty) -> Vec<ScalingRequest> {
         let orders = self.orders.readable(duty);
         orders
@@ -99,16 +100,16 @@
         self.orders.is_being_terminated(machine)
     }
 
-    /// Keys that can't be read.
+    /// Keys whose values can't be decoded.
     pub fn unreadable(&self) -> impl Iterator<Item = &str> {
         self.unreadable.iter()
     }
 }
 
-/// Changes.
+/// Updates.
 impl DutyRecords {
-    /// Forgets everything, before it is read anew. What was reported as unreadable is not
-    /// reported again.
+    /// Discards all records before they are reloaded. Keeps the keys that can't be decoded,
+    /// so that they are not logged again.
     pub fn restart(&mut self) {
         *self = DutyRecords {
             unreadable: std::mem::take(&mut self.unreadable),
@@ -117,26 +118,26 @@
         };
     }
 
-    /// Returns the changes of orders since the last call.
+    /// Drains the changes of orders since the last call.
     pub fn take_changes(&mut self) -> Vec<OrderChange> {
         std::mem::take(&mut self.changes)
     }
 
-    /// A key was set, according to a page or the watch.
+    /// Applies a key's value from a page or the watch.
     pub fn apply_set(&mut self, key: &str, value: &Value, version: u64) {
         match DutyKey::parse(key) {
             Some(DutyKey::Holder(duty)) => {
-                if let Some(stored) = self.read::<StoredHolder>(key, value, version) {
+                if let Some(stored) = self.decode::<StoredHolder>(key, value, version) {
                     self.set_holder(duty, Some(stored.holder), version);
                 }
             }
             Some(DutyKey::Token(duty)) => {
-                if let Some(token) = self.read::<Token>(key, value, version) {
+                if let Some(token) = self.decode::<Token>(key, value, version) {
                     self.set_token(duty, token, version);
                 }
             }
             Some(DutyKey::Refusal) => {}
-            Some(DutyKey::Order(order)) => match self.read::<OrderRecord>(key, value, version) {
+            Some(DutyKey::Order(order)) => match self.decode::<OrderRecord>(key, value, version) {
                 Some(record) => self.set_order(order, record, version),
                 None => self.mark_stale(&order, version),
             },
@@ -144,7 +145,7 @@
         }
     }
 
-    /// A key was removed, according to the watch.
+    /// Applies the deletion of a key from the watch.
     pub fn apply_delete(&mut self, key: &str, version: u64) {
         self.unreadable.remove(key);
         match DutyKey::parse(key) {
@@ -157,36 +158,36 @@
         }
     }
 
-    /// An own acquisition was carried out. The watch shows it later.
+    /// Applies this controller's acquisition of a lease before the watch shows it.
     pub fn apply_own_acquisition(&mut self, duty: Duty, holder: HolderKey, version: u64) {
         self.set_token(duty, holder.token, version);
         self.set_holder(duty, Some(holder), version);
     }
 
-    /// An own change of an order was carried out; `None`: it was removed. The watch shows it
-    /// later.
+    /// Applies this controller's committed write of an order before the watch shows it.
+    /// `record` is `None` for a deletion.
     pub fn apply_own_write(&mut self, key: &OrderKey, record: Option<OrderRecord>, version: u64) {
         match record {
             Some(record) => self.set_order(key.clone(), record, version),
             None => {
                 self.remove_order(key, version);
-                self.orders.remember_removal(key, version);
+                self.orders.record_own_removal(key, version);
             }
         }
     }
 
-    /// The watch has shown everything up to this revision.
+    /// Discards own removals up to a revision that the watch has reached.
     pub fn discard_removals_up_to(&mut self, revision: u64) {
         self.orders.discard_removals_up_to(revision);
     }
 
-    /// Reads a value; one that can't be read is reported and remembered.
-    fn read<T: DeserializeOwned>(&mut self, key: &str, value: &Value, version: u64) -> Option<T> {
-        let read = value.deserialized().ok();
-        if read.is_none() {
+    /// Decodes a value; if that fails, logs the key and adds it to the unreadable keys.
+    fn decode<T: DeserializeOwned>(&mut self, key: &str, value: &Value, version: u64) -> Option<T> {
+        let decoded = value.deserialized().ok();
+        if decoded.is_none() {
             self.unreadable.insert(key, version);
         }
-        read
+        decoded
     }
 
     fn set_holder(&mut self, duty: Duty, holder: Option<HolderKey>, version: u64) {
@@ -206,17 +207,17 @@
 
     fn set_order(&mut self, key: OrderKey, record: OrderRecord, version: u64) {
         if let Some(change) = self.orders.set(key, record, version) {
-            self.record_change(change);
+            self.push_change(change);
         }
     }
 
     fn remove_order(&mut self, key: &OrderKey, version: u64) {
         if let Some(change) = self.orders.remove(key, version) {
-            self.record_change(change);
+            self.push_change(change);
         }
     }
 
-    fn record_change(&mut self, change: OrderChange) {
+    fn push_change(&mut self, change: OrderChange) {
         self.generation += 1;
         self.changes.push(change);
     }
--- a/src/duties/records/orders.rs
+++ b/src/duties/records/orders.rs
@@ -1,7 +1,8 @@
-//! The local copy of orders' records.
+//! Local copy of the order records.
 //!
-//! Invariants: versions of a record only rise, and an own removal is not undone by older
-//! news of the same key; the termination index lists exactly the open orders.
+//! Invariants: the version of a record only increases; a removal by this controller is not
+//! undone by an older update of the same key; the termination index lists exactly the open
+//! orders.
 
 use std::collections::BTreeMap;
 
@@ -11,18 +12,18 @@
 use super::values::{OrderPhase, OrderRecord};
 use crate::duties::keys::OrderKey;
 
-/// A change of an order's record.
+/// A change of an order record.
 #[derive(Debug, Clone, PartialEq)]
 pub struct OrderChange {
-    /// The order.
+    /// The order's key.
     pub key: OrderKey,
-    /// The record before, if it was known.
+    /// The record before the change; `None` if it was unknown or could not be decoded.
     pub before: Option<OrderRecord>,
-    /// The record now; `None` if it was removed.
+    /// The record after the change; `None` if it was removed.
     pub after: Option<OrderRecord>,
 }
 
-/// An order as the store holds it.
+/// A stored order with its key.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct StoredOrderRef<'a> {
     /// The order's key.
@@ -43,17 +44,18 @@
     }
 }
 
-/// An order's record with the version of its key.
+/// An order record with the version of its key.
 #[derive(Debug, Clone)]
 pub(super) struct StoredOrder {
     record: OrderRecord,
     version: u64,
-    /// Its latest form can't be read: the last one that could is kept, and not acted upon.
+    /// The latest value can't be decoded. `record` is the last one that could, and is not
+    /// acted upon.
     is_stale: bool,
 }
 
 impl StoredOrder {
-    /// The intent, if the order is recorded and not completed.
+    /// The intent, if the order is in the recorded phase.
     pub(super) fn intent(&self, key: &OrderKey) -> Option<Intent> {
         let OrderPhase::Recorded(id) = self.record.phase else {
             return None;
@@ -66,7 +68,7 @@
         })
     }
 
-    /// The scaling request, if no order was recorded for it.
+    /// The scaling request, if no order was recorded for it yet.
     pub(super) fn scaling_request(&self, key: &OrderKey) -> Option<ScalingRequest> {
         let is_needed = self.record.phase == OrderPhase::Needed;
         is_needed.then(|| ScalingRequest {
@@ -81,22 +83,22 @@
     }
 }
 
-/// All orders on record.
+/// All stored orders.
 #[derive(Debug, Default)]
 pub(super) struct CachedOrders {
     orders: BTreeMap<OrderKey, StoredOrder>,
-    /// Own removals that the watch has not shown yet, with their revisions.
-    removed: BTreeMap<OrderKey, u64>,
+    /// This controller's removals that the watch has not shown yet, with their revisions.
+    own_removals: BTreeMap<OrderKey, u64>,
     terminations: TerminationIndex,
 }
 
 impl CachedOrders {
-    /// All orders, in the order of their keys.
+    /// All orders, sorted by key.
     pub(super) fn iter(&self) -> impl Iterator<Item = StoredOrderRef<'_>> {
         self.orders.iter().map(StoredOrderRef::new)
     }
 
-    /// A duty's orders whose latest form can be read.
+    /// A duty's orders whose latest value can be decoded.
     pub(super) fn readable(&self, duty: Duty) -> impl Iterator<Item = (&OrderKey, &StoredOrder)> {
         self.orders
             .iter()
@@ -111,7 +113,8 @@
         self.terminations.contains(machine)
     }
 
-    /// A record was set. Returns the change; `None` if that is not newer than what is known.
+    /// Applies a write of a record. Returns the change; `None` if the known version is at
+    /// least as new.
     pub(super) fn set(
         &mut self,
         key: OrderKey,
@@ -135,15 +138,16 @@
         })
     }
 
-    /// The version of the record, or of its own removal; 0 if neither is known.
+    /// The version of the record, or of its removal by this controller; 0 if neither is
+    /// known.
     fn known_version(&self, key: &OrderKey) -> u64 {
         let stored = self.orders.get(key).map_or(0, |stored| stored.version);
-        let removed = self.removed.get(key).copied().unwrap_or(0);
+        let removed = self.own_removals.get(key).copied().unwrap_or(0);
         stored.max(removed)
     }
 
-    /// A record was set to a value that can't be read. Returns false, and changes nothing,
-    /// if that is not newer than what is known, or the record is not.
+    /// Applies a value that can't be decoded. Returns false, and changes nothing, if the
+    /// record is unknown or its known version is at least as new.
     pub(super) fn mark_stale(&mut self, key: &OrderKey, version: u64) -> bool {
         let stored = self.orders.get_mut(key);
         let Some(stored) = stored.filter(|stored| stored.version < version) else {
@@ -154,7 +158,7 @@
         true
     }
 
-    /// A record was removed. Returns the change; `None` if it is not known, or is newer than
+    /// Applies a removal. Returns the change; `None` if the record is unknown or newer than
     /// the removal.
     pub(super) fn remove(&mut self, key: &OrderKey, version: u64) -> Option<OrderChange> {
         if self.orders.get(key)?.version > version {
@@ -169,21 +173,26 @@
         })
     }
 
-    /// An own removal was carried out. Answers to own changes may come in another order.
-    pub(super) fn remember_removal(&mut self, key: &OrderKey, version: u64) {
-        let removed = self.removed.entry(key.clone()).or_insert(0);
+    /// Records a committed removal by this controller. Responses to own writes may arrive out
+    /// of order.
+    pub(super) fn record_own_removal(&mut self, key: &OrderKey, version: u64) {
+        let removed = self.own_removals.entry(key.clone()).or_insert(0);
         *removed = version.max(*removed);
     }
 
-    /// The watch has shown a removal.
+    /// Drops this controller's removal once the watch has shown a removal at least as new.
     pub(super) fn confirm_removal(&mut self, key: &OrderKey, version: u64) {
-        if self.removed.get(key).is_some_and(|own| *own <= version) {
-            self.removed.remove(key);
+        if self
+            .own_removals
+            .get(key)
+            .is_some_and(|own| *own <= version)
+        {
+            self.own_removals.remove(key);
         }
     }
 
-    /// The watch has shown everything up to this revision.
+    /// Drops this controller's removals up to a revision that the watch has reached.
     pub(super) fn discard_removals_up_to(&mut self, revision: u64) {
-        self.removed.retain(|_, version| *version > revision);
+        self.own_removals.retain(|_, version| *version > revision);
     }
 }
--- a/src/duties/records/termination_index.rs
+++ b/src/duties/records/termination_index.rs
@@ -1,15 +1,15 @@
-//! Which machines are being terminated, and by which open orders.
+//! Index of the machines that are being terminated, with the open orders that do so.
 //!
-//! Invariant: an order is listed under each machine that it terminates exactly while it is
-//! on record and not completed.
+//! Invariant: an order is listed under each machine that it terminates exactly while its
+//! record exists and is not completed.
 
 use std::collections::{BTreeSet, HashMap};
 
 use super::values::{OrderPhase, OrderRecord};
 use crate::duties::keys::OrderKey;
 
-/// The open orders that terminate each machine: mostly one, two if the leader learnt late
-/// that the first was written.
+/// The open orders that terminate each machine: usually one, two if the leader learned late
+/// that the first one was written.
 #[derive(Debug, Default)]
 pub(super) struct TerminationIndex {
     orders: HashMap<String, BTreeSet<OrderKey>>,
@@ -20,7 +20,7 @@
         self.orders.contains_key(machine)
     }
 
-    /// An order's record was set.
+    /// Applies a write of an order record.
     pub(super) fn update(&mut self, key: &OrderKey, record: &OrderRecord) {
         if matches!(record.phase, OrderPhase::Completed(_)) {
             return self.remove(key, record);
@@ -31,7 +31,7 @@
         }
     }
 
-    /// An order is not open any more.
+    /// Removes an order that was completed or removed.
     pub(super) fn remove(&mut self, key: &OrderKey, record: &OrderRecord) {
         for machine in record.machines_to_terminate() {
             let Some(orders) = self.orders.get_mut(machine) else {
--- a/src/duties/records/unreadable.rs
+++ b/src/duties/records/unreadable.rs
@@ -1,4 +1,4 @@
-//! Keys whose values this version can't read.
+//! Keys whose values this version can't decode.
 //!
 //! They stay in the store and are not acted upon. Each is logged once.
 
@@ -6,7 +6,7 @@
 
 use tracing::error;
 
-/// Unreadable keys with their versions.
+/// Keys that can't be decoded, with their versions.
 #[derive(Debug, Default)]
 pub(super) struct UnreadableKeys {
     versions: BTreeMap<String, u64>,
@@ -19,7 +19,10 @@
 
     pub(super) fn insert(&mut self, key: &str, version: u64) {
         if self.versions.insert(key.to_string(), version).is_none() {
-            error!(key, "unreadable record: kept, and not acted upon");
+            error!(
+                key,
+                "cannot decode a duty record; keeping it in the store and ignoring it"
+            );
         }
     }
 
--- a/src/duties/records/values.rs
+++ b/src/duties/records/values.rs
@@ -1,5 +1,5 @@
-//! The stored values of duties' records. Their fields and variants are named as they are in
-//! the store.
+//! Values of the duty records. They are serialized into the store under their field and
+//! variant names, which must not change.
 
 use ciborium::Value;
 use duty_lease::{HolderKey, Order, OrderId, OrderResult, Token};
@@ -11,7 +11,7 @@
     /// The holder of the duty, and its token.
     #[serde(flatten)]
     pub holder: HolderKey,
-    /// Since when, by the holder's time of day in milliseconds.
+    /// When the holder acquired the duty, by its wall clock in milliseconds.
     pub since_ms: u64,
 }
 
@@ -20,11 +20,11 @@
 pub struct RefusalRecord {
     /// The controller that was fenced.
     pub member: String,
-    /// Its token.
+    /// The token that the provider refused.
     pub token: Token,
     /// The order's name.
     pub order: String,
-    /// The time of day in milliseconds.
+    /// When the refusal was received, by that controller's wall clock in milliseconds.
     pub at_ms: u64,
 }
 
@@ -32,27 +32,28 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum OrderPhase {
-    /// The leader requests it; nothing was sent.
+    /// Requested by the leader; nothing was sent yet.
     Needed,
-    /// It may have been sent under this name, and is repeated until it is answered.
+    /// The order may have been sent under this name, and is retried until the provider
+    /// responds.
     Recorded(OrderId),
-    /// Nothing more is to be done.
+    /// The order has a result and is not sent any more.
     Completed(OrderResult),
 }
 
 /// The value of [`crate::duties::order_key`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OrderRecord {
-    /// What is to be done.
+    /// The order to carry out.
     pub order: Order,
     /// The order's progress.
     pub phase: OrderPhase,
-    /// When it was first requested, by the leader's time of day in milliseconds.
+    /// When the leader first requested it, by the leader's wall clock in milliseconds.
     pub since_ms: u64,
 }
 
 impl OrderRecord {
-    /// The record as it is stored.
+    /// The record as a stored value.
     pub fn to_value(&self) -> Value {
         Value::serialized(self).unwrap_or(Value::Null)
     }
--- a/src/duties/report.rs
+++ b/src/duties/report.rs
@@ -1,6 +1,7 @@
-//! The state of duties as operators see it, as text and as JSON.
+//! Report on duties for operators, as text and as JSON.
 //!
-//! Field names and texts are the output of the command line: they stay as they are.
+//! Field names and texts are command-line output that operators' tools may parse: don't
+//! change them.
 
 use std::fmt::{self, Display};
 
@@ -13,32 +14,33 @@
 use crate::wire::KeyValue;
 
 const MS_PER_S: f64 = 1000.0;
-/// In the text, a value that there is not.
-const NONE: &str = "-";
+/// Placeholder for an absent value in the text output.
+const MISSING_VALUE: &str = "-";
 
 /// The state of all duties, as of one read of the store.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct DutyReport {
-    /// Whether duties have left the leader.
+    /// Whether duties are carried out under leases; otherwise the leader carries them out.
     pub active: bool,
-    /// All duties.
+    /// The state of each duty.
     pub duties: Vec<DutyStatus>,
     /// Orders that are open, or whose result the leader has not processed yet.
     pub orders: Vec<OrderStatus>,
-    /// Keys that can't be read.
+    /// Keys whose values can't be decoded.
     pub unreadable: Vec<String>,
 }
 
 /// The state of a duty.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct DutyStatus {
-    /// Its name.
+    /// The name of the duty.
     pub duty: &'static str,
     /// The controller that holds it.
     pub holder: Option<String>,
     /// The last token that was issued; 0 for none.
     pub token: Token,
-    /// For how long it has been held, in seconds, by the times of day of both sides.
+    /// Time for which it has been held, in seconds: the difference between the wall clocks of
+    /// the holder and of the reader.
     pub held_s: Option<f64>,
     /// The last order that the provider refused for its token.
     pub last_refusal: Option<RefusalRecord>,
@@ -47,23 +49,24 @@
 /// The state of an order.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct OrderStatus {
-    /// The duty.
+    /// The name of the duty that carries it out.
     pub duty: &'static str,
     /// The name of the scaling request.
     pub need: String,
     /// `needed`, `recorded` or `completed`.
     pub phase: &'static str,
-    /// The name under which it may have been sent.
+    /// The name under which it may have been sent; present in the phase `recorded` only.
     pub order: Option<String>,
-    /// What is to be done.
+    /// Description of the order.
     pub what: String,
-    /// For how long it has been requested, in seconds, by the times of day of both sides.
+    /// Time since it was requested, in seconds: the difference between the wall clocks of the
+    /// leader and of the reader.
     pub age_s: f64,
 }
 
 impl DutyReport {
-    /// Builds the report from all keys below [`super::DUTIES_PREFIX`] and the store's
-    /// format. `now_ms` is the time of day.
+    /// Builds the report from all keys that start with [`super::DUTIES_PREFIX`] and the
+    /// stored format. `now_ms` is the wall-clock time.
     pub fn new(pairs: &[KeyValue], format: u64, now_ms: u64) -> DutyReport {
         let mut records = DutyRecords::default();
         for pair in pairs {
@@ -113,7 +116,7 @@
     }
 }
 
-/// The value of a key; `None` if there is no such key, or it can't be read.
+/// The value of a key; `None` if the key does not exist or its value can't be decoded.
 fn read_value<T: DeserializeOwned>(pairs: &[KeyValue], key: &str) -> Option<T> {
     let pair = pairs.iter().find(|pair| pair.key == key)?;
     pair.value.deserialized().ok()
@@ -172,7 +175,7 @@
     duties.iter().try_for_each(|duty| writeln!(f, "{duty}"))
 }
 
-/// Nothing if there are no orders.
+/// Writes the table of orders, or nothing if there are no orders.
 fn write_orders(f: &mut fmt::Formatter<'_>, orders: &[OrderStatus]) -> fmt::Result {
     if orders.is_empty() {
         return Ok(());
@@ -185,22 +188,24 @@
     orders.iter().try_for_each(|order| writeln!(f, "{order}"))
 }
 
-/// A line of the report.
+/// A row of the report's table of duties.
 impl Display for DutyStatus {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let holder = self.holder.as_deref().unwrap_or(NONE);
-        let held = self.held_s.map_or(NONE.to_string(), format_seconds);
+        let holder = self.holder.as_deref().unwrap_or(MISSING_VALUE);
+        let held = self
+            .held_s
+            .map_or(MISSING_VALUE.to_string(), format_seconds);
         let refusal = self.last_refusal.as_ref();
-        let refusal = refusal.map_or(NONE.to_string(), format_refusal);
+        let refusal = refusal.map_or(MISSING_VALUE.to_string(), format_refusal);
         let (duty, token) = (self.duty, self.token);
         write!(f, "{duty:14} {holder:16} {token:>6} {held:>9}  {refusal}")
     }
 }
 
-/// A line of the report.
+/// A row of the report's table of orders.
 impl Display for OrderStatus {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let name = self.order.as_deref().unwrap_or(NONE);
+        let name = self.order.as_deref().unwrap_or(MISSING_VALUE);
         let age = format_seconds(self.age_s);
         write!(
             f,
--- a/src/termination_check.rs
+++ b/src/termination_check.rs
@@ -1,13 +1,13 @@
-//! Whether machines that are to be terminated only if they are empty may be terminated, judged
-//! by the records in the watch cache. Pure: the one place in which this is decided, for the
-//! holders that review requests as well as for the holder that orders the termination.
+//! Checks by the records in the watch cache whether machines that may only be terminated when
+//! empty are empty. Both the holders that review requests and the holder that orders the
+//! termination use this check, so that they decide alike; it has no side effects.
 
 use std::collections::HashSet;
 
 use duty_lease::{Order, ScalingRequest};
 
-/// A scaling request as far as it can be judged by the records at one revision, before the
-/// occupied machines are collected, which takes a walk over all jobs.
+/// The first part of the check of a scaling request against the records at one revision. It
+/// tells whether the occupied machines are needed, as collecting them iterates over all jobs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TerminationCheck<'a> {
     /// The request does not depend on whether machines are empty.
@@ -21,23 +21,23 @@
     },
 }
 
-/// What the records say about a scaling request.
+/// The result of checking a scaling request against the records.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum TerminationVerdict {
     /// The request may be carried out.
     Allowed,
-    /// The request can't be judged before the watch cache has caught up with it.
+    /// The request can't be checked before the watch cache has caught up with it.
     Postponed,
-    /// The request must not be carried out.
+    /// The request must not be carried out, as tasks would be lost.
     Rejected {
-        /// Its machines that have tasks on record.
+        /// The requested machines that have recorded tasks.
         occupied: Vec<String>,
     },
 }
 
 impl<'a> TerminationCheck<'a> {
-    /// Begins the check of a request. `revision`: the watch cache is complete up to it. Own
-    /// writes, such as the request itself, may be ahead of it.
+    /// Begins the check of a request. The watch cache is complete up to `revision`; this
+    /// controller's own writes, such as the request itself, may be ahead of it.
     pub fn new(request: &'a ScalingRequest, revision: u64) -> TerminationCheck<'a> {
         let Order::Delete {
             machines,
@@ -57,7 +57,7 @@
         matches!(self, TerminationCheck::RecordsSuffice { .. })
     }
 
-    /// Completes the check. `occupied`: all machines with a task on record, which are examined
+    /// Completes the check. `occupied` contains all machines with a recorded task; it is used
     /// only if [`Self::needs_occupied_machines`].
     pub fn verdict(&self, occupied: &HashSet<String>) -> TerminationVerdict {
         let machines = match self {
