--- a/src/controller/duties/assignment.rs
+++ b/src/controller/duties/assignment.rs
@@ -1,4 +1,4 @@
-//! Which duties this controller is a candidate for.
+//! Decides which duties this controller is a candidate for.
 
 use std::collections::BTreeMap;
 
@@ -9,23 +9,24 @@
 use crate::duties::DUTIES_FORMAT;
 use crate::settings::DutySettings;
 
-/// How often it is decided anew, as a share of a lease's time to live.
-const INTERVAL_SHARE: f64 = 0.1;
-/// Times to live for which a duty may be without a holder before any controller is a candidate
-/// for it, and before the leader warns.
-pub(super) const UNHELD_TTLS: u64 = 2;
+/// Interval between two assignments, as a share of a lease's time to live.
+const ASSIGNMENT_INTERVAL_TTL_RATIO: f64 = 0.1;
+/// Time for which a duty may be without a holder before every controller is a candidate for it
+/// and the leader logs a warning, in times to live of a lease.
+pub(super) const UNHELD_TTL_MULTIPLIER: u64 = 2;
 
-/// What is known of the live controllers and of duties that nobody holds.
+/// Observations of the live controllers and of duties without a holder, and the assignment
+/// rules.
 #[derive(Debug)]
 pub(super) struct DutyAssignment {
     rules: AssignmentRules,
-    /// For how long a duty may be without a holder before any controller is a candidate.
-    unheld_bound_ms: u64,
+    /// Time for which a duty may be without a holder before every controller is a candidate.
+    unheld_limit_ms: u64,
     interval_ms: u64,
     next_at: u64,
-    /// Since when each live controller has been heard without a gap.
+    /// When each live controller was first seen live, without an interruption since.
     live_since: BTreeMap<String, u64>,
-    /// Since when a duty has had no holder.
+    /// When each duty without a holder was first seen without one.
     unheld_since: BTreeMap<Duty, u64>,
 }
 
@@ -36,8 +37,8 @@
                 settle_ms: timing.ttl_ms,
                 pinned: settings.holders.clone(),
             },
-            unheld_bound_ms: UNHELD_TTLS * timing.ttl_ms,
-            interval_ms: (timing.ttl_ms as f64 * INTERVAL_SHARE) as u64,
+            unheld_limit_ms: UNHELD_TTL_MULTIPLIER * timing.ttl_ms,
+            interval_ms: (timing.ttl_ms as f64 * ASSIGNMENT_INTERVAL_TTL_RATIO) as u64,
             next_at: 0,
             live_since: BTreeMap::new(),
             unheld_since: BTreeMap::new(),
@@ -48,7 +49,7 @@
         now >= self.next_at
     }
 
-    /// The controller that each duty is to be with.
+    /// Computes the controller that each duty is assigned to.
     fn assign(
         &mut self,
         live: Vec<String>,
@@ -72,15 +73,15 @@
         members.collect()
     }
 
-    /// Whether a duty has been without a holder for so long that every controller is a
-    /// candidate.
+    /// Whether a duty has been without a holder for longer than the limit, so that every
+    /// controller is a candidate.
     fn is_unclaimed(&mut self, duty: Duty, holder: Option<&String>, now: u64) -> bool {
         if holder.is_some() {
             self.unheld_since.remove(&duty);
             return false;
         }
         let since = *self.unheld_since.entry(duty).or_insert(now);
-        now.saturating_sub(since) > self.unheld_bound_ms
+        now.saturating_sub(since) > self.unheld_limit_ms
     }
 }
 
@@ -92,7 +93,7 @@
         if !control.is_some_and(|control| control.assignment.is_due(now)) {
             return;
         }
-        let live = self.duty_candidates();
+        let live = self.eligible_controllers();
         let holders = self.duty_holders();
         let member = &self.settings.member;
         let Some(control) = &mut self.duties.control else {
@@ -115,23 +116,23 @@
             if is_assigned && holder.is_some_and(|holder| holder != member) {
                 debug!(
                     duty = duty.name(),
-                    member, "waiting for the duty's handover"
+                    member, "waiting for the current holder to release the duty"
                 );
             }
         }
     }
 
-    /// The present holders of duties.
+    /// The present holder of each duty that has one.
     fn duty_holders(&self) -> BTreeMap<Duty, String> {
         let records = &self.watch_cache.duties;
         let holder = |duty| Some((duty, records.holder(duty)?.member.clone()));
         Duty::ALL.into_iter().filter_map(holder).collect()
     }
 
-    /// Controllers that can hold duties as far as is known here. This one is always among
-    /// them: if it can't reach the store, what it holds ends by itself, and in an
-    /// outage it must not be given up.
-    fn duty_candidates(&self) -> Vec<String> {
+    /// Controllers that can hold duties, as far as this one knows. It always includes itself:
+    /// if it alone can't reach the store, its leases expire by themselves, and in an outage
+    /// of the store it must not release them.
+    fn eligible_controllers(&self) -> Vec<String> {
         let mut names = vec![self.settings.member.clone()];
         let now = self.clock.steady_ms();
         for peer in self.peers.iter() {
@@ -145,9 +146,9 @@
         names
     }
 
-    /// The leader warns if its requests are not satisfied. It goes on with the machines that
-    /// there are and never acts in the holder's place.
-    pub(super) fn warn_of_missing_holders(&mut self) {
+    /// As the leader, warns about duties without a holder, whose requests are not satisfied.
+    /// The leader continues with the present machines and never acts in the holder's place.
+    pub(super) fn warn_about_missing_holders(&mut self) {
         if self.scheduler.is_none() {
             return;
         }
--- a/src/controller/duties/cleaning.rs
+++ b/src/controller/duties/cleaning.rs
@@ -1,6 +1,6 @@
-//! Removing records that no leader processes, as the holder of cleaning: results whose leader
-//! has ended, and provisioning requests from long ago. What may have been sent, what terminates
-//! a machine and what can't be read stays.
+//! Removes order records that no leader processes, as the holder of the clean-state duty:
+//! results whose leader has stopped, and old provisioning requests. Kept are orders that may
+//! have been sent, termination requests, and records that can't be decoded.
 
 use std::collections::BTreeMap;
 
@@ -13,47 +13,47 @@
 use crate::settings::DutySettings;
 use crate::time_units::to_ms;
 
-/// Agents' leases for which a record has to stay as it is before it is removed.
-const UNCHANGED_LEASES: f64 = 2.0;
+/// Time for which a record must be unchanged before it is removed, in leases of an agent.
+const UNCHANGED_LEASE_MULTIPLIER: f64 = 2.0;
 
-/// Whether records are removed.
+/// Whether records are removed or only logged.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum CleaningMode {
     Remove,
-    /// What would be removed is only logged.
+    /// Records that would be removed are only logged.
     DryRun,
 }
 
-/// A record that may be removed one day.
+/// A version of a record that may be removed once it has been unchanged for long enough.
 #[derive(Debug, Clone, PartialEq, Eq)]
 struct RemovableRecord {
     key: OrderKey,
     version: u64,
 }
 
-/// A version of a record, and since when it has been seen.
+/// A version of a record, and when it was first seen.
 #[derive(Debug, Clone, Copy)]
 struct SeenVersion {
     version: u64,
     since: u64,
 }
 
-/// Since when records have stayed as they are.
+/// Tracks how long removable records have been unchanged, and paces their removal.
 #[derive(Debug)]
 pub(super) struct Cleaning {
     mode: CleaningMode,
-    /// For how long a record has to stay as it is.
+    /// Time for which a record must be unchanged.
     unchanged_ms: u64,
     next_at: u64,
-    /// Between two removals.
+    /// Interval between two removals.
     interval_ms: u64,
     seen: BTreeMap<OrderKey, SeenVersion>,
-    /// Versions whose removal is on its way, or that a dry run has logged.
+    /// Versions whose removal is in flight, or that a dry run has logged.
     handled: BTreeMap<OrderKey, u64>,
 }
 
 impl Cleaning {
-    /// `lease_s`: an agent's lease.
+    /// `lease_s` is the duration of an agent's lease.
     pub(super) fn new(settings: &DutySettings, lease_s: f64) -> Cleaning {
         let mode = if settings.cleaning_dry_run {
             CleaningMode::DryRun
@@ -62,7 +62,7 @@
         };
         Cleaning {
             mode,
-            unchanged_ms: to_ms(lease_s * UNCHANGED_LEASES),
+            unchanged_ms: to_ms(lease_s * UNCHANGED_LEASE_MULTIPLIER),
             next_at: 0,
             interval_ms: to_ms(1.0 / settings.cleaning_per_s),
             seen: BTreeMap::new(),
@@ -74,11 +74,11 @@
         now >= self.next_at
     }
 
-    /// Updates the records that may be removed one day; returns one that may be now.
+    /// Updates the removable records; returns one that has been unchanged for long enough.
     fn update(&mut self, records: &[RemovableRecord], now: u64) -> Option<RemovableRecord> {
-        let is_there = |key: &OrderKey| records.iter().any(|record| record.key == *key);
-        self.seen.retain(|key, _| is_there(key));
-        self.handled.retain(|key, _| is_there(key));
+        let still_removable = |key: &OrderKey| records.iter().any(|record| record.key == *key);
+        self.seen.retain(|key, _| still_removable(key));
+        self.handled.retain(|key, _| still_removable(key));
         let mut due = None;
         for record in records {
             let version = record.version;
@@ -98,20 +98,20 @@
         due.cloned()
     }
 
-    /// A record is being removed: the next one waits for an interval.
+    /// Records that a removal is being sent; the next one is due after the interval.
     fn begin_removal(&mut self, record: &RemovableRecord, now: u64) {
         self.next_at = now + self.interval_ms;
         self.handled.insert(record.key.clone(), record.version);
     }
 
-    /// A removal was carried out, or was not: then it comes due again.
+    /// Handles the outcome of a removal; a record that still exists becomes due again.
     fn end_removal(&mut self, key: &OrderKey) {
         self.handled.remove(key);
     }
 }
 
 impl Controller {
-    /// Removes what is due, one record at a time.
+    /// Removes one record that is due, if any.
     pub(super) fn clean_records(&mut self) {
         let now = self.clock.steady_ms();
         if !self.may_send_orders(Duty::CleanState) {
@@ -137,9 +137,9 @@
         control.cleaning.begin_removal(&due, now);
         let (duty, request) = (due.key.duty.name(), due.key.request.as_str());
         if control.cleaning.mode == CleaningMode::DryRun {
-            return info!(duty, request, "dry run: unprocessed record stays");
+            return info!(duty, request, "dry run: keeping unprocessed order record");
         }
-        info!(duty, request, "removing unprocessed record");
+        info!(duty, request, "removing unprocessed order record");
         let changes = vec![RecordChange::remove(due.key)];
         let write = DutyWrite::new(WritePurpose::Clean, changes);
         self.write_as_holder(Duty::CleanState, write);
@@ -154,8 +154,9 @@
     }
 }
 
-/// Whether nobody can need a record any more once it has stayed as it is for long. A
-/// provisioning request without a recorded order was never sent, and each leader plans anew.
+/// Whether no controller needs a record any more once it has been unchanged for long enough. A
+/// provisioning request without a recorded order was never sent, and each new leader plans its
+/// own requests.
 fn is_removable(record: &OrderRecord) -> bool {
     match record.phase {
         OrderPhase::Completed(_) => true,
--- a/src/controller/duties/leases.rs
+++ b/src/controller/duties/leases.rs
@@ -1,4 +1,4 @@
-//! The leases of duties: requests for them to the store, and what the responses mean.
+//! Runs the leases of duties: sends their requests to the store and decodes the responses.
 
 use duty_lease::{Duty, HolderKey, LeaseRequest, LeaseResponse, LeaseView};
 
@@ -13,13 +13,13 @@
 use crate::net::{status, Outcome};
 use crate::wire::{self, Condition, DecodeError, Transaction, Write};
 
-/// Most keys of one lease.
-const LEASE_KEYS: usize = 10;
-/// Share of the requests to the store that leases of duties leave to others.
-const LEASE_RESERVE: f64 = 0.1;
+/// Maximum number of keys to read for one lease.
+const KEYS_PER_LEASE_MAX: usize = 10;
+/// Share of the request budget at the store that duty leases leave to other requests.
+const RESERVED_REQUEST_RATIO: f64 = 0.1;
 
 impl Controller {
-    /// Sends what is due for the lease of a duty, and applies what has happened to it.
+    /// Sends the request that is due for the lease of a duty, and processes the lease's events.
     pub(super) fn run_lease(&mut self, duty: Duty) {
         let now = self.clock.steady_ms();
         let Some(runtime) = self.duties.runtime(duty) else {
@@ -36,7 +36,7 @@
         let Some(runtime) = self.duties.runtime(call.duty) else {
             return;
         };
-        if !self.store.try_request(now, LEASE_RESERVE) {
+        if !self.store.try_request(now, RESERVED_REQUEST_RATIO) {
             return runtime.on_lease_response(call.id, LeaseResponse::Refused, now);
         }
         let timeout_ms = runtime.answer_timeout_ms();
@@ -75,7 +75,7 @@
     match &call.request {
         LeaseRequest::Read => {
             let prefix = format!("{LEASES_PREFIX}{}/", call.duty.name());
-            HttpCall::get_page(&prefix, None, LEASE_KEYS, timeout_ms)
+            HttpCall::get_page(&prefix, None, KEYS_PER_LEASE_MAX, timeout_ms)
         }
         LeaseRequest::CreateGrant { ttl_ms } => HttpCall::create_grant(*ttl_ms, timeout_ms),
         LeaseRequest::Acquire {
--- a/src/controller/duties/machine_orders.rs
+++ b/src/controller/duties/machine_orders.rs
@@ -1,17 +1,16 @@
-//! Orders for machines: the one conversion between [`Order`] and the requests of the provider
-//! client, each way.
+//! Conversions between [`Order`] and the requests of the provider client, in both directions.
 
 use duty_lease::Order;
 
 use crate::cloud::MachineKind;
 use crate::controller::provider_client::MachineRequest;
 
-/// What an order asks the provider for.
+/// An order in the terms of the provider client.
 #[derive(Debug, PartialEq, Eq)]
 pub(super) enum MachineOrder<'a> {
-    /// To provision machines.
+    /// Provision machines.
     Provision(MachineRequest),
-    /// To terminate these machines.
+    /// Terminate the named machines.
     Terminate(&'a [String]),
 }
 
--- a/src/controller/duties/mod.rs
+++ b/src/controller/duties/mod.rs
@@ -1,10 +1,10 @@
-//! Duties under fenced leases: which this controller holds, and the orders that it gives as
-//! their holder. The planning leader decides what is to be done (`scaling_requests`), the
-//! holder of a duty does it (`request_review`, `orders`, `cleaning`), and the leader processes
-//! what came of it (`order_results`).
+//! Duties under fenced leases: which ones this controller holds, and the orders that it sends
+//! as their holder. The planning leader writes scaling requests (`scaling_requests`), the
+//! holder of a duty carries them out (`request_review`, `orders`, `cleaning`), and the leader
+//! processes the results (`order_results`).
 //!
-//! Nothing of this happens before all controllers have said that they can do it, and the
-//! format says so ([`DUTIES_FORMAT`]).
+//! All of this is inactive until every controller supports duties and the stored format has
+//! been raised to [`DUTIES_FORMAT`].
 
 mod assignment;
 mod cleaning;
@@ -29,7 +29,7 @@
 use crate::job::PACKED_FORMAT;
 use crate::settings::{ClusterSettings, DutySettings};
 
-use assignment::{DutyAssignment, UNHELD_TTLS};
+use assignment::{DutyAssignment, UNHELD_TTL_MULTIPLIER};
 use cleaning::Cleaning;
 use leader_requests::LeaderRequests;
 pub(super) use orders::SentOrder;
@@ -38,7 +38,7 @@
 use unheld_duties::UnheldDuties;
 pub(super) use writes::DutyWrite;
 
-/// This controller's part in all duties.
+/// This controller's runtime state of all duties.
 #[derive(Debug)]
 struct DutyControl {
     runtimes: BTreeMap<Duty, DutyRuntime>,
@@ -58,18 +58,18 @@
     }
 }
 
-/// Duties as seen by one controller.
+/// One controller's state of duties, as a holder and as the leader.
 #[derive(Debug)]
 pub(super) struct DutyState {
-    /// Its own part; `None` if operators have not switched it on.
+    /// State as a candidate and holder; `None` if operators have not enabled duties.
     control: Option<DutyControl>,
-    /// The leader's part.
+    /// State as the leader: its requests in flight.
     requests: LeaderRequests,
     unheld: UnheldDuties,
 }
 
 impl DutyState {
-    /// `settings`: the operators', which this keeps no copy of.
+    /// `settings` are the operators' settings of duties; `None` if duties are not enabled.
     pub(super) fn new(
         member: &str,
         cluster: &ClusterSettings,
@@ -77,13 +77,13 @@
     ) -> Self {
         let lease_s = cluster.workers.lease_s;
         let control = settings.map(|settings| DutyControl::new(member, lease_s, settings));
-        // A leader warns by the usual times if operators have not switched duties on for it.
-        let usual = DutySettings::default();
-        let timing = settings.unwrap_or(&usual).timing(lease_s);
+        // Without operators' settings, a leader uses the default timing for its warnings.
+        let default_settings = DutySettings::default();
+        let timing = settings.unwrap_or(&default_settings).timing(lease_s);
         DutyState {
             control,
             requests: LeaderRequests::default(),
-            unheld: UnheldDuties::new(UNHELD_TTLS * timing.ttl_ms),
+            unheld: UnheldDuties::new(UNHELD_TTL_MULTIPLIER * timing.ttl_ms),
         }
     }
 
@@ -91,7 +91,7 @@
         self.control.as_mut()?.runtimes.get_mut(&duty)
     }
 
-    /// Whether this controller holds a duty, whether it may send orders or not.
+    /// Whether this controller holds a duty, even if it may not send orders now.
     fn holds(&self, duty: Duty) -> bool {
         let control = self.control.as_ref();
         let runtime = control.and_then(|control| control.runtimes.get(&duty));
@@ -100,7 +100,7 @@
 }
 
 impl Controller {
-    /// The latest format that this controller asks for and can keep to.
+    /// The latest stored format that this controller supports and may raise the store to.
     pub(super) fn known_format(&self) -> u64 {
         if self.duties.control.is_some() {
             DUTIES_FORMAT
@@ -109,24 +109,25 @@
         }
     }
 
-    /// Whether duties have left the leader.
+    /// Whether duties are carried out by lease holders instead of the leader.
     pub(super) fn are_duties_active(&self) -> bool {
         self.watch_cache.format >= DUTIES_FORMAT && !self.is_outdated()
     }
 
-    /// Does what has come due; to be called often, as holders look at the clock here.
+    /// Runs periodic work. Call this often: it reads the clock, and long gaps between readings
+    /// suspend the holders' orders.
     pub(super) fn duties_tick(&mut self) {
         if !self.are_duties_active() || !self.watch_cache.loaded {
             return;
         }
         self.assign_duties();
-        self.warn_of_missing_holders();
+        self.warn_about_missing_holders();
         self.remove_processed_results();
         self.clean_records();
         self.set_provider_share();
     }
 
-    /// Sends what has come due between ticks.
+    /// Sends requests that became due between ticks.
     pub(super) fn duties_flush(&mut self) {
         if !self.are_duties_active() || !self.watch_cache.loaded {
             return;
@@ -139,7 +140,7 @@
         }
     }
 
-    /// Whether this controller may send orders of a duty at this very moment.
+    /// Whether this controller may send orders of a duty at this moment.
     fn may_send_orders(&mut self, duty: Duty) -> bool {
         let now = self.clock.steady_ms();
         let runtime = self.duties.runtime(duty);
--- a/src/controller/duties/order_results.rs
+++ b/src/controller/duties/order_results.rs
@@ -1,5 +1,5 @@
-//! What orders' records mean for the leader: the scheduler is notified of their changes, and
-//! results that were processed are removed.
+//! Processes order records as the leader: notifies the scheduler of their changes and removes
+//! processed results.
 
 use duty_lease::{Order, OrderResult};
 
@@ -10,7 +10,7 @@
 use crate::scheduler::{ProvisioningOutcome, Scheduler, TerminationOutcome};
 
 impl Controller {
-    /// A term has begun: the scheduler is notified of all records as they are.
+    /// Notifies the scheduler of all order records at the beginning of a term.
     pub(in crate::controller) fn apply_recorded_orders(&mut self) {
         self.duties.requests.reset();
         if !self.are_duties_active() {
@@ -26,7 +26,7 @@
         }
     }
 
-    /// Notifies the scheduler of orders' records that have changed.
+    /// Notifies the scheduler of order records that have changed.
     pub(super) fn forward_order_changes(&mut self) {
         let changes = self.watch_cache.duties.take_changes();
         if self.scheduler.is_none() {
@@ -91,7 +91,7 @@
         }
     }
 
-    /// Removes results that were processed and are still on record: a removal may have failed.
+    /// Removes processed results that still exist because an earlier removal failed.
     pub(super) fn remove_processed_results(&mut self) {
         if self.scheduler.is_none() {
             return;
@@ -113,8 +113,8 @@
         let machines = before.machines_to_terminate();
         let request = &change.key.request;
         match before.phase {
-            // A recorded order is removed by its completion only: a termination was carried
-            // out, and of a provisioning request there was no capacity.
+            // Only completion removes a recorded order: either a termination was carried out,
+            // or the provider had no capacity for a provisioning request.
             OrderPhase::Recorded(_) => {
                 let unavailable = ProvisioningOutcome::Unavailable;
                 scheduler.on_provisioning_outcome(request, unavailable, now);
@@ -129,8 +129,8 @@
         }
     }
 
-    /// Machines are not terminated after all, unless another request for that is on record or
-    /// may yet be.
+    /// Tells the scheduler that machines are not terminated, except those for which another
+    /// termination request exists or may still be written.
     fn retain_machines(&mut self, machines: &[String]) {
         let is_open = |name: &String| {
             self.watch_cache.duties.is_being_terminated(name)
@@ -144,7 +144,7 @@
     }
 }
 
-/// Adopts an open provisioning request that this leader may not know, as another one wrote it.
+/// Adopts an open provisioning request that another leader may have written.
 fn adopt_provisioning(scheduler: &mut Scheduler, key: &OrderKey, record: &OrderRecord, now: u64) {
     if let MachineOrder::Provision(request) = MachineOrder::from(&record.order) {
         scheduler.adopt_provisioning(&key.request, request.kind, request.count, now);
--- a/src/controller/duties/orders.rs
+++ b/src/controller/duties/orders.rs
@@ -1,4 +1,4 @@
-//! A holder's orders: recorded, sent to the cloud, completed.
+//! Runs a holder's orders: records them, sends them to the cloud and completes them.
 
 use std::collections::HashSet;
 
@@ -22,13 +22,13 @@
 use crate::wire::{FencingToken, Write};
 use crate::write_queue::{CommitResult, WriteClass, WriteRequest};
 
-/// The name under which an order goes to the cloud. It never equals that of a leader's
+/// The idempotency key of an order at the cloud. It never equals the key of a leader's
 /// provisioning request, which ends in a dash and a number.
 fn idempotency_key(id: OrderId) -> String {
     format!("{}.{}.{}", id.duty.name(), id.token, id.sequence)
 }
 
-/// What an order asks the cloud for.
+/// The kind of a sent order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum SentOrderKind {
     Provisioning,
@@ -45,7 +45,7 @@
 }
 
 impl Controller {
-    /// Does what is due for a holder's orders.
+    /// Executes the requests of the order book that are due, if this controller holds the duty.
     pub(super) fn run_orders(&mut self, duty: Duty) {
         if !matches!(duty, Duty::Rent | Duty::Return) || !self.duties.holds(duty) {
             return;
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Shows the order book the records, if they have changed.
+    /// Passes the records to the order book if they have changed.
     fn sync_order_book(&mut self, duty: Duty) {
         let generation = self.watch_cache.duties.generation();
         let runtime = self.duties.runtime(duty);
@@ -72,14 +72,14 @@
         let allowed = self.allowed_requests(&requests);
         if let Some(runtime) = self.duties.runtime(duty) {
             if allowed.len() < requests.len() {
-                // What was left out is examined again.
+                // The requests that were left out are checked again at the next sync.
                 runtime.repeat_order_sync();
             }
             runtime.sync_orders(&intents, &allowed);
         }
     }
 
-    /// The requests that the records allow to be satisfied.
+    /// The requests that may be carried out according to the records.
     fn allowed_requests(&self, requests: &[ScalingRequest]) -> Vec<ScalingRequest> {
         let revision = self.watch_cache.revision;
         let depends_on_occupied =
@@ -115,7 +115,8 @@
                     request: intent.request,
                 };
                 let purpose = WritePurpose::Complete(intent.id);
-                // These leave nothing for the leader to process but the end of the order.
+                // The leader needs no result record for these: it learns from the removal that
+                // the order has ended.
                 if matches!(result, OrderResult::Deleted | OrderResult::NoCapacity) {
                     let changes = vec![RecordChange::remove(key)];
                     self.write_as_holder(duty, DutyWrite::new(purpose, changes));
@@ -153,7 +154,7 @@
         self.outbox.call_cloud(pending, call);
     }
 
-    /// The cloud has responded to an order, or not.
+    /// Handles the cloud's response to an order, or the lack of one.
     pub(in crate::controller) fn on_duty_order_reply(
         &mut self,
         sent: SentOrder,
@@ -172,7 +173,7 @@
             Ok(result) => OrderOutcome::Done(result),
             Err(ProviderError::NoCapacity) => OrderOutcome::Done(OrderResult::NoCapacity),
             Err(ProviderError::Malformed) => {
-                error!(order = %id, "malformed order");
+                error!(order = %id, "cloud rejected the order as malformed; giving it up");
                 OrderOutcome::Done(OrderResult::Rejected)
             }
             Err(ProviderError::Fenced) => {
@@ -198,11 +199,17 @@
         }
     }
 
-    /// Leaves on record that the provider refused an order, for operators.
+    /// Records for operators that the provider refused an order for its token.
     fn record_refusal(&mut self, sent: SentOrder) {
         let SentOrder { id, token, .. } = sent;
         let member = self.settings.member.clone();
-        warn!(duty = id.duty.name(), token, member, order = %id, "order refused: a higher token was seen");
+        warn!(
+            duty = id.duty.name(),
+            token,
+            member,
+            order = %id,
+            "cloud refused the order: it has seen a higher fencing token"
+        );
         let refusal = RefusalRecord {
             member,
             token,
--- a/src/controller/duties/request_review.rs
+++ b/src/controller/duties/request_review.rs
@@ -1,5 +1,5 @@
-//! Scaling requests that are reviewed by the records before anything is ordered: machines that
-//! are to be terminated only if they are empty.
+//! Reviews scaling requests that terminate machines only if they are empty: checks them
+//! against the records before any order is sent.
 
 use std::collections::HashSet;
 
@@ -13,14 +13,14 @@
 use crate::termination_check::{TerminationCheck, TerminationVerdict};
 
 impl Controller {
-    /// Reviews requests to terminate empty machines, as the holder of a duty. A machine that
-    /// has a task on record is not terminated, whichever controller asked for that. Idle
-    /// machines that pass are handed over to the duty that terminates machines.
+    /// Reviews requests to terminate empty machines, as the holder of a duty. A machine with a
+    /// recorded task is not terminated, whichever controller requested it. Idle machines that
+    /// pass the check are forwarded to the duty that terminates machines.
     pub(super) fn review_scaling_requests(&mut self, duty: Duty) {
         if !matches!(duty, Duty::ReclaimIdle | Duty::Return) {
             return;
         }
-        // Called with each event, but a review only if anything has changed.
+        // This is called on each event; a review is needed only if the records have changed.
         let revision = self.watch_cache.revision;
         let point = ReviewPoint {
             generation: self.watch_cache.duties.generation(),
@@ -47,8 +47,8 @@
         }
     }
 
-    /// Requests that the records are recent enough to decide on, and for which no decision is
-    /// on its way.
+    /// Requests for which the records are recent enough to decide and no decision is in
+    /// flight.
     fn undecided_terminations(&mut self, duty: Duty) -> Vec<ScalingRequest> {
         let revision = self.watch_cache.revision;
         let Some(runtime) = self.duties.runtime(duty) else {
@@ -62,7 +62,7 @@
         requests
     }
 
-    /// Machines that have a task on record.
+    /// Machines that have a recorded task.
     pub(super) fn occupied_machines(&self) -> HashSet<String> {
         let jobs = self.watch_cache.jobs.values();
         let runs = jobs.flat_map(|job| &job.record.runs);
@@ -97,7 +97,7 @@
                     duty = duty_name,
                     request = key.request,
                     ?machines,
-                    "machines are idle"
+                    "machines are idle; forwarding them for termination"
                 );
                 self.forward_to_termination(key, machines);
             }
@@ -113,8 +113,7 @@
         self.write_phase(WritePurpose::RequestDecided, key, phase);
     }
 
-    /// Idle machines become a request to the duty that terminates machines, in one
-    /// transaction.
+    /// Replaces the request by one to the duty that terminates machines, in one transaction.
     fn forward_to_termination(&mut self, key: OrderKey, machines: Vec<String>) {
         let Some(order) = self.watch_cache.duties.order(&key) else {
             return;
--- a/src/controller/duties/runtime.rs
+++ b/src/controller/duties/runtime.rs
@@ -1,5 +1,5 @@
-//! This controller's part in one duty: its lease, its orders, and what it has reviewed of the
-//! records.
+//! This controller's runtime state of one duty: its lease, its orders, and its progress in
+//! reviewing scaling requests.
 
 use duty_lease::{
     Candidacy, Duty, DutyLease, FencingStatus, Intent, LeaseEvent, LeaseRequest, LeaseResponse,
@@ -10,7 +10,7 @@
 
 use crate::duties::{DutyRecords, OrderKey};
 
-/// A request for the lease of a duty, by its number.
+/// A numbered request for the lease of a duty.
 #[derive(Debug)]
 pub(in crate::controller) struct DutyLeaseCall {
     pub duty: Duty,
@@ -18,34 +18,34 @@
     pub request: LeaseRequest,
 }
 
-/// The records that scaling requests were reviewed by.
+/// The state of the records at a review of scaling requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct ReviewPoint {
-    /// The generation of the records of duties.
+    /// The generation of the duty records.
     pub generation: u64,
     /// The revision of the watch cache.
     pub revision: u64,
 }
 
-/// This controller's part in one duty.
+/// This controller's runtime state of one duty.
 #[derive(Debug)]
 pub(super) struct DutyRuntime {
     duty: Duty,
     timing: LeaseTiming,
     lease: DutyLease,
     orders: OrderBook,
-    /// The generations of records that the lease and the order book were last shown.
+    /// The generations of the records that were last passed to the lease and the order book.
     lease_generation: Option<u64>,
     orders_generation: Option<u64>,
-    /// When scaling requests were last reviewed.
+    /// The state of the records at the last review of scaling requests.
     reviewed_at: Option<ReviewPoint>,
-    /// Records whose change is on its way.
+    /// Scaling requests whose review decision is being written.
     decisions_in_flight: Vec<OrderKey>,
 }
 
 impl DutyRuntime {
-    /// A controller that does not hold the duty, and is no candidate for it until it knows
-    /// which others are live.
+    /// Creates the state of a controller that does not hold the duty. It is not a candidate
+    /// until it knows which other controllers are live.
     pub(super) fn new(duty: Duty, member: &str, timing: LeaseTiming) -> DutyRuntime {
         let mut lease = DutyLease::new(member, timing);
         lease.set_candidacy(Candidacy::Observer);
@@ -61,12 +61,12 @@
         }
     }
 
-    /// Whether this controller holds the duty, whether it may send orders or not.
+    /// Whether this controller holds the duty, even if it may not send orders now.
     pub(super) fn holds(&self) -> bool {
         self.lease.token().is_some()
     }
 
-    /// Whether this controller may send orders at this very moment.
+    /// Whether this controller may send orders at this moment.
     pub(super) fn may_send_orders(&mut self, now: u64) -> bool {
         self.lease.order_token(now).is_some()
     }
@@ -76,17 +76,17 @@
         self.lease.holder_version()
     }
 
-    /// Makes this controller a candidate for the duty, or not.
+    /// Sets whether this controller is a candidate for the duty.
     pub(super) fn set_candidacy(&mut self, candidacy: Candidacy) {
         self.lease.set_candidacy(candidacy);
     }
 
-    /// How long a response of the store is waited for.
+    /// Timeout for a response of the store.
     pub(super) fn answer_timeout_ms(&self) -> u64 {
         self.timing.answer_timeout_ms()
     }
 
-    /// The next request for the lease that has to be sent to the store.
+    /// The request for the lease that is due to be sent to the store, if any.
     pub(super) fn next_lease_call(
         &mut self,
         records: &DutyRecords,
@@ -98,7 +98,7 @@
             self.lease.on_view(&records.lease(self.duty), now);
         }
         let NumberedRequest { id, request } = self.lease.tick(now)?;
-        // A controller that only follows learns everything from the watch.
+        // While this controller only follows, the watch cache answers its reads.
         if request == LeaseRequest::Read && self.lease.is_following() {
             let view = LeaseResponse::View(records.lease(self.duty));
             self.lease.on_response(id, view, now);
@@ -108,12 +108,12 @@
         Some(DutyLeaseCall { duty, id, request })
     }
 
-    /// The response to a request for the lease.
+    /// Passes the response to a request on to the lease.
     pub(super) fn on_lease_response(&mut self, id: u64, response: LeaseResponse, now: u64) {
         self.lease.on_response(id, response, now);
     }
 
-    /// Applies what has happened to the lease to the orders, and logs it.
+    /// Logs the events of the lease and applies them to the order book.
     pub(super) fn process_lease_events(&mut self, member: &str) {
         for event in self.lease.take_events() {
             log_lease_event(self.duty, member, event);
@@ -133,19 +133,20 @@
         }
     }
 
-    /// Whether the order book is to be shown records of this generation.
+    /// Records the generation that is passed to the order book next. Returns false if the
+    /// order book has seen it already.
     pub(super) fn begin_order_sync(&mut self, generation: u64) -> bool {
         let is_new = self.orders_generation != Some(generation);
         self.orders_generation = Some(generation);
         is_new
     }
 
-    /// Shows the order book the recorded orders, and the requests that may be satisfied.
+    /// Passes the recorded orders and the requests that may be carried out to the order book.
     pub(super) fn sync_orders(&mut self, intents: &[Intent], requests: &[ScalingRequest]) {
         self.orders.on_view(intents, requests);
     }
 
-    /// The order book is to be shown the records again, even if nothing else changes.
+    /// Makes the next sync pass the records to the order book even if they have not changed.
     pub(super) fn repeat_order_sync(&mut self) {
         self.orders_generation = None;
     }
@@ -156,8 +157,8 @@
         self.orders.tick(order_token, now)
     }
 
-    /// What became of an order. Returns whether it shows that this controller is fenced: it
-    /// has lost the duty then.
+    /// Handles the outcome of a sent order. Returns whether this controller is fenced, in
+    /// which case it has lost the duty.
     pub(super) fn on_order_outcome(
         &mut self,
         id: OrderId,
@@ -171,38 +172,39 @@
         fencing
     }
 
-    /// What became of recording an order.
+    /// Handles the outcome of recording an order.
     pub(super) fn on_order_recorded(&mut self, id: OrderId, outcome: RecordOutcome, now: u64) {
         self.orders.on_recorded(id, outcome, now);
     }
 
-    /// What became of completing an order.
+    /// Handles the outcome of completing an order.
     pub(super) fn on_order_completed(&mut self, id: OrderId, outcome: RecordOutcome, now: u64) {
         self.orders.on_completed(id, outcome, now);
     }
 
-    /// Whether scaling requests were reviewed by these records.
+    /// Whether scaling requests were reviewed at this state of the records.
     pub(super) fn is_reviewed(&self, point: ReviewPoint) -> bool {
         self.reviewed_at == Some(point)
     }
 
-    /// Scaling requests were reviewed.
+    /// Records that scaling requests are reviewed at this state of the records.
     pub(super) fn mark_reviewed(&mut self, point: ReviewPoint) {
         self.reviewed_at = Some(point);
     }
 
-    /// Whether a decision on a scaling request is on its way.
+    /// Whether a decision on a scaling request is being written.
     pub(super) fn has_decision_in_flight(&self, request: &str) -> bool {
         let mut decisions = self.decisions_in_flight.iter();
         decisions.any(|key| key.request == request)
     }
 
-    /// A decision on a scaling request is being written.
+    /// Records that a decision on a scaling request is being written.
     pub(super) fn begin_decision(&mut self, key: OrderKey) {
         self.decisions_in_flight.push(key);
     }
 
-    /// A decision was written, or was not: then it is made again.
+    /// Records that the write of a decision has ended, with any outcome, and schedules another
+    /// review, which decides again if the write failed.
     pub(super) fn end_decision(&mut self, key: &OrderKey) {
         self.decisions_in_flight.retain(|other| other != key);
         self.reviewed_at = None;
@@ -217,11 +219,22 @@
         LeaseEvent::Lost(token, reason) => warn!(duty, token, member, ?reason, "duty lost"),
         LeaseEvent::Released(token) => info!(duty, token, member, "duty released"),
         LeaseEvent::Suspended(token, SuspensionReason::NotRenewedYet) => {
-            debug!(duty, token, member, "no orders before a renewal");
+            debug!(
+                duty,
+                token, member, "suspending orders until the first lease renewal"
+            );
         }
         LeaseEvent::Suspended(token, reason) => {
-            warn!(duty, token, member, ?reason, "orders suspended");
+            warn!(
+                duty,
+                token,
+                member,
+                ?reason,
+                "suspending orders until the next lease renewal"
+            );
+        }
+        LeaseEvent::Resumed(token) => {
+            debug!(duty, token, member, "lease renewed; resuming orders");
         }
-        LeaseEvent::Resumed(token) => debug!(duty, token, member, "lease confirmed"),
     }
 }
--- a/src/controller/duties/scaling_requests.rs
+++ b/src/controller/duties/scaling_requests.rs
@@ -1,4 +1,5 @@
-//! The leader's requests to the holders of duties: to provision and to terminate machines.
+//! Writes the leader's scaling requests to the holders of duties: to provision and to
+//! terminate machines.
 
 use std::collections::{BTreeMap, HashSet};
 
@@ -13,15 +14,17 @@
 use crate::scheduler::ProvisioningOutcome;
 use crate::write_queue::CommitResult;
 
-/// Most machines of one request, as of one termination.
-const TERMINATION_BATCH_MAX: usize = 100;
-/// The part of a value that the names of machines may take, and what each takes beside its
-/// own length.
-const NAMES_PART: usize = 2;
-const NAME_MARKS: usize = 4;
+/// Maximum number of machines in one scale-in request, equal to the scheduler's batch of
+/// terminations.
+const MACHINES_PER_REQUEST_MAX: usize = 100;
+/// Machine names may take the store's value limit divided by this.
+const NAMES_VALUE_DIVISOR: usize = 2;
+/// Encoding overhead of each machine name, in addition to its length.
+const NAME_OVERHEAD_BYTES: usize = 4;
 const BYTES_PER_KB: f64 = 1024.0;
-/// Provisioning requests that may wait for the holder before the leader asks for no more.
-const WAITING_SCALE_OUT_MAX: usize = 16;
+/// Maximum number of open provisioning requests; the leader writes no more until the holder
+/// has completed some.
+const OPEN_SCALE_OUT_REQUESTS_MAX: usize = 16;
 
 /// A machine to be terminated.
 struct Termination {
@@ -30,7 +33,7 @@
 }
 
 impl Controller {
-    /// Requests machines of the holder that provisions them.
+    /// Writes a provisioning request to the holder of the rent duty.
     pub(in crate::controller) fn request_scale_out(
         &mut self,
         idempotency_key: String,
@@ -43,7 +46,7 @@
         self.write_scaling_request(key, request.into());
     }
 
-    /// Requests the termination of machines, of those for which it is not on record yet.
+    /// Requests the termination of machines, except of those that have an open request.
     pub(in crate::controller) fn request_scale_in(&mut self, machines: Vec<String>) {
         let terminations = machines
             .into_iter()
@@ -54,21 +57,22 @@
         } else {
             HashSet::new()
         };
-        // That its last task has ended is written soon: its holder goes by the records.
+        // The holder decides by the records, so a machine is postponed until the end of its
+        // last task has been written.
         let (postponed, ready): (Vec<Termination>, Vec<Termination>) =
             terminations.into_iter().partition(|termination| {
                 termination.needs_empty_machine() && occupied.contains(&termination.machine)
             });
         self.postpone_terminations(postponed);
         for (class, machines) in by_class(ready) {
-            let part_max = self.terminations_per_request_max(&machines);
-            for part in machines.chunks(part_max) {
-                self.write_scale_in_request(class, part.to_vec());
+            let batch_max = self.terminations_per_request_max(&machines);
+            for batch in machines.chunks(batch_max) {
+                self.write_scale_in_request(class, batch.to_vec());
             }
         }
     }
 
-    /// The termination of a machine; `None` if it is on record.
+    /// The termination of a machine; `None` if it has an open request or none is needed.
     fn new_termination(&self, machine: String) -> Option<Termination> {
         let is_pending = self.duties.requests.is_termination_pending(&machine);
         if is_pending || self.watch_cache.duties.is_being_terminated(&machine) {
@@ -88,12 +92,12 @@
         }
     }
 
-    /// How many machines a request may name.
+    /// Maximum number of machines that a request may name within the store's limits.
     fn terminations_per_request_max(&self, machines: &[String]) -> usize {
         let value_bytes = (self.store_limits().lowered().value_kb * BYTES_PER_KB) as usize;
         let longest = machines.iter().map(String::len).max().unwrap_or(0);
-        let fitting = value_bytes / NAMES_PART / (longest + NAME_MARKS);
-        fitting.clamp(1, TERMINATION_BATCH_MAX)
+        let fitting = value_bytes / NAMES_VALUE_DIVISOR / (longest + NAME_OVERHEAD_BYTES);
+        fitting.clamp(1, MACHINES_PER_REQUEST_MAX)
     }
 
     fn write_scale_in_request(&mut self, class: TerminationClass, machines: Vec<String>) {
@@ -103,14 +107,14 @@
             TerminationClass::Lost => (Duty::Return, false),
         };
         let number = self.duties.requests.begin_termination(&machines);
-        // The count starts anew with a process, as its epoch does not.
+        // The number restarts with each process, but the epoch does not, so names are unique.
         let request = format!("{}-{}-return-{number}", self.settings.member, self.epoch());
         let order = Order::Delete { machines, if_empty };
         self.write_scaling_request(OrderKey { duty, request }, order);
     }
 
-    /// Writes a request in one transaction, which is sent once: a second one could create it
-    /// anew after it was satisfied.
+    /// Writes a request in one transaction, which is not retried: a retry could create the
+    /// request again after it was satisfied.
     fn write_scaling_request(&mut self, key: OrderKey, order: Order) {
         let epoch = self.epoch();
         let record = OrderRecord {
@@ -133,7 +137,7 @@
             self.end_termination_writes(change, result);
             let is_written = matches!(result, CommitResult::Committed { .. })
                 || self.watch_cache.duties.order(&change.key).is_some();
-            // With an unknown outcome it may yet be written; it is adopted then.
+            // After an unknown outcome the request may still be written; it is adopted then.
             if !is_written && change.key.duty == Duty::Rent {
                 self.cancel_provisioning(epoch, &change.key.request);
             }
@@ -163,17 +167,17 @@
         }
     }
 
-    /// How many more provisioning requests the leader may write.
+    /// Number of further provisioning requests that the leader may write.
     pub(in crate::controller) fn scale_out_budget(&self) -> usize {
         let orders = self.watch_cache.duties.orders_of(Duty::Rent);
         let is_open = |record: &OrderRecord| !matches!(record.phase, OrderPhase::Completed(_));
-        let waiting = orders.filter(|order| is_open(order.record)).count();
-        WAITING_SCALE_OUT_MAX.saturating_sub(waiting)
+        let open = orders.filter(|order| is_open(order.record)).count();
+        OPEN_SCALE_OUT_REQUESTS_MAX.saturating_sub(open)
     }
 }
 
 impl Termination {
-    /// Whether the machine is terminated only if it has no task on record.
+    /// Whether the machine is terminated only if it has no recorded task.
     fn needs_empty_machine(&self) -> bool {
         self.class != TerminationClass::Lost
     }
--- a/src/controller/duties/writes.rs
+++ b/src/controller/duties/writes.rs
@@ -1,5 +1,5 @@
-//! Changes of orders' records: who makes them, under which condition, and what follows from
-//! their outcome.
+//! Writes of order records: which role makes them, under which condition, and how their
+//! outcome is handled.
 
 use duty_lease::{Duty, OrderId};
 use tracing::debug;
@@ -11,7 +11,7 @@
 use crate::wire::{Condition, Write};
 use crate::write_queue::{CommitResult, WriteClass, WriteRequest};
 
-/// A change of one order's record.
+/// A change of one order record.
 #[derive(Debug, Clone)]
 pub(super) struct RecordChange {
     pub key: OrderKey,
@@ -30,14 +30,14 @@
     }
 }
 
-/// Changes of orders' records in one transaction.
+/// Changes of order records in one transaction.
 #[derive(Debug, Clone)]
 pub(in crate::controller) struct DutyWrite {
     pub(super) purpose: WritePurpose,
     pub(super) changes: Vec<RecordChange>,
 }
 
-/// What a change of orders' records is for.
+/// The purpose of a write of order records.
 #[derive(Debug, Clone)]
 pub(super) enum WritePurpose {
     /// The leader writes a scaling request.
@@ -52,7 +52,7 @@
     RequestDecided,
     /// The holder of cleaning removes a record.
     Clean,
-    /// A holder notes an order that was refused; the outcome does not matter.
+    /// A holder records an order that was refused; the outcome of the write is ignored.
     Refusal,
 }
 
@@ -61,7 +61,7 @@
         DutyWrite { purpose, changes }
     }
 
-    /// Whether it depends on the leader's term.
+    /// Whether the write is conditional on the leader's term.
     pub(crate) fn is_of_leader(&self) -> bool {
         let purpose = &self.purpose;
         matches!(
@@ -72,8 +72,8 @@
 }
 
 impl Controller {
-    /// Changes records on condition that the lease of a duty is ours, that each record has
-    /// the version that is known of it, and that new ones do not exist.
+    /// Changes records on condition that this controller holds the lease of a duty, that each
+    /// record still has its known version, and that new ones do not exist.
     pub(super) fn write_as_holder(&mut self, duty: Duty, write: DutyWrite) {
         let runtime = self.duties.runtime(duty);
         let Some(version) = runtime.and_then(|runtime| runtime.holder_version()) else {
@@ -82,7 +82,8 @@
         self.push_duty_write(Condition::new(holder_key(duty), version), write);
     }
 
-    /// Changes records on condition that this controller leads, and of the records' versions.
+    /// Changes records on condition that this controller is the leader and that the records
+    /// still have their known versions.
     pub(super) fn write_as_leader(&mut self, write: DutyWrite) {
         if let Some(scheduler) = &self.scheduler {
             let condition = scheduler.term_condition();
@@ -90,8 +91,8 @@
         }
     }
 
-    fn push_duty_write(&mut self, entitled: Condition, write: DutyWrite) {
-        let mut conditions = vec![entitled];
+    fn push_duty_write(&mut self, authority: Condition, write: DutyWrite) {
+        let mut conditions = vec![authority];
         let mut writes = Vec::new();
         for RecordChange { key, record } in &write.changes {
             let order = self.watch_cache.duties.order(key);
@@ -111,11 +112,12 @@
         });
     }
 
-    /// Takes an order's record to its next phase.
+    /// Writes the next phase of an order record.
     pub(super) fn write_phase(&mut self, purpose: WritePurpose, key: OrderKey, phase: OrderPhase) {
         let duty = key.duty;
         let Some(order) = self.watch_cache.duties.order(&key) else {
-            // It has gone since: the order book learns of it as of a change that failed.
+            // The record was removed in the meantime: report this to the order book as a
+            // conflict.
             let write = DutyWrite::new(purpose, vec![RecordChange::remove(key)]);
             let conflict = CommitResult::Conflict {
                 failed: vec![],
@@ -131,7 +133,7 @@
         self.write_as_holder(duty, DutyWrite::new(purpose, changes));
     }
 
-    /// What became of a change of orders' records.
+    /// Handles the outcome of a write of order records.
     pub(in crate::controller) fn on_duty_commit(
         &mut self,
         write: DutyWrite,
@@ -145,7 +147,11 @@
                 }
             }
             CommitResult::Conflict { failed, .. } => {
-                debug!(?failed, ?write, "change of records in conflict");
+                debug!(
+                    ?failed,
+                    ?write,
+                    "write of order records conflicts with the store"
+                );
             }
             CommitResult::Rejected | CommitResult::Unknown => {}
         }
