--- a/crates/duty-lease/src/intent.rs
+++ b/crates/duty-lease/src/intent.rs
@@ -1,7 +1,8 @@
 //! Scaling requests, the intents that satisfy them, and the orders that intents record.
 //!
-//! These types are serialized into the store under their field and variant names, which must
-//! not change. The `version` fields hold the version of the record's key and are not stored.
+//! These types are serialized into the store under their field and variant names; renaming one
+//! would make the records of earlier versions unreadable. The `version` fields hold the version
+//! of the record's key and are not stored.
 
 use std::fmt;
 
--- a/crates/duty-lease/src/lease/clock.rs
+++ b/crates/duty-lease/src/lease/clock.rs
@@ -10,14 +10,14 @@
 #[derive(Debug, Clone)]
 pub(super) struct PauseDetector {
     /// A longer gap between two readings counts as a pause.
-    pause_ms: u64,
+    pause_threshold_ms: u64,
     last_reading: Option<u64>,
 }
 
 impl PauseDetector {
-    pub(super) fn new(pause_ms: u64) -> PauseDetector {
+    pub(super) fn new(pause_threshold_ms: u64) -> PauseDetector {
         PauseDetector {
-            pause_ms,
+            pause_threshold_ms,
             last_reading: None,
         }
     }
@@ -30,6 +30,6 @@
             return Some(SuspensionReason::ClockWentBack);
         }
         let gap_ms = now - last_reading;
-        (gap_ms > self.pause_ms).then_some(SuspensionReason::Paused)
+        (gap_ms > self.pause_threshold_ms).then_some(SuspensionReason::Paused)
     }
 }
--- a/src/controller/duties/leader_requests.rs
+++ b/src/controller/duties/leader_requests.rs
@@ -12,7 +12,7 @@
     /// Machines of termination requests whose write has an unknown outcome and may still be
     /// carried out: this leader places no tasks on them, whatever the outcome of other
     /// requests for them.
-    unanswered_terminations: HashSet<String>,
+    terminations_with_unknown_outcome: HashSet<String>,
     /// Processed results whose removal is being written.
     pending_removals: HashSet<OrderKey>,
     /// Number of termination requests written by this process, part of their names.
@@ -23,7 +23,7 @@
     /// Resets the state for a new term, except the count, so that no name is used twice.
     pub(super) fn reset(&mut self) {
         self.pending_terminations.clear();
-        self.unanswered_terminations.clear();
+        self.terminations_with_unknown_outcome.clear();
         self.pending_removals.clear();
     }
 
@@ -34,8 +34,8 @@
 
     /// Whether a machine's termination request has an unknown outcome and may still be
     /// written.
-    pub(super) fn is_termination_unanswered(&self, machine: &str) -> bool {
-        self.unanswered_terminations.contains(machine)
+    pub(super) fn is_termination_outcome_unknown(&self, machine: &str) -> bool {
+        self.terminations_with_unknown_outcome.contains(machine)
     }
 
     /// Records that a termination request is being written, and returns its number.
@@ -51,8 +51,9 @@
     }
 
     /// Records that the write of a machine's termination request has an unknown outcome.
-    pub(super) fn mark_unanswered(&mut self, machine: &str) {
-        self.unanswered_terminations.insert(machine.to_string());
+    pub(super) fn mark_termination_outcome_unknown(&mut self, machine: &str) {
+        self.terminations_with_unknown_outcome
+            .insert(machine.to_string());
     }
 
     /// Records that a processed result is being removed. Returns false if its removal is
--- a/src/controller/duties/order_results.rs
+++ b/src/controller/duties/order_results.rs
@@ -134,7 +134,7 @@
     fn retain_machines(&mut self, machines: &[String]) {
         let is_open = |name: &String| {
             self.watch_cache.duties.is_being_terminated(name)
-                || self.duties.requests.is_termination_unanswered(name)
+                || self.duties.requests.is_termination_outcome_unknown(name)
         };
         let retained = machines.iter().filter(|name| !is_open(name));
         let retained: Vec<String> = retained.cloned().collect();
--- a/src/controller/duties/scaling_requests.rs
+++ b/src/controller/duties/scaling_requests.rs
@@ -155,7 +155,7 @@
         for machine in record.machines_to_terminate() {
             requests.end_termination(machine);
             if *result == CommitResult::Unknown {
-                requests.mark_unanswered(machine);
+                requests.mark_termination_outcome_unknown(machine);
             }
         }
     }
--- a/src/duties/query.rs
+++ b/src/duties/query.rs
@@ -38,7 +38,7 @@
     Sockets(#[from] io::Error),
     /// The store did not respond in time.
     #[error("the state service at {0} does not answer")]
-    NoAnswer(SocketAddr),
+    NoResponse(SocketAddr),
     /// The store refused the request.
     #[error("the state service at {address} refuses with status {status}")]
     Refused {
@@ -159,7 +159,7 @@
         loop {
             let remaining = self.deadline.saturating_duration_since(Instant::now());
             if remaining.is_zero() {
-                return Err(QueryError::NoAnswer(address));
+                return Err(QueryError::NoResponse(address));
             }
             let events = self.event_loop.turn(remaining.min(CALL_TIMEOUT))?;
             let mut outcomes = events
@@ -175,7 +175,7 @@
         match outcome {
             Outcome::Answer { status, body } => Ok(Response { status, body }),
             Outcome::TooLarge => Err(QueryError::Unreadable(self.address)),
-            Outcome::NoAnswer | Outcome::NotSent => Err(QueryError::NoAnswer(self.address)),
+            Outcome::NoAnswer | Outcome::NotSent => Err(QueryError::NoResponse(self.address)),
         }
     }
 }
--- a/src/duties/records/values.rs
+++ b/src/duties/records/values.rs
@@ -1,5 +1,5 @@
 //! Values of the duty records. They are serialized into the store under their field and
-//! variant names, which must not change.
+//! variant names; renaming one would make the records of earlier versions unreadable.
 
 use ciborium::Value;
 use duty_lease::{HolderKey, Order, OrderId, OrderResult, Token};
