--- a/crates/duty-lease/src/lease/mod.rs
+++ b/crates/duty-lease/src/lease/mod.rs
@@ -92,7 +92,7 @@
             candidacy: Candidacy::Candidate,
             requests: RequestSchedule::new(),
             standby_until: 0,
-            pause_detector: PauseDetector::new(timing.pause_ms()),
+            pause_detector: PauseDetector::new(timing.pause_threshold_ms()),
             events: vec![],
         }
     }
@@ -225,14 +225,14 @@
 
     /// Treats a request that got no response in time as one with an unknown outcome.
     fn expire_request(&mut self, now: u64) {
-        let timeout_ms = self.timing.answer_timeout_ms();
+        let timeout_ms = self.timing.response_timeout_ms();
         if let Some(id) = self.requests.timed_out(now, timeout_ms) {
-            self.on_response(id, LeaseResponse::NoAnswer, now);
+            self.on_response(id, LeaseResponse::NoResponse, now);
         }
     }
 
     fn retry_at(&self, now: u64) -> u64 {
-        now + self.timing.retry_ms()
+        now + self.timing.retry_delay_ms()
     }
 }
 
--- a/crates/duty-lease/src/lease/protocol.rs
+++ b/crates/duty-lease/src/lease/protocol.rs
@@ -97,5 +97,5 @@
     /// The request was not carried out.
     Refused,
     /// Unknown outcome: the request may have been carried out, or may still be.
-    NoAnswer,
+    NoResponse,
 }
--- a/crates/duty-lease/src/lease/responses.rs
+++ b/crates/duty-lease/src/lease/responses.rs
@@ -48,7 +48,7 @@
             LeaseResponse::Acquired { version } => {
                 self.hold(Holding::new(acquisition, version, sent_at, now), now);
             }
-            LeaseResponse::NoAnswer => {
+            LeaseResponse::NoResponse => {
                 self.state = State::Verifying(acquisition);
                 self.requests.schedule(now);
             }
--- a/crates/duty-lease/src/order_book/mod.rs
+++ b/crates/duty-lease/src/order_book/mod.rs
@@ -200,6 +200,6 @@
     }
 
     fn retry_at(&self, now: u64) -> u64 {
-        now + self.timing.retry_ms()
+        now + self.timing.retry_delay_ms()
     }
 }
--- a/crates/duty-lease/src/timing.rs
+++ b/crates/duty-lease/src/timing.rs
@@ -99,18 +99,18 @@
 
     /// Time to wait for a response of the store, in milliseconds. It equals the renewal
     /// interval, so that a request without a response does not delay the next renewal.
-    pub fn answer_timeout_ms(&self) -> u64 {
+    pub fn response_timeout_ms(&self) -> u64 {
         self.renewal_interval_ms()
     }
 
     /// Delay before a retry, in milliseconds.
-    pub fn retry_ms(&self) -> u64 {
+    pub fn retry_delay_ms(&self) -> u64 {
         self.ttl_ms / RETRIES_PER_TTL
     }
 
     /// Longest gap between two clock readings that does not count as a pause, in
     /// milliseconds.
-    pub fn pause_ms(&self) -> u64 {
+    pub fn pause_threshold_ms(&self) -> u64 {
         (self.ttl_ms as f64 * self.pause_share) as u64
     }
 }
--- a/crates/duty-lease/tests/properties.rs
+++ b/crates/duty-lease/tests/properties.rs
@@ -196,7 +196,7 @@
 
     fn read_clock(&mut self) {
         let went_back = self.now < self.last_reading;
-        if went_back || self.now - self.last_reading > self.timing.pause_ms() {
+        if went_back || self.now - self.last_reading > self.timing.pause_threshold_ms() {
             self.unsure_since = self.now;
         }
         self.last_reading = self.now;
@@ -274,7 +274,7 @@
         let sent = next_request(&mut lease, now);
         if let LeaseRequest::Acquire { holder, .. } = &sent.request {
             assert_eq!(holder.token, 8);
-            lease.on_response(sent.id, LeaseResponse::NoAnswer, *now);
+            lease.on_response(sent.id, LeaseResponse::NoResponse, *now);
             return lease;
         }
         let response = respond(&sent.request, Answer::Regular, &mut last_token);
--- a/crates/duty-lease/tests/suspension.rs
+++ b/crates/duty-lease/tests/suspension.rs
@@ -57,9 +57,9 @@
     let (mut lease, sent_before) = lease_with_renewal_in_flight(&mut now);
     lease.take_events();
 
-    now += timing.pause_ms() + 1;
+    now += timing.pause_threshold_ms() + 1;
     assert!(
-        timing.pause_ms() + 1 < timing.answer_timeout_ms(),
+        timing.pause_threshold_ms() + 1 < timing.response_timeout_ms(),
         "the renewal still waits for its answer"
     );
     lease.on_response(sent_before.id, LeaseResponse::Renewed, now);
--- a/src/controller/duties/leases.rs
+++ b/src/controller/duties/leases.rs
@@ -39,7 +39,7 @@
         if !self.store.try_request(now, RESERVED_REQUEST_RATIO) {
             return runtime.on_lease_response(call.id, LeaseResponse::Refused, now);
         }
-        let timeout_ms = runtime.answer_timeout_ms();
+        let timeout_ms = runtime.response_timeout_ms();
         let http_call = http_call(&call, timeout_ms, self.clock.wall_ms());
         self.outbox
             .call_store(PendingCall::DutyLease(call), http_call);
@@ -124,7 +124,7 @@
                 Ok(reply) => LeaseResponse::Acquired {
                     version: reply.revision,
                 },
-                Err(_) => LeaseResponse::NoAnswer,
+                Err(_) => LeaseResponse::NoResponse,
             }
         }
         (LeaseRequest::Renew { .. }, Ok(_)) => LeaseResponse::Renewed,
@@ -136,7 +136,7 @@
             LeaseRequest::Renew { .. } | LeaseRequest::Release { .. },
             Err(CallError::Status(status::NOT_FOUND)),
         ) => LeaseResponse::GrantEnded,
-        (_, Err(CallError::NoResponse | CallError::TooLarge)) => LeaseResponse::NoAnswer,
+        (_, Err(CallError::NoResponse | CallError::TooLarge)) => LeaseResponse::NoResponse,
         (_, Err(_)) => LeaseResponse::Refused,
     }
 }
--- a/src/controller/duties/runtime.rs
+++ b/src/controller/duties/runtime.rs
@@ -82,8 +82,8 @@
     }
 
     /// Timeout for a response of the store.
-    pub(super) fn answer_timeout_ms(&self) -> u64 {
-        self.timing.answer_timeout_ms()
+    pub(super) fn response_timeout_ms(&self) -> u64 {
+        self.timing.response_timeout_ms()
     }
 
     /// The request for the lease that is due to be sent to the store, if any.
