--- a/src/machine/image_cache.rs
+++ b/src/machine/image_cache.rs
@@ -1,4 +1,4 @@
-//! The images that a machine is expected to have in its cache.
+//! A model of a machine's image cache.
 
 use std::sync::Arc;
 
@@ -9,16 +9,17 @@
     size_gb: f64,
 }
 
-/// A machine's image cache, which evicts the least recently used images.
+/// The images that a machine is expected to have in its cache, which evicts the least recently
+/// used ones.
 #[derive(Debug, Clone, Default)]
 pub struct ImageCache {
-    /// The most recently used last.
+    /// The least recently used image first.
     images: Vec<CachedImage>,
 }
 
 impl ImageCache {
-    /// Records that an image is used on the machine, whose cache holds `capacity_gb`. Returns
-    /// false if it was the most recently used one already.
+    /// Records the use of an image on a machine whose cache holds `capacity_gb`. Returns false if
+    /// the image already was the most recently used one.
     pub(super) fn add(&mut self, image: &str, size_gb: f64, capacity_gb: f64) -> bool {
         if self.images.last().is_some_and(|last| *last.name == *image) {
             return false;
@@ -34,12 +35,12 @@
         true
     }
 
-    /// Number of cached images.
+    /// Returns the number of cached images.
     pub fn count(&self) -> usize {
         self.images.len()
     }
 
-    /// The names of the cached images, the least recently used first.
+    /// Returns the names of the cached images, the least recently used first.
     pub fn names(&self) -> impl Iterator<Item = &Arc<str>> {
         self.images.iter().map(|image| &image.name)
     }
--- a/src/machine/mod.rs
+++ b/src/machine/mod.rs
@@ -1,10 +1,11 @@
-//! A machine as its agent's statuses, the cloud's list and the records show it.
+//! The state of a machine, as known from its agent's statuses, the cloud's list and the records.
 //!
-//! [`Machine`] is state without decisions: the scheduler decides what is placed on a machine
-//! and when it is terminated. `tasks` has the tasks on it, `answers` whether our answers reach
-//! its agent, `image_cache` its images, and `termination` the reasons for its termination.
+//! [`Machine`] makes no decisions: the scheduler decides what is placed on a machine and when
+//! the machine is terminated. `tasks` has the tasks on a machine, `heartbeat_responses` detects
+//! whether this controller's responses reach the agent, `image_cache` models the cached images,
+//! and `termination` has the reasons for a termination.
 
-mod answers;
+mod heartbeat_responses;
 mod image_cache;
 mod tasks;
 mod termination;
@@ -18,9 +19,9 @@
 use crate::time_units::to_ms;
 use crate::wire::Incarnation;
 use crate::wire::{AgentStatus, MachineType};
-use answers::{AnswerEffect, AnswerTracker};
+use heartbeat_responses::{ResponseEffect, ResponseTracker};
 
-pub use answers::{AnswerCheck, ExpectedEffect};
+pub use heartbeat_responses::{AnswerCheck, ExpectedEffect};
 pub use image_cache::ImageCache;
 pub use tasks::{BoundTask, ExitCause, ReportedTask, TaskPhase};
 pub use termination::{TerminationClass, TerminationReason};
@@ -28,24 +29,24 @@
 /// A machine's status in the cloud's list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CloudStatus {
-    /// Was not listed yet.
+    /// No list has shown the machine yet.
     NotListed,
-    /// Boots.
+    /// The machine is booting.
     Starting,
-    /// Is up.
+    /// The machine is running.
     Running,
-    /// Has stopped on its own.
+    /// The machine has stopped without a request to terminate it.
     Failed,
-    /// Was listed and is not any more.
+    /// An earlier list showed the machine, and the last one does not.
     Gone,
 }
 
-/// A rented machine. All times are of the steady clock, in milliseconds.
+/// A rented machine. All times are those of the steady clock, in milliseconds.
 #[derive(Debug, Clone)]
 pub struct Machine {
-    /// Its name.
+    /// The machine's name in the cloud.
     pub name: Arc<str>,
-    /// Where its agent accepts commands.
+    /// The address at which its agent accepts commands; `None` before the first status.
     pub address: Option<SocketAddr>,
     /// The name of its type; empty if not known yet.
     pub machine_type: Arc<str>,
@@ -53,67 +54,71 @@
     pub zone: Arc<str>,
     /// Whether it is a spot machine.
     pub spot: bool,
-    /// The incarnation of the last status; 0 before the first.
+    /// The incarnation in the last status; [`Incarnation::NONE`] before the first.
     pub incarnation: Incarnation,
-    /// The serial of the last status.
+    /// The serial in the last status; 0 before the first.
     pub serial: u64,
-    /// The highest epoch that the agent has seen.
+    /// The highest epoch that the agent has seen, according to its last status.
     pub epoch: Epoch,
     /// When the last status was received.
     pub last_status_at: Option<u64>,
-    /// When the last heartbeat was received: a machine that responds to requests, but whose
-    /// heartbeats reach no controller, loses its lease and with it all its tasks.
+    /// When the last heartbeat was received. Recorded apart from `last_status_at`, as an agent
+    /// that responds to requests, but whose heartbeats reach no controller, loses its lease and
+    /// with it all its tasks.
     pub last_heartbeat_at: Option<u64>,
-    /// The tasks of the last status.
+    /// The tasks that the agent's last status reports.
     pub reported_tasks: Vec<ReportedTask>,
-    /// The tasks that the records bind to it, kept up to date with the jobs' placements.
+    /// The tasks that the jobs' records place on the machine, whether or not its agent reports
+    /// them. Kept up to date with the jobs' placements.
     pub bound_tasks: Vec<BoundTask>,
-    /// There were no orphans at the last check, and neither list of tasks has since changed in
-    /// a way that could make one.
+    /// Whether the last check found no orphans, and neither list of tasks has changed since in
+    /// a way that could have created one.
     has_no_orphans: bool,
-    /// Capacity that is reserved for gangs whose victims have not exited yet.
+    /// Capacity reserved for gangs that wait for preempted tasks to exit.
     pub reservations: Vec<Reservation>,
-    /// When the cloud reclaims it, after a spot interruption notice.
+    /// When the cloud reclaims the machine; `None` without a spot interruption notice.
     pub interruption_deadline: Option<u64>,
-    /// Its status in the cloud's list.
+    /// The machine's status in the cloud's list.
     pub cloud_status: CloudStatus,
-    /// Since when it has been known.
+    /// When this controller first learned of the machine.
     pub known_since: u64,
     /// When the first status was received.
     pub up_since: Option<u64>,
-    /// Since when it could have had tasks and had none.
+    /// Since when the machine has been idle: ready for tasks, but without any.
     pub idle_since: Option<u64>,
-    /// When a gang that still lacks other machines would last have used it.
+    /// When the planner last counted on the machine for a gang that lacks other machines; 0 if
+    /// never.
     pub needed_at: u64,
-    /// Its cached images.
+    /// The images that its cache is expected to hold.
     pub images: ImageCache,
-    /// If set, it gets no new tasks, and is terminated once it is empty or lost.
+    /// Why the machine is drained: it gets no new tasks, and is terminated once it is empty or
+    /// lost. `None` if it is not drained.
     pub termination_reason: Option<TerminationReason>,
-    /// When its deletion was last sent.
+    /// When a request to terminate the machine was last sent.
     pub termination_sent_at: Option<u64>,
-    /// Until then its deletion is not sent again.
+    /// The earliest time at which to send the request to terminate the machine again.
     pub next_termination_at: u64,
-    /// When its agent was last asked for a status.
+    /// When a status was last requested from its agent.
     pub last_probe_at: u64,
-    /// When a direct start was last sent whose outcome is unknown.
+    /// When a direct start was last sent; `None` once its outcome is known.
     pub direct_start_at: Option<u64>,
-    /// A connection to it failed: until then no direct starts are sent.
+    /// No direct starts are sent before this time, as a connection to the agent has failed.
     pub unreachable_until: u64,
-    answers: AnswerTracker,
-    /// Heartbeats in a row that showed no effect of the answer before.
+    heartbeat_responses: ResponseTracker,
+    /// Number of consecutive heartbeats without any expected effect of the preceding response.
     pub ineffective_answers: u32,
-    /// It began a new incarnation although its heartbeats were answered. Either it resumed
-    /// after a hang, or the answers do not reach it: it gets no tasks until it has responded
-    /// to a request.
+    /// Whether the agent began a new incarnation although its heartbeats were responded to.
+    /// Either it resumed after a hang, or the responses do not reach it, so the machine gets no
+    /// tasks until the agent has responded to a request.
     reachability_unverified: bool,
-    /// Jobs of which a task failed here since a task was last done.
+    /// Jobs with a task that failed on the machine since a task last completed on it.
     pub failed_jobs: BTreeSet<Arc<str>>,
-    /// The planner's view of it, until something changes.
+    /// The cached planner's view of the machine; `None` once a change has invalidated it.
     pub view: Option<Arc<MachineView>>,
 }
 
 impl Machine {
-    /// A machine of which only the name is known yet.
+    /// Creates a machine of which only the name is known.
     pub fn new(name: &str, now: u64) -> Machine {
         Machine {
             name: name.into(),
@@ -143,7 +148,7 @@
             last_probe_at: 0,
             direct_start_at: None,
             unreachable_until: 0,
-            answers: AnswerTracker::default(),
+            heartbeat_responses: ResponseTracker::default(),
             ineffective_answers: 0,
             reachability_unverified: false,
             failed_jobs: BTreeSet::new(),
@@ -151,7 +156,7 @@
         }
     }
 
-    /// The machine with its type, zone and kind.
+    /// Returns the machine with its type, its zone and whether it is a spot machine.
     pub fn with_kind(mut self, machine_type: &str, zone: &str, spot: bool) -> Machine {
         self.set_kind(machine_type, zone, spot);
         self
@@ -190,20 +195,21 @@
         }
     }
 
-    /// For how long it has been silent, in a term that began at `began_at`.
-    pub fn silent_ms(&self, began_at: u64, now: u64) -> u64 {
+    /// For how long no status has been received, in a leader's term that began at
+    /// `term_began_at`: the time before the term does not count.
+    pub fn silent_ms(&self, term_began_at: u64, now: u64) -> u64 {
         let last_status_at = self.last_status_at.unwrap_or(self.known_since);
-        now.saturating_sub(last_status_at.max(began_at))
+        now.saturating_sub(last_status_at.max(term_began_at))
     }
 
-    /// The reported task that is this bound task in the same attempt.
+    /// Returns the reported task that matches a bound task, attempt included.
     pub fn reported_task(&self, bound_task: &BoundTask) -> Option<&ReportedTask> {
         self.reported_tasks
             .iter()
-            .find(|reported| bound_task.is(reported))
+            .find(|reported| bound_task.matches(reported))
     }
 
-    /// Reported tasks that have not exited.
+    /// Returns the reported tasks that have not exited.
     pub fn live_tasks(&self) -> impl Iterator<Item = &ReportedTask> {
         let has_exited = |task: &&ReportedTask| matches!(task.phase, TaskPhase::Exited(_));
         self.reported_tasks
@@ -211,24 +217,25 @@
             .filter(move |task| !has_exited(task))
     }
 
-    /// Live tasks that no record binds to this machine.
+    /// Returns the live tasks that no record places on this machine.
     pub fn orphans(&self) -> impl Iterator<Item = &ReportedTask> {
         let tasks = (!self.has_no_orphans).then(|| self.live_tasks());
         tasks.into_iter().flatten().filter(|reported| {
             let mut bound_tasks = self.bound_tasks.iter();
-            !bound_tasks.any(|bound_task| bound_task.is(reported))
+            !bound_tasks.any(|bound_task| bound_task.matches(reported))
         })
     }
 
-    /// Remembers whether there are orphans: each plan asks for those of all machines.
+    /// Caches that there are no orphans, as each plan enumerates the orphans of all machines.
     pub fn update_orphans(&mut self) {
         if !self.has_no_orphans {
-            let none = self.orphans().next().is_none();
-            self.has_no_orphans = none;
+            let is_empty = self.orphans().next().is_none();
+            self.has_no_orphans = is_empty;
         }
     }
 
-    /// The records no longer bind a task to this machine; `None`: no task of the job.
+    /// Removes a task of a job from the bound tasks, or all of the job's tasks if `task` is
+    /// `None`: the records no longer place them on this machine.
     pub fn unbind(&mut self, job: &str, task: Option<u32>) {
         self.bound_tasks.retain(|bound_task| {
             *bound_task.job != *job || task.is_some_and(|task| task != bound_task.task)
@@ -237,30 +244,32 @@
         self.view = None;
     }
 
-    /// Whether it is neither being terminated nor about to be reclaimed.
+    /// Whether the machine stays in service: it is neither drained for its termination nor about
+    /// to be reclaimed by the cloud.
     pub fn is_retained(&self) -> bool {
         self.termination_reason.is_none() && self.interruption_deadline.is_none()
     }
 
-    /// Whether the cloud's list shows that it no longer runs.
+    /// Whether the cloud's list shows that the machine no longer runs: it has failed, or is no
+    /// longer listed.
     pub fn is_dead(&self) -> bool {
         matches!(self.cloud_status, CloudStatus::Failed | CloudStatus::Gone)
     }
 
-    /// Whether its agent should send heartbeats.
+    /// Whether the machine has booted, so that its agent is expected to send heartbeats.
     pub fn is_up(&self) -> bool {
         self.last_status_at.is_some() || self.cloud_status == CloudStatus::Running
     }
 
-    /// Whether any task may be on it, or capacity on it is reserved.
+    /// Whether any task may be on the machine, or capacity is reserved on it.
     pub fn is_occupied(&self) -> bool {
         !self.bound_tasks.is_empty()
             || !self.reservations.is_empty()
             || self.live_tasks().next().is_some()
     }
 
-    /// Updates since when it is idle: it could have tasks and has none. A machine that does not
-    /// show the leader's epoch yet cannot have any; it is still joining.
+    /// Updates since when the machine has been idle. A machine whose agent has not seen the
+    /// leader's epoch yet does not count as idle, as it can't get any tasks before.
     pub fn update_idle(&mut self, epoch: Epoch, now: u64) {
         if self.is_occupied() || self.epoch < epoch {
             self.idle_since = None;
@@ -269,69 +278,71 @@
         }
     }
 
-    /// Records that a heartbeat is being answered.
+    /// Records that the response to a heartbeat is sent.
     pub fn on_heartbeat_answered(&mut self, now: u64) {
-        self.answers.on_answered(now);
+        self.heartbeat_responses.record_response(now);
     }
 
-    /// Any of the `expected` effects will show that the answer to this status was received.
+    /// Sets the effects that the response to this status should have. Any one of them will show
+    /// that the agent has received the response.
     pub fn expect_effects(&mut self, status: &AgentStatus, expected: Vec<ExpectedEffect>) {
-        self.answers.expect(status, expected);
+        self.heartbeat_responses.expect(status, expected);
     }
 
-    /// Whether it gets no tasks until it has responded to a request, as answers to its
-    /// heartbeats may not reach it.
+    /// Whether the machine gets no tasks until its agent has responded to a request, as the
+    /// responses to its heartbeats may not reach it.
     pub fn is_reachability_unverified(&self) -> bool {
         self.reachability_unverified
     }
 
-    /// The agent has responded to a request. Returns whether that was still to be verified.
+    /// Records that the agent has responded to a request. Returns whether its reachability was
+    /// unverified until then.
     pub fn verify_reachability(&mut self) -> bool {
         std::mem::take(&mut self.reachability_unverified)
     }
 
-    /// Checks by a new heartbeat whether answers reach the agent.
+    /// Checks from a new heartbeat whether responses reach the agent.
     pub fn check_reachability(&mut self, check: &AnswerCheck) {
         if check.is_lagging {
-            // Our answer may have been too late to be accepted.
-            self.answers.forget_answer();
+            // The agent may have discarded the last response as too late.
+            self.heartbeat_responses.discard_response();
         } else {
             match self
-                .answers
+                .heartbeat_responses
                 .check_effect(check.status, &self.reported_tasks)
             {
-                AnswerEffect::NotExpected => {}
-                AnswerEffect::Shown => self.ineffective_answers = 0,
-                AnswerEffect::Missing => self.ineffective_answers += 1,
+                ResponseEffect::NotExpected => {}
+                ResponseEffect::Shown => self.ineffective_answers = 0,
+                ResponseEffect::Missing => self.ineffective_answers += 1,
             }
             self.reachability_unverified |= check.is_new_incarnation
                 && self
-                    .answers
-                    .is_answered_within_lease(check.lease_ms, check.now);
+                    .heartbeat_responses
+                    .is_lease_held(check.lease_ms, check.now);
         }
         self.last_heartbeat_at = Some(check.now);
-        // An agent that receives no answer for a lease begins a new incarnation.
+        // An agent that receives no response for the duration of a lease begins a new incarnation.
         self.clear_expired_suspicion(check.lease_ms + check.heartbeat_interval_ms, check.now);
     }
 
-    /// Ends a suspicion that the same incarnation has outlasted for `lasts_ms`: answers do
-    /// reach the agent. Without this a machine with long tasks, which is sent no commands for
-    /// minutes, would get no tasks for as long.
-    fn clear_expired_suspicion(&mut self, lasts_ms: u64, now: u64) {
+    /// Ends a suspicion once the same incarnation has lasted for `timeout_ms`, which shows that
+    /// responses do reach the agent. Otherwise a machine with long tasks, which is sent no
+    /// commands for minutes, would get no new tasks for as long.
+    fn clear_expired_suspicion(&mut self, timeout_ms: u64, now: u64) {
         let is_suspected = self.ineffective_answers > 0 || self.reachability_unverified;
         if is_suspected
             && !self
-                .answers
-                .has_outlasted_suspicion(self.incarnation, lasts_ms, now)
+                .heartbeat_responses
+                .has_suspicion_expired(self.incarnation, timeout_ms, now)
         {
             return;
         }
-        self.answers.clear_suspicion();
+        self.heartbeat_responses.clear_suspicion();
         self.ineffective_answers = 0;
         self.reachability_unverified = false;
     }
 
-    /// Records that an image is used here.
+    /// Records that a task on the machine uses an image.
     pub fn add_image(&mut self, image: &str, size_gb: f64, machine_type: Option<&MachineType>) {
         let capacity_gb = machine_type.map_or(f64::INFINITY, |machine_type| machine_type.cache_gb);
         if self.images.add(image, size_gb, capacity_gb) {
--- a/src/machine/tasks.rs
+++ b/src/machine/tasks.rs
@@ -1,4 +1,4 @@
-//! Tasks on a machine: those that its agent reports, and those that the records bind to it.
+//! Tasks on a machine: those that its agent reports, and those that the records place on it.
 
 use std::sync::Arc;
 
@@ -9,78 +9,78 @@
 /// The phase of a task on its machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TaskPhase {
-    /// Waits for its image.
+    /// The task waits for its image.
     PullingImage,
-    /// Waits for the other tasks of its gang.
+    /// The task waits for the other tasks of its gang.
     AwaitingGang,
-    /// Runs.
+    /// The task is running.
     Running,
-    /// Was told to stop and saves a checkpoint.
+    /// The task is being stopped and saves a checkpoint.
     Checkpointing,
-    /// Has exited and was not cleared yet.
+    /// The task has exited, and the agent has not been told to clear it yet.
     Exited(ExitCause),
 }
 
 /// Why a task exited, or was not started.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ExitCause {
-    /// Completed.
+    /// The task completed.
     Done,
-    /// Stopped by a command.
+    /// The task was stopped by a command.
     Stopped {
         /// Whether its progress was saved.
         checkpointed: bool,
     },
-    /// Another task of its gang is gone.
+    /// Another task of its gang was lost.
     GangMemberLost,
-    /// Its gang was not complete in time.
+    /// The other tasks of its gang were not ready in time.
     GangTimeout,
-    /// It failed.
+    /// The task failed.
     Error,
-    /// Refused: not enough free resources.
+    /// The agent refused to start the task: not enough free resources.
     InsufficientCapacity,
-    /// Refused: the task is present with another attempt.
+    /// The agent refused to start the task: it is present with another attempt.
     InUse,
-    /// Refused: the agent knows no such task.
+    /// The agent refused the command: it knows no such task.
     UnknownTask,
 }
 
 /// A task in an agent's status.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ReportedTask {
-    /// The id of its job.
+    /// The id of the task's job.
     pub job: String,
-    /// Its number.
+    /// The task's number in its job.
     pub task: u32,
-    /// Its attempt.
+    /// The attempt of the task.
     pub attempt: u64,
-    /// Its phase.
+    /// The phase of the task on the machine.
     pub phase: TaskPhase,
 }
 
-/// A task that the records bind to a machine.
+/// A task that its job's record places on a machine.
 #[derive(Debug, Clone)]
 pub struct BoundTask {
-    /// The id of its job.
+    /// The id of the task's job.
     pub job: Arc<str>,
-    /// Its number.
+    /// The task's number in its job.
     pub task: u32,
-    /// Its attempt.
+    /// The attempt of the task.
     pub attempt: u64,
-    /// The resources that it takes.
+    /// The resources that the task occupies.
     pub resources: Resources,
     /// Whether its job may use spot machines.
     pub spot: bool,
 }
 
 impl BoundTask {
-    /// Whether a reported task is this task in the same attempt.
-    pub(super) fn is(&self, reported: &ReportedTask) -> bool {
+    /// Whether a reported task is this task, in the same attempt.
+    pub(super) fn matches(&self, reported: &ReportedTask) -> bool {
         self.task == reported.task && self.attempt == reported.attempt && *self.job == *reported.job
     }
 }
 
-/// A task of a status whose name could be parsed.
+/// A task of a status, with its parsed name.
 struct ParsedTask<'a> {
     job: &'a str,
     number: u32,
@@ -96,7 +96,7 @@
     }
 }
 
-/// The tasks of a status whose names can be parsed.
+/// Returns the tasks of a status, except those with a malformed name.
 fn parsed_tasks(status: &AgentStatus) -> impl Iterator<Item = ParsedTask<'_>> {
     status.tasks.iter().filter_map(|status| {
         let (job, number) = parse_task_name(&status.task)?;
@@ -108,7 +108,7 @@
     })
 }
 
-/// The tasks of a status.
+/// Returns the tasks that a status reports.
 pub(super) fn reported_tasks(status: &AgentStatus) -> Vec<ReportedTask> {
     let tasks = parsed_tasks(status).map(|task| ReportedTask {
         job: task.job.to_string(),
@@ -119,8 +119,8 @@
     tasks.collect()
 }
 
-/// Whether a status has the same tasks as the last one. Most do, and the comparison copies
-/// nothing.
+/// Whether a status has the same tasks as the last one. Most statuses do, and the comparison
+/// allocates nothing.
 pub(super) fn has_same_tasks(status: &AgentStatus, last: &[ReportedTask]) -> bool {
     let mut last = last.iter();
     let is_same =
--- a/src/machine/termination.rs
+++ b/src/machine/termination.rs
@@ -1,47 +1,47 @@
-//! Why machines are terminated.
+//! The reasons for terminating machines.
 
 use std::fmt;
 
-/// Why a machine is terminated.
+/// Why a machine is drained and terminated.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TerminationReason {
-    /// The cloud lists it as failed.
+    /// The cloud lists the machine as failed.
     Failed,
-    /// The cloud has reclaimed it after a spot interruption notice.
+    /// The cloud has reclaimed the machine after a spot interruption notice.
     SpotInterruption,
-    /// It is not listed any more.
+    /// The cloud no longer lists the machine.
     NotListed,
-    /// Its agent is silent.
+    /// No status has been received from its agent for too long.
     Silent,
-    /// Its agent sends heartbeats, but commands and answers do not reach it.
+    /// Its agent sends heartbeats, but neither commands nor responses reach the agent.
     Unreachable,
-    /// It is idle.
+    /// The machine has been idle for too long.
     Idle,
-    /// Only a record names it; neither its agent nor the cloud's list has shown it.
+    /// Only a record names the machine; neither its agent nor the cloud's list has shown it.
     Unknown,
-    /// It was rented long ago and never came up.
+    /// The machine did not boot in the expected time.
     NeverBooted,
-    /// A task failed on it, and it is drained first.
+    /// A task failed on the machine, which is drained before it is terminated.
     TaskFailed,
-    /// Its agent still reports although its deletion was sent.
+    /// Its agent still sends statuses although a request to terminate the machine was sent.
     TerminationSent,
-    /// An earlier leader recorded its termination.
+    /// The termination is recorded in the store, perhaps by an earlier leader.
     OnRecord,
 }
 
-/// What has to be checked before a machine is terminated.
+/// Which checks precede the termination of a machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum TerminationClass {
-    /// It is idle: the holder of the duty checks that once more.
+    /// The machine is idle: the holder of the duty checks that it is still empty.
     Idle,
-    /// It was drained, and is terminated only if it is empty.
+    /// The machine is drained, and terminated only once it is empty.
     Drained,
-    /// It is given up together with all tasks that are recorded on it.
+    /// The machine is lost, and with it all tasks that the records place on it.
     Lost,
 }
 
 impl TerminationReason {
-    /// What has to be checked before the termination.
+    /// Returns which checks precede a termination for this reason.
     pub fn class(self) -> TerminationClass {
         match self {
             TerminationReason::Idle | TerminationReason::OnRecord => TerminationClass::Idle,
@@ -61,17 +61,19 @@
 impl fmt::Display for TerminationReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            TerminationReason::Failed => "failed",
+            TerminationReason::Failed => "failed in the cloud",
             TerminationReason::SpotInterruption => "spot interruption",
-            TerminationReason::NotListed => "not listed any more",
-            TerminationReason::Silent => "silent",
-            TerminationReason::Unreachable => "commands do not reach it",
+            TerminationReason::NotListed => "no longer listed by the cloud",
+            TerminationReason::Silent => "no status from the agent",
+            TerminationReason::Unreachable => "commands do not reach the agent",
             TerminationReason::Idle => "idle",
             TerminationReason::Unknown => "unknown to the cloud",
             TerminationReason::NeverBooted => "never booted",
             TerminationReason::TaskFailed => "task failed",
-            TerminationReason::TerminationSent => "termination was sent",
-            TerminationReason::OnRecord => "termination is recorded",
+            TerminationReason::TerminationSent => {
+                "agent still running after the termination request"
+            }
+            TerminationReason::OnRecord => "termination recorded earlier",
         })
     }
 }
