--- a/src/job/final_state.rs
+++ b/src/job/final_state.rs
@@ -1,4 +1,4 @@
-//! How a job ended.
+//! The final states of jobs.
 
 use ciborium::Value;
 
@@ -7,7 +7,7 @@
 const DONE: &str = "d";
 const CANCELLED: &str = "w";
 
-/// How a job ended. Stored as a text of one letter.
+/// How a job ended. Stored as a string of one letter.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FinalState {
     /// All tasks are done.
@@ -26,7 +26,7 @@
         Value::Text(letter.into())
     }
 
-    /// Reads the stored form; `None` if it is not known.
+    /// Decodes the stored form; `None` if this version does not know it.
     pub fn from_value(value: &Value) -> Option<FinalState> {
         match value.as_text()? {
             DONE => Some(FinalState::Done),
@@ -35,7 +35,7 @@
         }
     }
 
-    /// Returns the status that users are told.
+    /// Returns the status that is reported to users.
     pub fn status(self) -> &'static str {
         match self {
             FinalState::Done => wire::DONE,
--- a/src/job/mod.rs
+++ b/src/job/mod.rs
@@ -1,9 +1,9 @@
 //! Jobs and their stored forms.
 //!
 //! A job is described by its [`JobSpec`]. While it is live, the store keeps its [`JobRecord`]
-//! (the spec, which tasks are done, and where the others may be). Once it is over, only its
-//! [`FinalState`] is kept. All stored forms are read by other versions of this service, so
-//! their bytes must not change within a format.
+//! (the spec, which tasks are done, and which machines the others may be on). Once the job is
+//! over, only its [`FinalState`] is kept. Other versions of this service read all stored forms,
+//! so their bytes must not change within a format.
 
 mod final_state;
 mod record;
@@ -21,12 +21,12 @@
     serde_json::to_vec(value).map_or(usize::MAX, |text| text.len())
 }
 
-/// Returns a task's name as agents know it, such as `run-000412/3`.
+/// Returns the name by which agents know a task, such as `run-000412/3`.
 pub fn task_name(job: &str, task: u32) -> String {
     format!("{job}/{task}")
 }
 
-/// Returns the job's id and the task's number of a task's name; `None` if it is malformed.
+/// Splits a task's name into the job's id and the task's number; `None` if it is malformed.
 pub fn parse_task_name(name: &str) -> Option<(&str, u32)> {
     let (job, number) = name.rsplit_once('/')?;
     Some((job, number.parse().ok()?))
--- a/src/job/record.rs
+++ b/src/job/record.rs
@@ -1,8 +1,9 @@
 //! The stored record of a live job.
 //!
-//! There are two stored forms. [`JobRecord`] is itself the plain form, which the version in
-//! production reads. [`PackedRecord`] is the form in use from [`PACKED_FORMAT`] on, which has
-//! done and placed tasks in one text, see [`crate::packed_record`]. Both have the same content.
+//! There are two stored forms with the same content. [`JobRecord`] is itself the plain form,
+//! the only one that versions before [`PACKED_FORMAT`] can read. [`PackedRecord`] is the form in
+//! use from that format on. It encodes done and placed tasks in one string, see
+//! [`crate::packed_record`].
 
 use std::borrow::Cow;
 
@@ -14,17 +15,17 @@
 use crate::epoch::Epoch;
 use crate::packed_record::{self, UnpackError};
 
-/// The format from which on records are packed. No version that does not know the packed form
-/// runs from then on.
+/// The first format in which records are packed. Versions that can't read the packed form must
+/// not run under this format or a later one.
 pub const PACKED_FORMAT: u64 = 1;
 
-/// The leader that wrote a record last. Stored as a list of two numbers.
+/// The last leader that wrote a record. Stored as a list of two numbers.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "(Epoch, u64)", into = "(Epoch, u64)")]
 pub struct RecordWriter {
     /// The leader's epoch; [`Epoch::NONE`] if no leader has written the record.
     pub epoch: Epoch,
-    /// The leader's count of changes of the job.
+    /// The number of changes that the leader has made to the job.
     pub change: u64,
 }
 
@@ -43,32 +44,32 @@
 /// The record of a live job, and its plain stored form.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct JobRecord {
-    /// What the user asked for.
+    /// The job's specification, as submitted by the user.
     #[serde(rename = "j")]
     pub spec: JobSpec,
-    /// Time of day of the first submission, in milliseconds.
+    /// Wall-clock time of the first submission, in milliseconds.
     #[serde(rename = "at")]
     pub submitted_at: u64,
-    /// Whether its user has cancelled it.
+    /// Whether the user has cancelled the job.
     #[serde(rename = "x", default)]
     pub cancelled: bool,
-    /// The next attempt; all lower numbers may have been used.
+    /// The number of the next attempt; all lower numbers may have been used.
     #[serde(rename = "a")]
     pub next_attempt: u64,
     /// The tasks that are done.
     #[serde(rename = "f", default)]
     pub done: TaskSet,
-    /// The tasks that may be on a machine.
+    /// The tasks that may be on a machine, as runs of successive tasks on one machine.
     #[serde(rename = "r", default)]
     pub runs: Vec<TaskRun>,
-    /// Who wrote the record last.
+    /// The last leader that wrote the record.
     #[serde(rename = "w", default)]
     pub writer: RecordWriter,
 }
 
 impl JobRecord {
-    /// Creates the record of a job that was just submitted. `submitted_at` is the time of day
-    /// in milliseconds.
+    /// Creates the record of a newly submitted job. `submitted_at` is the wall-clock time in
+    /// milliseconds.
     pub fn new(spec: JobSpec, submitted_at: u64) -> JobRecord {
         JobRecord {
             spec,
@@ -86,8 +87,8 @@
         self.runs.iter().map(|run| u64::from(run.count)).sum()
     }
 
-    /// Returns the stored form under this format. Records that the packed form can't express
-    /// are stored in the plain one under any format.
+    /// Returns the stored form under a format. Records that the packed form can't express are
+    /// stored in the plain form under any format.
     pub fn to_value(&self, format: u64) -> Value {
         let packed = (format >= PACKED_FORMAT)
             .then(|| PackedRecord::pack(self))
@@ -99,7 +100,7 @@
         value.unwrap_or(Value::Null)
     }
 
-    /// Reads a stored record of either form.
+    /// Decodes a stored record of either form.
     ///
     /// # Errors
     ///
@@ -113,9 +114,9 @@
     }
 }
 
-/// The stored form from [`PACKED_FORMAT`] on. The next attempt has another name than in the
-/// plain form, so that a version which does not know this form can't mistake the record for one
-/// without tasks.
+/// The stored form from [`PACKED_FORMAT`] on. The next attempt has another key than in the plain
+/// form. A version that does not know this form therefore can't decode the record, which it
+/// would otherwise take for one without tasks.
 #[derive(Serialize, Deserialize)]
 struct PackedRecord<'a> {
     #[serde(rename = "j")]
@@ -165,7 +166,7 @@
     !flag
 }
 
-/// Why a stored record can't be read.
+/// Why a stored record can't be decoded.
 #[derive(Debug, Error)]
 pub enum RecordError {
     /// The value is not a record of a form that this version knows.
--- a/src/job/spec.rs
+++ b/src/job/spec.rs
@@ -1,4 +1,4 @@
-//! What a user asked for.
+//! The specification of a job, as submitted by its user.
 
 use serde::{Deserialize, Serialize};
 
@@ -19,21 +19,22 @@
 /// The priority of a job, lowest first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Priority {
-    /// Runs on capacity that no other job needs.
+    /// Runs only on capacity that no other job needs.
     #[serde(rename = "l")]
     Low,
-    /// The default.
+    /// The default priority.
     #[serde(rename = "n")]
     Normal,
-    /// Before normal jobs.
+    /// Placed before normal jobs.
     #[serde(rename = "h")]
     High,
-    /// Before all other jobs.
+    /// Placed before all other jobs.
     #[serde(rename = "p")]
     Production,
 }
 
-/// The specification of a job. Stored as a part of its record, so field names are short.
+/// The specification of a job. It is stored as a part of the job's record, so the stored field
+/// names are short.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct JobSpec {
     /// The class of jobs, which determines its service-level objectives.
@@ -81,13 +82,13 @@
     /// The size of the image in GB.
     #[serde(rename = "ig", deserialize_with = "crate::wire::number")]
     pub image_gb: f64,
-    /// The user's estimate of a task's run time without the image fetch, in seconds.
+    /// The user's estimate of a task's run time, without the time to fetch the image, in seconds.
     #[serde(rename = "ex", deserialize_with = "crate::wire::number")]
     pub expected_s: f64,
-    /// Seconds of progress between two checkpoints; 0 if tasks never save.
+    /// Seconds of progress between two checkpoints; 0 if tasks save no checkpoints.
     #[serde(rename = "ck", deserialize_with = "crate::wire::number")]
     pub checkpoint_interval_s: f64,
-    /// Seconds that a task needs to save when it is stopped.
+    /// Seconds that a task needs to save a checkpoint when it is stopped.
     #[serde(rename = "sv", deserialize_with = "crate::wire::number")]
     pub checkpoint_grace_s: f64,
     /// When the job should be done, in seconds from its submission; `None` for no deadline.
--- a/src/leader_lease.rs
+++ b/src/leader_lease.rs
@@ -1,11 +1,12 @@
 //! Election and renewal of the leader lease.
 //!
-//! The leader is the controller whose name is in the leader key. That key is attached to a
-//! grant of the store, so it is deleted when the leader stops to renew the grant. Each election
-//! raises the epoch, which fences the commands of earlier leaders.
+//! The leader is the controller whose id is in the leader key. That key is attached to a grant of
+//! the store, so the store deletes it when the leader no longer renews the grant. Each election
+//! increments the epoch, the fencing token by which agents reject commands of earlier leaders.
 //!
-//! [`LeaderLease`] is the state machine of one controller. It owns no sockets: the caller asks
-//! for the next request, sends it and reports the response. At most one request is in flight.
+//! [`LeaderLease`] is the state machine of one controller. It does no I/O: the caller polls it for
+//! the next request, sends that request and reports the response. At most one request is in
+//! flight.
 //!
 //! ```text
 //!                 Grant                Elect                 Renew
@@ -24,33 +25,34 @@
 use crate::time_units::to_ms;
 use crate::watch_cache::{VersionedLeaderKey, WatchCache};
 
-/// Longest time to live of the leader's grant, as a share of an agent's lease.
-const TTL_LEASE_SHARE_MAX: f64 = 0.25;
-/// Shortest time to live that the store gives a grant.
+/// Longest time to live of the leader's grant, relative to an agent's lease.
+const TTL_AGENT_LEASE_RATIO_MAX: f64 = 0.25;
+/// Shortest time to live of a grant that the store supports.
 const TTL_MIN_MS: u64 = 100;
 /// The grant is renewed at this fraction of its time to live.
 const RENEWALS_PER_TTL: u64 = 4;
-/// A request without success is repeated after this fraction of the time to live.
+/// A failed request is retried after this fraction of the time to live.
 const RETRIES_PER_TTL: u64 = 20;
-/// The share of the time to live in which the grant can't have ended, in tenths. The rest
-/// allows for clocks that drift.
-const CERTAIN_TENTHS: u64 = 9;
-/// Shortest pause after an election that another controller has won, as a share of the time to
-/// live, and the random part that is added to it.
-const LOST_ELECTION_PAUSE: f64 = 0.1;
-const LOST_ELECTION_JITTER: f64 = 0.1;
-/// Number of writes in the election that raises the fence.
+/// Tenths of the time to live for which the grant is certain to be valid, counted from when the
+/// last renewal was sent. The rest allows for clock drift.
+const TTL_CERTAIN_TENTHS: u64 = 9;
+/// Shortest backoff after an election that another controller has won, relative to the time to
+/// live.
+const LOST_ELECTION_BACKOFF_RATIO: f64 = 0.1;
+/// Largest random addition to that backoff, relative to the time to live.
+const LOST_ELECTION_JITTER_RATIO: f64 = 0.1;
+/// Number of writes in the transaction of an election that raises the fence.
 const FENCE_RAISE_WRITES: usize = 3;
 
 /// Returns the time to live of the leader's grant in milliseconds.
 ///
-/// It is the operator's share of an agent's lease, but at least as long as the process may
-/// stall, and at most a quarter of that lease.
+/// It is the share of an agent's lease that the operator has set, but at least as long as the
+/// process may stall, and at most a quarter of that lease.
 pub fn leader_lease_ttl_ms(cluster: &ClusterSettings, operator: &OperatorSettings) -> u64 {
     let lease_s = cluster.workers.lease_s;
     let ttl_s = (lease_s * operator.leader_life_share)
         .max(cluster.limits.stall_s())
-        .min(lease_s * TTL_LEASE_SHARE_MAX);
+        .min(lease_s * TTL_AGENT_LEASE_RATIO_MAX);
     to_ms(ttl_s)
 }
 
@@ -67,7 +69,7 @@
     pub lease_version: u64,
     /// The version of [`crate::leadership_keys::EPOCH_KEY`]; 0 if it does not exist.
     pub epoch_version: u64,
-    /// How the version in production is kept from leading.
+    /// How versions before format 1 are kept from leading.
     pub fence: Fence,
 }
 
@@ -76,15 +78,15 @@
 pub enum LeaseRequest {
     /// Create a grant.
     Grant,
-    /// Take the leader key and raise the epoch.
+    /// Acquire the leader key and increment the epoch.
     Elect(Election),
     /// Renew this grant.
     Renew(u64),
-    /// End this grant. Its response is not reported to [`LeaderLease::on_response`].
+    /// Revoke this grant. The response is not reported to [`LeaderLease::on_response`].
     Revoke(u64),
 }
 
-/// The response to a request.
+/// The response to a request to the store.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum LeaseResponse {
     /// This grant was created.
@@ -96,33 +98,33 @@
         /// The version of the leader key.
         version: u64,
     },
-    /// Another controller has won the election, or the grant has ended.
+    /// Another controller has won the election, or the grant has expired.
     Lost,
     /// The grant was renewed.
     Renewed,
-    /// No response, or a refusal: unknown outcome.
+    /// The outcome is unknown: no response was received, or the request was refused.
     Unknown,
 }
 
-/// A change of whether a controller leads.
+/// The beginning or the end of a controller's leadership.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LeadershipTransition {
-    /// It leads from now on.
+    /// The controller has become the leader.
     Began,
-    /// It does not lead any more.
+    /// The controller no longer leads.
     Ended,
 }
 
 /// The state of a controller in the election.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum LeaseState {
-    /// Another controller leads, or none does.
+    /// Another controller leads, or there is no leader.
     Following,
-    /// A grant is requested.
+    /// The controller requests a grant.
     Granting,
-    /// The controller has a grant and tries to take the leader key.
+    /// The controller has a grant and tries to acquire the leader key.
     Electing { grant: u64 },
-    /// The controller has the leader key.
+    /// The controller holds the leader key.
     Leading {
         grant: u64,
         epoch: Epoch,
@@ -139,20 +141,20 @@
     /// Time to live of the grant in milliseconds.
     pub ttl_ms: u64,
     state: LeaseState,
-    /// When the request in flight was sent.
+    /// When the request in flight was sent; `None` if there is none.
     sent_at: Option<u64>,
     /// When the last successful request that created or renewed the grant was sent.
     renewed_at: u64,
     next_request_at: u64,
-    /// No campaign before this time, so that others can be elected first.
+    /// The controller doesn't campaign before this time, so that others can be elected first.
     standby_until: u64,
     /// Maximum number of writes in a transaction.
     writes_max: usize,
 }
 
 impl LeaderLease {
-    /// Creates the lease of a controller that follows. `writes_max` is the maximum number of
-    /// writes in a transaction, under the present limits of the store and announced ones.
+    /// Creates the lease of a controller that does not lead. `writes_max` is the maximum number of
+    /// writes in a transaction, under the present limits of the store as well as announced ones.
     pub fn new(member: &str, ttl_ms: u64, writes_max: usize) -> LeaderLease {
         LeaderLease {
             member: member.to_string(),
@@ -174,17 +176,17 @@
         }
     }
 
-    /// Returns whether this controller leads and the grant can't have ended, even if clocks
+    /// Returns whether this controller leads and its grant is certain to be valid, even if clocks
     /// drift.
     pub fn is_certain(&self, now: u64) -> bool {
-        self.is_leading() && now < self.renewed_at + self.ttl_ms * CERTAIN_TENTHS / 10
+        self.is_leading() && now < self.renewed_at + self.ttl_ms * TTL_CERTAIN_TENTHS / 10
     }
 
     fn is_leading(&self) -> bool {
         matches!(self.state, LeaseState::Leading { .. })
     }
 
-    /// Returns the next request, if one is due. `jitter` is a random number from 0 to 1.
+    /// Returns the request that is due, if any. `jitter` is a random number from 0 to 1.
     pub fn tick(
         &mut self,
         now: u64,
@@ -219,17 +221,18 @@
         Some(LeaseRequest::Grant)
     }
 
-    /// Returns whether the leader key is held by another controller. A key that an earlier
-    /// process of this controller holds can be taken over at once.
+    /// Returns whether another controller holds the leader key. A key that an earlier process of
+    /// this controller holds can be taken over at once.
     fn is_led_by_another(&self, watch_cache: &WatchCache) -> bool {
         let leader = watch_cache.leader();
         leader.is_some_and(|leader| leader.key.member != self.member)
     }
 
     fn abandon_campaign(&mut self, grant: u64, now: u64, jitter: f64) -> LeaseRequest {
-        let pause = self.ttl_ms as f64 * (LOST_ELECTION_PAUSE + LOST_ELECTION_JITTER * jitter);
+        let backoff_ms = self.ttl_ms as f64
+            * (LOST_ELECTION_BACKOFF_RATIO + LOST_ELECTION_JITTER_RATIO * jitter);
         self.state = LeaseState::Following;
-        self.next_request_at = now + pause as u64;
+        self.next_request_at = now + backoff_ms as u64;
         LeaseRequest::Revoke(grant)
     }
 
@@ -251,13 +254,14 @@
         } else if is_packed && self.writes_max >= FENCE_RAISE_WRITES {
             Fence::Raise
         } else {
-            // Where a transaction is too small to raise it, the fence stays down.
+            // Versions before format 1 may still run, or transactions are too small to raise the
+            // fence.
             Fence::None
         }
     }
 
-    /// Handles the response to the request in flight. Returns whether this controller's
-    /// leadership began or ended; `None` if neither.
+    /// Handles the response to the request in flight. Returns a transition if this controller's
+    /// leadership began or ended.
     pub fn on_response(
         &mut self,
         now: u64,
@@ -283,8 +287,8 @@
                 self.renewed_at = self.renewed_at.max(sent_at);
                 self.next_request_at = sent_at + self.ttl_ms / RENEWALS_PER_TTL;
             }
-            // The watch cache may lag: campaign again shortly, with a new grant. The present
-            // one expires by itself.
+            // The watch cache may lag, so the controller campaigns again after the retry delay,
+            // with a new grant. The present grant expires by itself.
             (LeaseState::Electing { .. }, _)
             | (LeaseState::Leading { .. }, LeaseResponse::Lost) => {
                 self.state = LeaseState::Following;
@@ -303,8 +307,8 @@
         self.next_request_at = now + self.ttl_ms / RETRIES_PER_TTL;
     }
 
-    /// Gives up leadership and does not campaign for `standby_ms`, so that others can be
-    /// elected first. Returns the request that ends the grant, if this controller leads.
+    /// Resigns leadership, if this controller leads, and does not campaign for `standby_ms`, so
+    /// that others can be elected first. Returns the request that revokes the grant.
     pub fn resign(&mut self, now: u64, standby_ms: u64) -> Option<LeaseRequest> {
         let LeaseState::Leading { grant, .. } = self.state else {
             return None;
@@ -315,8 +319,8 @@
     }
 
     /// Handles a change of the leadership keys in the watch cache. Returns
-    /// [`LeadershipTransition::Ended`] if it ended this controller's leadership: the leader key
-    /// has changed, or is deleted.
+    /// [`LeadershipTransition::Ended`] if this controller has lost its leadership, as the leader
+    /// key has changed or was deleted.
     pub fn on_cache_event(&mut self, watch_cache: &WatchCache) -> Option<LeadershipTransition> {
         let LeaseState::Leading { version, .. } = self.state else {
             return None;
--- a/src/leadership_keys.rs
+++ b/src/leadership_keys.rs
@@ -1,24 +1,28 @@
 //! The keys of the store that hold the leadership, the epoch and the format version.
+//!
+//! Versions before format 1 can't read packed records, and a rollback may start one after the
+//! format was raised. From format 1 on, leaders are therefore elected by a key that those versions don't
+//! know, and the key that they know is fenced: it names a leader that never gives way.
 
 use crate::epoch::Epoch;
 use ciborium::Value;
 use serde::{Deserialize, Serialize};
 
-/// Prefix of the keys of leadership and versions.
+/// Prefix of the keys of the leadership, the epoch and the format version.
 pub const LEADERSHIP_PREFIX: &str = "g/l/";
-/// The format that all controllers know, a number that only rises. The version in production
-/// ignores keys below [`LEADERSHIP_PREFIX`] that it does not know.
+/// The format that all controllers support, a number that only increases. Versions before format 1
+/// ignore this key, as they do all unknown keys below [`LEADERSHIP_PREFIX`].
 pub const FORMAT_KEY: &str = "g/l/format";
-/// The leader key before format 1: held by the leader while its grant is valid. From format 1
-/// on it is never deleted and names [`SUPERSEDED`].
+/// The leader key before format 1, held by the leader while its grant is valid. From format 1 on
+/// it is never deleted and names [`SUPERSEDED`].
 pub const LEADER_KEY: &str = "g/l/leader";
-/// The leader key from format 1 on: held by the leader while its grant is valid.
+/// The leader key from format 1 on, held by the leader while its grant is valid.
 pub const LEASE_KEY: &str = "g/l/lease";
 /// The last epoch that was used.
 pub const EPOCH_KEY: &str = "g/l/epoch";
-/// The leader that the version in production sees from format 1 on. It is never a member, so a
-/// controller that is rolled back to that version follows and can't be elected: it could not
-/// read the records.
+/// The leader that versions before format 1 see from format 1 on. No controller has this id, so a
+/// controller that is rolled back to such a version follows and can't be elected: it could not read
+/// the records.
 pub const SUPERSEDED: &str = "superseded by format 1";
 
 /// The value of [`LEADER_KEY`] and [`LEASE_KEY`].
@@ -40,20 +44,20 @@
     }
 }
 
-/// How an election keeps the version in production from leading.
+/// How an election keeps versions before format 1 from leading.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fence {
-    /// Not at all: that version may run and lead. The lease is held by [`LEADER_KEY`].
+    /// Not at all: such versions may run and lead. The election acquires [`LEADER_KEY`].
     None,
-    /// The lease is held by [`LEASE_KEY`], and the same transaction sets [`LEADER_KEY`] to
+    /// The election acquires [`LEASE_KEY`], and the same transaction sets [`LEADER_KEY`] to
     /// [`LeaderKey::superseded`].
     Raise,
-    /// The lease is held by [`LEASE_KEY`]; [`LEADER_KEY`] is superseded already.
+    /// The election acquires [`LEASE_KEY`]; [`LEADER_KEY`] is superseded already.
     Raised,
 }
 
 impl Fence {
-    /// Returns the key that holds the lease.
+    /// Returns the key that the election acquires.
     pub fn leader_key(self) -> &'static str {
         match self {
             Fence::None => LEADER_KEY,
@@ -62,7 +66,7 @@
     }
 }
 
-/// Reads a whole number; `None` if the value is anything else or out of range.
+/// Decodes a whole number; `None` if the value is anything else or out of range.
 pub(crate) fn read_number(value: &Value) -> Option<u64> {
     let integer = value.as_integer()?;
     u64::try_from(i128::from(integer)).ok()
--- a/src/packed_record/done_tasks.rs
+++ b/src/packed_record/done_tasks.rs
@@ -1,19 +1,19 @@
 //! The first part of the packed form: the tasks that are done.
 //!
-//! It has the lengths of unfinished and finished stretches in turn (`5 1 0 2`), or the bits of
-//! all tasks after [`BITS_MARK`], four to a hexadecimal digit with the lowest task in the lowest
-//! bit, without trailing zeros.
+//! It has the lengths of unfinished and finished stretches of tasks in turn (`5 1 0 2`), or,
+//! after [`BITS_MARK`], a bit for each task. Four bits make a hexadecimal digit, with the lowest
+//! task in the lowest bit; trailing zeros are left out.
 
 use super::unpack::{parse_number, UnpackError};
 use crate::task_runs::{TaskRange, TaskSet};
 
-/// Precedes the bits of all tasks.
+/// Precedes the bits of the tasks.
 const BITS_MARK: char = '=';
-/// Number of tasks in a hexadecimal digit.
+/// Number of tasks for each hexadecimal digit.
 const TASKS_PER_DIGIT: u32 = 4;
-const HEXADECIMAL: u32 = 16;
+const HEXADECIMAL_RADIX: u32 = 16;
 
-/// Packs the tasks that are done, in the shorter of the two forms.
+/// Packs the tasks that are done into the shorter of the two forms.
 pub(super) fn pack(tasks: u32, done: &TaskSet) -> String {
     let digits = tasks.div_ceil(TASKS_PER_DIGIT);
     let lengths = pack_lengths(done);
@@ -38,7 +38,7 @@
     let digit = |index: u32| {
         let bits = (0..TASKS_PER_DIGIT).filter(|bit| done.contains(TASKS_PER_DIGIT * index + bit));
         let value = bits.map(|bit| 1 << bit).sum();
-        char::from_digit(value, HEXADECIMAL).unwrap_or('0')
+        char::from_digit(value, HEXADECIMAL_RADIX).unwrap_or('0')
     };
     let bits: String = (0..digits).map(digit).collect();
     format!("{BITS_MARK}{}", bits.trim_end_matches('0'))
@@ -64,7 +64,7 @@
 fn unpack_bits(bits: &str) -> Result<TaskSet, UnpackError> {
     let mut done = TaskSet::default();
     for (index, digit) in (0u32..).zip(bits.chars()) {
-        let value = digit.to_digit(HEXADECIMAL);
+        let value = digit.to_digit(HEXADECIMAL_RADIX);
         let value = value.ok_or_else(|| UnpackError::InvalidNumber(digit.to_string()))?;
         for bit in (0..TASKS_PER_DIGIT).filter(|bit| value & (1 << bit) != 0) {
             done.insert(TASKS_PER_DIGIT * index + bit);
@@ -89,7 +89,7 @@
     Ok(done)
 }
 
-/// Returns the task that follows a stretch of the length that a word names.
+/// Returns the first task after a stretch that begins with `first` and has the given length.
 fn add_length(first: u32, length: &str) -> Result<u32, UnpackError> {
     let end = first.checked_add(parse_number(length)?);
     end.ok_or_else(|| UnpackError::InvalidNumber(length.to_string()))
--- a/src/packed_record/pack.rs
+++ b/src/packed_record/pack.rs
@@ -5,8 +5,8 @@
 use super::{done_tasks, ATTEMPT_MARK, COUNT_MARK, PART_SEPARATOR, POSITION_MARK, WORD_SEPARATOR};
 use crate::task_runs::{TaskRun, TaskSet};
 
-/// Characters that no machine name may contain, as they have a meaning in the packed form.
-const RESERVED: [char; 5] = [
+/// Characters with a meaning in the packed form, which no machine name may contain.
+const RESERVED_CHARACTERS: [char; 5] = [
     WORD_SEPARATOR,
     COUNT_MARK,
     POSITION_MARK,
@@ -33,10 +33,10 @@
 }
 
 fn has_packable_machine(run: &TaskRun) -> bool {
-    !run.machine.is_empty() && !run.machine.contains(RESERVED)
+    !run.machine.is_empty() && !run.machine.contains(RESERVED_CHARACTERS)
 }
 
-/// Returns the common prefix of all machine names, of which each name is longer.
+/// Returns the longest common prefix of all machine names that leaves each name a remainder.
 fn common_prefix(runs: &[TaskRun]) -> &str {
     let Some(first) = runs.first().map(|run| &run.machine) else {
         return "";
@@ -62,7 +62,7 @@
 }
 
 impl PositionedRun<'_> {
-    /// The position after the last task.
+    /// Returns the position after the last task.
     fn end(&self) -> u32 {
         self.position + self.count
     }
@@ -75,8 +75,8 @@
     }
 }
 
-/// Returns the runs by position, those that continue one another merged. `None` if a run is
-/// empty, or overlaps another one or a task that is done.
+/// Returns the runs by position, adjacent ones with the same machine and attempt merged. `None`
+/// if a run is empty, or overlaps another one or a task that is done.
 fn positioned_runs<'a>(done: &TaskSet, runs: &'a [TaskRun]) -> Option<Vec<PositionedRun<'a>>> {
     let mut merged: Vec<PositionedRun> = Vec::new();
     for run in runs {
@@ -105,7 +105,7 @@
     Some(positioned)
 }
 
-/// Returns the position of a task among the unfinished; `None` if it is done.
+/// Returns the position of a task among the unfinished tasks; `None` if the task is done.
 fn position(done: &TaskSet, task: u32) -> Option<u32> {
     let mut done_before = 0;
     for range in done.ranges() {
@@ -123,7 +123,7 @@
 /// Writes runs as words, each followed by a separator.
 struct RunPacker<'a> {
     text: &'a mut String,
-    /// Length of the common prefix of all machine names, which is left out.
+    /// Length of the common prefix of all machine names in bytes, which is left out.
     prefix_length: usize,
     /// The position after the last run.
     next_position: u32,
--- a/src/packed_record/unpack.rs
+++ b/src/packed_record/unpack.rs
@@ -8,9 +8,9 @@
 use crate::task_runs::{TaskRun, TaskSet};
 
 /// Number of parts of a packed body.
-const PARTS: usize = 3;
+const PART_COUNT: usize = 3;
 
-/// Why a packed body can't be read.
+/// Why a packed body can't be unpacked.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum UnpackError {
     /// One of the three parts, or a length of the first part, is missing.
@@ -19,7 +19,7 @@
     /// A number is malformed or out of range.
     #[error("invalid number {0:?}")]
     InvalidNumber(String),
-    /// The body has more tasks than the job.
+    /// The body names more tasks than the job has.
     #[error("more tasks than the job has")]
     TooManyTasks,
 }
@@ -35,7 +35,7 @@
 ///
 /// If the text is malformed, or has tasks that a job of `tasks` tasks does not have.
 pub fn unpack(tasks: u32, text: &str) -> Result<(TaskSet, Vec<TaskRun>), UnpackError> {
-    let mut parts = text.splitn(PARTS, PART_SEPARATOR);
+    let mut parts = text.splitn(PART_COUNT, PART_SEPARATOR);
     let mut next_part = || parts.next().ok_or(UnpackError::MissingPart);
     let done = done_tasks::unpack(tasks, next_part()?)?;
     let mut unpacker = RunUnpacker::new(tasks, &done, next_part()?);
@@ -51,7 +51,7 @@
     Position(u32),
     /// The attempt of the runs that follow.
     Attempt(u64),
-    /// A run on the machine with this name after the prefix.
+    /// A run on the machine with this name, without the common prefix.
     Run { name: &'a str, count: u32 },
 }
 
@@ -71,7 +71,7 @@
     }
 }
 
-/// Assigns runs to the unfinished tasks, in order.
+/// Assigns the unfinished tasks to runs, in order.
 struct RunUnpacker<'a> {
     /// The number of the job's tasks.
     tasks: u32,
@@ -137,16 +137,16 @@
     }
 }
 
-/// Successive tasks, at least one.
+/// A stretch of successive tasks, at least one.
 struct Stretch {
     first: u32,
     count: u32,
 }
 
-/// The tasks that are not done, lowest first.
+/// The tasks that are not done, lowest number first.
 struct UnfinishedTasks {
     stretches: Vec<Stretch>,
-    /// Index of the first stretch that has not been taken.
+    /// Index of the first stretch that has tasks left.
     next_stretch: usize,
 }
 
@@ -171,8 +171,8 @@
         }
     }
 
-    /// Takes successive tasks from the front: at least one and at most `count_max`, which must
-    /// not be 0.
+    /// Removes successive tasks from the front and returns them: at least one, and at most
+    /// `count_max`, which must be at least 1.
     ///
     /// # Errors
     ///
--- a/src/peer_protocol.rs
+++ b/src/peer_protocol.rs
@@ -1,6 +1,6 @@
-//! The peer protocol: messages between controllers, as protocol buffers over HTTP.
+//! The peer protocol: messages between controllers, encoded as protocol buffers and sent over HTTP.
 //!
-//! Other versions of this service read them, so tags and types must not change.
+//! Other versions of this service read these messages, so their tags and types must not change.
 
 use prost::Message;
 
@@ -9,14 +9,14 @@
 /// Path that users' requests are forwarded to.
 pub const FORWARD_PATH: &str = "/mesh/hand";
 
-/// A controller's view of the cluster. Sent to each other controller about once a second, and
-/// answered with the receiver's own.
+/// The status of a controller and of its view of the cluster. It is sent to each other controller
+/// about once a second; the response is the receiver's own status.
 #[derive(Clone, PartialEq, Message)]
 pub struct PeerStatus {
     /// The sender's id in the cluster.
     #[prost(string, tag = "1")]
     pub member: String,
-    /// Whether the store has answered the sender lately.
+    /// Whether the sender has recently received a response of the store.
     #[prost(bool, tag = "2")]
     pub store_reachable: bool,
     /// The epoch of the sender's leadership; 0 if it does not lead.
@@ -28,16 +28,16 @@
     /// The age of the sender's process in milliseconds.
     #[prost(uint64, tag = "5")]
     pub process_age_ms: u64,
-    /// The ids of jobs whose cancellation the sender has lately acknowledged to users, for a
-    /// leader that the store does not answer.
+    /// The ids of jobs whose cancellation the sender has recently acknowledged to users. A leader
+    /// that can't reach the store learns of them from here.
     #[prost(string, repeated, tag = "6")]
     pub acknowledged_cancellations: Vec<String>,
-    /// The latest format that the sender's version knows; 0 for the version in production.
+    /// The latest format that the sender supports; 0 for versions before format 1.
     #[prost(uint64, tag = "7")]
     pub known_format: u64,
 }
 
-/// A user's request that the sender can't decide.
+/// A user's request that the sender forwards, as it can't process the request itself.
 #[derive(Clone, PartialEq, Message)]
 pub struct ForwardedRequest {
     /// The HTTP method.
@@ -46,7 +46,7 @@
     /// The HTTP path.
     #[prost(string, tag = "2")]
     pub path: String,
-    /// The body, as the user has sent it.
+    /// The body as received from the user.
     #[prost(bytes = "vec", tag = "3")]
     pub body: Vec<u8>,
 }
@@ -57,10 +57,10 @@
     /// The HTTP status.
     #[prost(uint32, tag = "1")]
     pub status: u32,
-    /// The value of `Retry-After` for the user, in seconds.
+    /// The value of the `Retry-After` header for the user, in seconds; `None` for no header.
     #[prost(uint32, optional, tag = "2")]
     pub retry_after: Option<u32>,
-    /// The body, as the user receives it.
+    /// The body to send to the user.
     #[prost(bytes = "vec", tag = "3")]
     pub body: Vec<u8>,
 }
--- a/src/watch_cache/final_states.rs
+++ b/src/watch_cache/final_states.rs
@@ -1,14 +1,14 @@
-//! A bounded memory of how jobs ended.
+//! A bounded cache of the final states of jobs.
 
 use std::collections::{HashMap, VecDeque};
 
 use crate::job::FinalState;
 
-/// Maximum number of jobs whose final states are remembered. Others are read from the store
-/// again when a user asks for them.
-const FINALS_MAX: usize = 50_000;
+/// Maximum number of jobs whose final states are cached. Others are read from the store when a
+/// user requests them.
+const FINAL_STATES_MAX: usize = 50_000;
 
-/// The final states of jobs, of which the oldest are evicted first.
+/// The final states of jobs. The oldest entries are evicted first.
 ///
 /// Invariant: `order` holds each key of `states` once, in the order of insertion.
 #[derive(Debug, Default)]
@@ -26,7 +26,7 @@
         self.states.contains_key(id)
     }
 
-    /// Remembers how a job ended. A job that is remembered already keeps its place in the order
+    /// Caches the final state of a job. A job that is cached already keeps its place in the order
     /// of eviction.
     pub(super) fn insert(&mut self, id: &str, state: FinalState) {
         let previous = self.states.insert(id.to_string(), state);
@@ -34,7 +34,7 @@
             return;
         }
         self.order.push_back(id.to_string());
-        if self.order.len() > FINALS_MAX {
+        if self.order.len() > FINAL_STATES_MAX {
             self.evict_oldest();
         }
     }
--- a/src/watch_cache/keys.rs
+++ b/src/watch_cache/keys.rs
@@ -1,4 +1,4 @@
-//! The key space of the store: prefixes, key functions, and what each kind of key holds.
+//! The key space of the store: the prefixes, the names and the kinds of keys.
 
 use crate::duties::DUTIES_PREFIX;
 use crate::leadership_keys::{EPOCH_KEY, FORMAT_KEY, LEADER_KEY, LEASE_KEY};
@@ -7,10 +7,10 @@
 pub const ROOT_PREFIX: &str = "g/";
 /// Prefix of the records of live jobs.
 pub const JOBS_PREFIX: &str = "g/j/";
-/// Prefix of the final states of jobs. They are not read at start, so that the cost of a start
-/// depends only on what is live.
-const FINALS_PREFIX: &str = "g/f/";
-/// Prefix of the controllers that have run this version, or a later one.
+/// Prefix of the final states of jobs. They are not read at start, so the cost of a start depends
+/// only on the number of live jobs.
+const FINAL_STATES_PREFIX: &str = "g/f/";
+/// Prefix of the announcements of controllers that have run this version, or a later one.
 const MEMBERS_PREFIX: &str = "g/l/m/";
 
 /// Returns the key of a live job's record.
@@ -25,7 +25,7 @@
 
 /// Returns the key of a job's final state.
 pub fn final_key(id: &str) -> String {
-    format!("{FINALS_PREFIX}{id}")
+    format!("{FINAL_STATES_PREFIX}{id}")
 }
 
 /// The key of a leadership claim.
@@ -52,7 +52,7 @@
     },
     /// A record of duties, which [`crate::duties::DutyRecords`] reads.
     Duties,
-    /// Who leads.
+    /// A claim to leadership.
     Claim(ClaimKey),
     /// The announcement of a controller that runs this version.
     Member {
@@ -74,17 +74,17 @@
             KeyKind::Job { id }
         } else if key.starts_with(DUTIES_PREFIX) {
             KeyKind::Duties
-        } else if let Some(id) = key.strip_prefix(FINALS_PREFIX) {
+        } else if let Some(id) = key.strip_prefix(FINAL_STATES_PREFIX) {
             KeyKind::FinalState { id }
         } else if let Some(member) = key.strip_prefix(MEMBERS_PREFIX) {
             KeyKind::Member { member }
         } else {
-            KeyKind::of_single(key)
+            KeyKind::of_exact(key)
         }
     }
 
-    /// Classifies a key of which there is only one.
-    fn of_single(key: &str) -> KeyKind<'static> {
+    /// Classifies a key that is not matched by prefix.
+    fn of_exact(key: &str) -> KeyKind<'static> {
         match key {
             LEADER_KEY => KeyKind::Claim(ClaimKey::Leader),
             LEASE_KEY => KeyKind::Claim(ClaimKey::Lease),
--- a/src/watch_cache/mod.rs
+++ b/src/watch_cache/mod.rs
@@ -1,16 +1,16 @@
 //! The local watch cache of the store.
 //!
-//! The cache owns the state of all keys that the rest of the program reads: live jobs, who
-//! leads, the epoch counter, the format version, the announced members and the records of
-//! duties. It is fed by pages of keys at start and by a watch from then on. Own commits may be
-//! applied before the watch reports them.
+//! The cache owns the state of all keys that the rest of the program reads: live jobs, the
+//! leadership keys, the epoch counter, the format version, the announced members and the records
+//! of duties. It is filled from pages of keys at start and updated by a watch from then on. This
+//! controller's own commits may be applied before the watch reports them.
 //!
 //! Invariants:
 //!
-//! - A value that is kept with its key's version is replaced only by a later version, so that
-//!   late changes don't undo what is known from an own commit.
-//! - A job whose final state is remembered never becomes live again.
-//! - The epoch and the format only rise.
+//! - A value that is cached with its key's version is replaced only by a later version, so that
+//!   a change which the watch reports late doesn't undo an own commit.
+//! - A job whose final state is cached never becomes live again.
+//! - The epoch and the format only increase.
 //! - The dependency graph holds each live job that has unfinished dependencies.
 
 mod final_states;
@@ -33,16 +33,16 @@
 
 pub use keys::{final_key, job_key, member_key, JOBS_PREFIX, ROOT_PREFIX};
 
-/// A live job as committed.
+/// The committed state of a live job.
 #[derive(Debug, Clone)]
 pub struct LiveJob {
-    /// Its record.
+    /// The job's record.
     pub record: Arc<JobRecord>,
     /// The version of the record's key.
     pub version: u64,
 }
 
-/// What a change of the watch cache means to the rest of the program.
+/// A change of the watch cache that the rest of the program has to handle.
 #[derive(Debug, Clone, PartialEq)]
 pub enum CacheEvent {
     /// A job's record is new or has changed.
@@ -58,12 +58,12 @@
 pub struct VersionedLeaderKey {
     /// The value.
     pub key: LeaderKey,
-    /// The version of the store's key.
+    /// The version of the key in the store.
     pub version: u64,
 }
 
 impl VersionedLeaderKey {
-    /// Returns whether the key only keeps the version in production from leading.
+    /// Returns whether the key only keeps versions before format 1 from leading.
     fn is_superseded(&self) -> bool {
         self.key.member == SUPERSEDED
     }
@@ -72,7 +72,8 @@
 /// The local watch cache of the store, see the module's documentation.
 #[derive(Debug, Default)]
 pub struct WatchCache {
-    /// Whether all keys have been read since the last restart.
+    /// Whether all keys have been read since the start, or since the last
+    /// [`WatchCache::restart`].
     pub loaded: bool,
     /// The revision up to which all changes have been applied.
     pub revision: u64,
@@ -86,23 +87,23 @@
     pub epoch: Epoch,
     /// The version of [`crate::leadership_keys::EPOCH_KEY`]; 0 if it does not exist.
     pub epoch_version: u64,
-    /// The format that all controllers know.
+    /// The stored format version, which all controllers support.
     pub format: u64,
     /// The version of [`crate::leadership_keys::FORMAT_KEY`]; 0 if it does not exist.
     pub format_version: u64,
-    /// Controllers that have announced that they run this version, or a later one.
+    /// The controllers that have announced that they run this version, or a later one.
     pub members: BTreeSet<String>,
     /// The records of duties.
     pub duties: DutyRecords,
     /// The dependency graph of live jobs.
     pub dependencies: DependencyGraph,
     dependency_events: Vec<DependencyEvent>,
-    finals: FinalStates,
+    final_states: FinalStates,
 }
 
 impl WatchCache {
-    /// Clears the cache before all keys are read again. What can't change is kept: final
-    /// states, the format, and the announced members.
+    /// Clears the cache before all keys are read again. Values that never become invalid are
+    /// kept: final states, the format, and the announced members.
     pub fn restart(&mut self) {
         self.loaded = false;
         self.revision = 0;
@@ -116,23 +117,23 @@
         self.dependency_events.clear();
     }
 
-    /// Returns who leads, with the version of the key that holds the lease.
+    /// Returns the key that names the present leader, with its version.
     pub fn leader(&self) -> Option<&VersionedLeaderKey> {
-        let unfenced = self.leader_key.as_ref();
+        let leader_key = self.leader_key.as_ref();
         self.lease_key
             .as_ref()
-            .or(unfenced.filter(|leader| !leader.is_superseded()))
+            .or(leader_key.filter(|leader| !leader.is_superseded()))
     }
 
-    /// Returns whether leaders are elected by [`crate::leadership_keys::LEASE_KEY`], which the
-    /// version in production does not know.
+    /// Returns whether leaders are elected by [`crate::leadership_keys::LEASE_KEY`], which versions
+    /// before format 1 do not know.
     pub fn is_superseded(&self) -> bool {
         let leader_key = self.leader_key.as_ref();
         leader_key.is_some_and(VersionedLeaderKey::is_superseded)
     }
 
-    /// Applies an election that this controller has won, ahead of the watch. `version` is the
-    /// revision of the election's transaction.
+    /// Applies an election that this controller has won, without waiting for the watch to report
+    /// it. `version` is the revision of the election's transaction.
     pub fn apply_own_election(&mut self, key: LeaderKey, version: u64, fence: Fence) {
         self.epoch = key.epoch;
         self.epoch_version = version;
@@ -148,37 +149,37 @@
         }
     }
 
-    /// Returns what changes since the last call mean for jobs with dependencies.
+    /// Removes and returns the events of jobs with dependencies since the last call.
     pub fn take_dependency_events(&mut self) -> Vec<DependencyEvent> {
         std::mem::take(&mut self.dependency_events)
     }
 
-    /// Returns the state of a job that another one may depend on.
+    /// Returns the state of a job as a possible dependency of another one.
     pub fn dependency_state(&self, id: &str) -> DependencyState {
-        dependency_state(&self.jobs, &self.finals, id)
+        dependency_state(&self.jobs, &self.final_states, id)
     }
 
-    /// Returns whether users are told that a live job is cancelled: by its own record, or
-    /// because a job that it depends on is cancelled.
+    /// Returns whether a live job counts as cancelled for users: by its own record, or because a
+    /// job that it depends on is cancelled.
     pub fn is_cancelled(&self, id: &str) -> bool {
-        let by_own_record = |job: &LiveJob| job.record.cancelled;
-        self.dependencies.is_cancelled(id) || self.jobs.get(id).is_some_and(by_own_record)
+        let is_record_cancelled = |job: &LiveJob| job.record.cancelled;
+        self.dependencies.is_cancelled(id) || self.jobs.get(id).is_some_and(is_record_cancelled)
     }
 
-    /// Returns how a job ended, if that is remembered.
+    /// Returns the final state of a job, if it is cached.
     pub fn final_state(&self, id: &str) -> Option<FinalState> {
-        self.finals.get(id)
+        self.final_states.get(id)
     }
 
-    /// Applies a page of keys that was read at start.
+    /// Applies a page of keys that was read to fill the cache.
     pub fn apply_page(&mut self, page: &Page) {
         for pair in &page.pairs {
             self.apply_set(&pair.key, &pair.value, pair.version);
         }
     }
 
-    /// Applies the changes that a watch reported. They are complete from revision `from`
-    /// (exclusive) to `revision` (inclusive).
+    /// Applies the changes that a watch reported. They are complete after revision `from`, up to
+    /// and including `revision`.
     pub fn apply_changes(
         &mut self,
         revision: u64,
@@ -186,7 +187,7 @@
         changes: &[KeyChange],
     ) -> Vec<CacheEvent> {
         if from > self.revision {
-            // There would be a gap; not expected, as watches start at `revision`.
+            // Changes in between would be missing. Not expected, as watches start at `revision`.
             return vec![];
         }
         let mut events = Vec::new();
@@ -231,7 +232,7 @@
         let record = match JobRecord::from_value(value) {
             Ok(record) => record,
             Err(error) => {
-                error!(job = id, %error, "unreadable job record");
+                error!(job = id, %error, "cannot decode a job record; ignoring it");
                 return None;
             }
         };
@@ -244,11 +245,12 @@
         Some(CacheEvent::JobUpdated(id.to_string()))
     }
 
-    /// An own commit may have been applied ahead of the watch: a job that is over does not
-    /// become live again, and a record is not replaced by an older one.
+    /// Returns whether a record is newer than what is cached. As own commits may be applied ahead
+    /// of the watch, a job that is over does not become live again, and a record is not replaced
+    /// by an older one.
     fn is_newer_record(&self, id: &str, version: u64) -> bool {
         let known = self.jobs.get(id);
-        !self.finals.contains(id) && known.is_none_or(|job| job.version < version)
+        !self.final_states.contains(id) && known.is_none_or(|job| job.version < version)
     }
 
     /// Updates the dependency graph before a job's record is inserted or replaced.
@@ -256,7 +258,7 @@
         let was_cancelled = self.jobs.get(id).map(|job| job.record.cancelled);
         let events = &mut self.dependency_events;
         if was_cancelled.is_none() {
-            let state = |id: &str| dependency_state(&self.jobs, &self.finals, id);
+            let state = |id: &str| dependency_state(&self.jobs, &self.final_states, id);
             let dependencies = &record.spec.dependencies;
             self.dependencies.add(id, dependencies, state, events);
         }
@@ -281,7 +283,7 @@
 
     fn apply_format(&mut self, value: &Value, version: u64) {
         if version > self.format_version {
-            // A value that can't be read was written by a later version.
+            // A value that can't be decoded was written by a later version.
             let format = read_number(value).unwrap_or(u64::MAX);
             self.format = format.max(self.format);
             self.format_version = version;
@@ -320,8 +322,8 @@
         claim.take().map(|_| CacheEvent::LeaderChanged)
     }
 
-    /// Returns the place of a claim, unless it is known at this version or a later one. An own
-    /// election may be ahead of the watch, which reports the end of the old key only now.
+    /// Returns the cached claim, unless it has this version or a later one: an own election may
+    /// be applied before the watch reports the deletion of the preceding leader's key.
     fn claim_older_than(
         &mut self,
         key: ClaimKey,
@@ -335,7 +337,7 @@
         is_older.then_some(claim)
     }
 
-    /// Remembers how a job ended, once that is committed, and updates the dependency graph.
+    /// Caches the final state of a job once it is committed, and updates the dependency graph.
     pub fn record_final(&mut self, id: &str, state: FinalState) {
         let events = &mut self.dependency_events;
         match state {
@@ -343,16 +345,16 @@
             FinalState::Cancelled => self.dependencies.on_cancelled(id, events),
         }
         self.dependencies.remove(id);
-        self.finals.insert(id, state);
+        self.final_states.insert(id, state);
     }
 }
 
 fn dependency_state(
     jobs: &BTreeMap<String, LiveJob>,
-    finals: &FinalStates,
+    final_states: &FinalStates,
     id: &str,
 ) -> DependencyState {
-    match (finals.get(id), jobs.get(id)) {
+    match (final_states.get(id), jobs.get(id)) {
         (Some(state), _) => DependencyState::Over(state),
         (None, Some(job)) => DependencyState::Live {
             cancelled: job.record.cancelled,
--- a/src/write_queue/batch.rs
+++ b/src/write_queue/batch.rs
@@ -1,9 +1,9 @@
 //! The transaction under construction.
 //!
-//! The store checks all conditions of a transaction before it applies the writes. Two writes
-//! of one key would therefore both pass in a transaction, and the second would undo the first
-//! although both were reported as committed. A batch admits no request that writes a key which
-//! the batch has a condition on, or that expects another version of such a key. Each write
+//! The store checks all conditions of a transaction before it applies the writes. Two writes of
+//! the same key would therefore both pass in a transaction, and the second would overwrite the
+//! first although both were reported as committed. A batch admits no request that writes a key
+//! which the batch has a condition on, or that expects another version of such a key. Each write
 //! comes with a condition on its key, so this excludes a second write of a key.
 
 use std::collections::BTreeMap;
@@ -19,10 +19,10 @@
 /// The requests of a transaction under construction.
 #[derive(Debug)]
 pub(super) struct Batch<Owner> {
-    /// The versions that keys must have.
+    /// The expected version of each key.
     conditions: BTreeMap<String, u64>,
     writes: Vec<Write>,
-    /// Sum of the requests' estimated sizes.
+    /// Sum of the estimated sizes of the requests.
     bytes: usize,
     requests: Vec<QueuedRequest<Owner>>,
 }
@@ -45,10 +45,11 @@
         self.writes.len()
     }
 
-    /// Returns whether a request may join the batch. The first may whatever its size, as it
-    /// could never be sent otherwise.
+    /// Returns whether a request may be added to the batch. The first request is always admitted,
+    /// as one that exceeds the limits could never be sent otherwise.
     pub(super) fn admits(&self, queued: &QueuedRequest<Owner>, writes_max: usize) -> bool {
-        self.is_empty() || (self.has_room_for(queued, writes_max) && !self.clashes(&queued.request))
+        self.is_empty()
+            || (self.has_room_for(queued, writes_max) && !self.conflicts_with(&queued.request))
     }
 
     fn has_room_for(&self, queued: &QueuedRequest<Owner>, writes_max: usize) -> bool {
@@ -59,9 +60,9 @@
             && self.bytes + queued.bytes <= TRANSACTION_BYTES_MAX
     }
 
-    /// Returns whether a request and the batch exclude each other, see the module's
+    /// Returns whether a request and the batch can't be in the same transaction, see the module's
     /// documentation.
-    fn clashes(&self, request: &WriteRequest<Owner>) -> bool {
+    fn conflicts_with(&self, request: &WriteRequest<Owner>) -> bool {
         let expects_another_version = |condition: &Condition| {
             let version = self.conditions.get(&condition.key);
             version.is_some_and(|version| *version != condition.version)
--- a/src/write_queue/limits.rs
+++ b/src/write_queue/limits.rs
@@ -5,27 +5,26 @@
 
 /// No part of the rate is reserved.
 pub(super) const NO_RESERVE: f64 = 0.0;
-/// Share of the common rate that is reserved for requests to come before writes that nobody
-/// waits for are sent.
-const SPARE_RESERVE: f64 = 0.5;
+/// Part of the common rate that deferrable writes and those of duties leave to future requests.
+const DEFERRABLE_RESERVE_RATIO: f64 = 0.5;
 
-/// The limits from which records of duties may take tokens.
+/// The rate limits from which writes of duty records may take tokens.
 #[derive(Debug, Clone, Copy)]
 pub(super) enum DutyShare {
-    /// Only their own limit, as more urgent requests wait.
+    /// Only their own limit, as more urgent requests are waiting.
     OwnOnly,
-    /// Their own limit first, then what the common limit has above its reserve.
+    /// Their own limit first, then the tokens of the common limit above its reserve.
     OwnAndSpare,
 }
 
-/// The rate limits of writes.
+/// The rate limits of all write classes.
 #[derive(Debug)]
 pub(super) struct WriteLimits {
-    /// The limit that users and the leader share.
+    /// The limit that users' and the leader's writes share.
     common: TokenBucket,
     /// The part of the common limit that users' writes may take.
     user: TokenBucket,
-    /// The duties' own limit, beside the common one.
+    /// The duties' own limit, in addition to the common one.
     duty: TokenBucket,
 }
 
@@ -48,19 +47,19 @@
         self.duty.set_rate(now, rate);
     }
 
-    /// Returns whether any write may be sent at all.
+    /// Returns whether any write may be sent now. `duties_wait`: writes of duties are waiting.
     pub(super) fn may_write(&mut self, now: u64, duties_wait: bool) -> bool {
         self.common.available(now, NO_RESERVE) > 0
             || (duties_wait && self.duty.available(now, NO_RESERVE) > 0)
     }
 
-    /// Returns how many writes the common limit has above its reserve.
-    pub(super) fn spare(&mut self, now: u64) -> usize {
-        self.common.available(now, SPARE_RESERVE)
+    /// Returns the number of deferrable writes that the common limit admits now.
+    pub(super) fn tokens_above_reserve(&mut self, now: u64) -> usize {
+        self.common.available(now, DEFERRABLE_RESERVE_RATIO)
     }
 
-    /// Takes the tokens of a request of this class. Takes none and returns false if the limits
-    /// don't admit it.
+    /// Takes the tokens for a request of this class. Takes none and returns false if the limits
+    /// don't admit the request.
     pub(super) fn try_take(
         &mut self,
         now: u64,
@@ -92,16 +91,16 @@
         }
         match share {
             DutyShare::OwnOnly => false,
-            DutyShare::OwnAndSpare => self.common.try_take(now, tokens, SPARE_RESERVE),
+            DutyShare::OwnAndSpare => self.common.try_take(now, tokens, DEFERRABLE_RESERVE_RATIO),
         }
     }
 
-    /// Gives back the tokens of a request whose transaction is put back.
+    /// Returns the tokens of a request that is put back into the queue.
     ///
-    /// This is an approximation: which limits a request took its tokens from is not recorded.
+    /// This is an approximation, as it is not recorded from which limits a request took its tokens.
     ///
-    /// - A duty's writes are refunded to the duties' own limit even if they took their tokens
-    ///   from the common one.
+    /// - Duties' writes are refunded to the duties' own limit even if they took their tokens from
+    ///   the common one.
     /// - Users' writes are refunded to the common limit, but not to the users' part of it.
     /// - The token of a request without writes is not refunded.
     ///
@@ -115,8 +114,8 @@
         limit.refund(writes as f64);
     }
 
-    /// Empties the limits that requests of all classes depend on, after the store has refused a
-    /// transaction because of its own limits.
+    /// Empties the limits that requests of all classes depend on, after the store has throttled a
+    /// transaction.
     pub(super) fn drain(&mut self) {
         self.common.drain();
         self.duty.drain();
--- a/src/write_queue/mod.rs
+++ b/src/write_queue/mod.rs
@@ -1,8 +1,8 @@
-//! The queue of writes that wait for the store.
+//! The queue of writes to the store.
 //!
-//! The queue owns the requests that wait, the requests in flight, and the rate limits of
-//! writes. It groups the requests that the limits admit into transactions, most urgent class
-//! first, and reports the result of each request to its owner.
+//! The queue owns the waiting requests, the requests in flight, and the rate limits of writes. It
+//! groups the requests that the limits admit into transactions, most urgent class first, and
+//! reports the result of each request to its owner.
 //!
 //! Invariants:
 //!
@@ -34,7 +34,7 @@
 /// Maximum number of transactions in flight.
 const IN_FLIGHT_MAX: usize = 3;
 
-/// Writes that wait for the store or are in flight to it. `Owner` identifies the recipient of
+/// Writes that wait to be sent to the store or are in flight. `Owner` identifies the recipient of
 /// a request's result.
 #[derive(Debug)]
 pub struct WriteQueue<Owner> {
@@ -87,31 +87,31 @@
         self.limits.set_duty_rate(now, rate);
     }
 
-    /// Returns whether requests of this class wait to be sent.
+    /// Returns whether requests of this class are waiting to be sent.
     pub fn has_waiting(&self, class: WriteClass) -> bool {
         self.waiting
             .get(&class)
             .is_some_and(|queue| !queue.is_empty())
     }
 
-    /// Returns the number of requests that wait to be sent.
+    /// Returns the number of requests that are waiting to be sent.
     pub fn waiting_count(&self) -> usize {
         self.waiting.values().map(VecDeque::len).sum()
     }
 
-    /// Returns how many writes that nobody waits for may be queued now. Zero while other
-    /// requests wait; a reserve is kept for requests to come.
+    /// Returns how many deferrable writes may be queued now. Zero while requests are waiting; a
+    /// reserve is kept for future requests.
     pub fn spare_writes(&mut self, now: u64) -> usize {
         if self.waiting_count() > 0 {
             return 0;
         }
-        self.limits.spare(now)
+        self.limits.tokens_above_reserve(now)
     }
 
-    /// Returns the next transaction to send, if requests wait and the limits allow one.
+    /// Returns the next transaction to send, if requests are waiting and the limits admit one.
     ///
-    /// `tag` identifies the transaction in [`WriteQueue::on_outcome`]. `requests` is the limit
-    /// of requests to the store, of which the transaction takes one.
+    /// `tag` identifies the transaction in [`WriteQueue::on_outcome`]. `requests` is the rate
+    /// limit of requests to the store, from which the transaction takes one token.
     pub fn next(&mut self, now: u64, tag: u64, requests: &mut TokenBucket) -> Option<Transaction> {
         if !self.may_send(now, requests) {
             return None;
@@ -131,7 +131,7 @@
         Some(transaction)
     }
 
-    /// Checks the limits before a transaction is built, which costs far more.
+    /// Checks the limits before a transaction is built, as building one is far more expensive.
     fn may_send(&mut self, now: u64, requests: &mut TokenBucket) -> bool {
         if self.in_flight.len() >= IN_FLIGHT_MAX || self.waiting_count() == 0 {
             return false;
@@ -176,7 +176,7 @@
         }
     }
 
-    /// Makes a request the first of its class.
+    /// Puts a request back at the front of the queue of its class.
     fn put_back(&mut self, queued: QueuedRequest<Owner>) {
         let queue = self.waiting.entry(queued.request.class).or_default();
         queue.push_front(queued);
@@ -184,9 +184,9 @@
 
     /// Handles the outcome of a transaction and returns the results of its requests.
     ///
-    /// Requests that failed only because of another request's condition have no result yet:
-    /// they are put back. As each of them becomes the first of its class in turn, they are
-    /// sent again in reverse order.
+    /// Requests that failed only because of another request's condition have no result yet: they
+    /// are put back. As each of them is put at the front of its class in turn, they are sent again
+    /// in reverse order.
     pub fn on_outcome(&mut self, tag: u64, outcome: &Outcome) -> Vec<(Owner, CommitResult)> {
         let Some(group) = self.in_flight.remove(&tag) else {
             return vec![];
--- a/src/write_queue/request.rs
+++ b/src/write_queue/request.rs
@@ -3,43 +3,43 @@
 use super::result::CommitResult;
 use crate::wire::{self, Condition, Write};
 
-/// Bytes that are counted for a condition.
+/// Estimated size of a condition in a transaction.
 const CONDITION_BYTES: usize = 64;
-/// Bytes that are counted for a write beside its encoded form.
+/// Estimated size of a write in addition to its encoded form.
 const WRITE_OVERHEAD_BYTES: usize = 32;
 
 /// The class of a request, most urgent first.
 ///
-/// Users' writes are sent before the leader's, so that users don't wait behind the leader's
-/// many writes; they have a rate limit of their own, so that they don't starve the leader.
+/// Users' writes are sent before the leader's, so that users don't wait for the many writes of
+/// the leader. They also have a rate limit of their own, so that they don't starve the leader.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum WriteClass {
-    /// Writes that a user waits for.
+    /// Writes that a user is waiting for.
     User,
     /// The leader's writes.
     Leader,
-    /// Records of duties. They have a rate limit of their own, so that they neither delay the
-    /// leader's writes nor starve behind them.
+    /// Writes of duty records. They have a rate limit of their own, so that they neither delay
+    /// the leader's writes nor are starved by them.
     Duty,
 }
 
-/// Writes that are made together, or not at all.
+/// Writes that are applied atomically.
 #[derive(Debug, Clone)]
 pub struct WriteRequest<Owner> {
     /// Identifies the recipient of the result.
     pub owner: Owner,
-    /// Conditions that must all hold.
+    /// The conditions, all of which must hold for the writes to be applied.
     pub conditions: Vec<Condition>,
     /// The writes, in order.
     pub writes: Vec<Write>,
-    /// The class, which determines order and rate limit.
+    /// The class, which determines the order and the rate limit.
     pub class: WriteClass,
 }
 
-/// A request with its size, which is measured once.
+/// A request in the queue, with its size, which is estimated once.
 #[derive(Debug)]
 pub(super) struct QueuedRequest<Owner> {
-    /// Upper estimate of the size in a transaction, in bytes.
+    /// Upper estimate of the request's size in a transaction, in bytes.
     pub(super) bytes: usize,
     pub(super) request: WriteRequest<Owner>,
 }
@@ -59,8 +59,8 @@
         self.request.writes.len().max(1) as f64
     }
 
-    /// Returns whether a result of the transaction is this request's own result. A conflict is
-    /// only if one of the request's own conditions did not hold.
+    /// Returns whether the result of the transaction is also the result of this request. A conflict
+    /// is only if one of the request's own conditions did not hold.
     pub(super) fn is_affected_by(&self, result: &CommitResult) -> bool {
         let CommitResult::Conflict { failed, .. } = result else {
             return true;
@@ -72,8 +72,8 @@
     }
 }
 
-/// Returns an upper estimate of a write's size in JSON, in which the store counts; CBOR of
-/// these values is shorter by at most the quotes and the digits of numbers.
+/// Returns an upper estimate of a write's size in JSON, by which the store applies its limits. The
+/// CBOR encoding of these values is shorter by at most the quotes and the digits of numbers.
 fn write_bytes(write: &Write) -> usize {
     wire::encode(write).len() * 3 / 2 + WRITE_OVERHEAD_BYTES
 }
--- a/src/write_queue/result.rs
+++ b/src/write_queue/result.rs
@@ -1,4 +1,4 @@
-//! Classification of the outcomes of transactions.
+//! The results of write requests, derived from the outcomes of transactions.
 
 use crate::net::{status, Outcome};
 use crate::wire::{self, TransactionReply};
@@ -6,27 +6,27 @@
 /// The result of a write request.
 #[derive(Debug, Clone, PartialEq)]
 pub enum CommitResult {
-    /// The writes were made.
+    /// The writes were applied.
     Committed {
         /// The revision of the writes.
         revision: u64,
     },
-    /// The writes were not made, as conditions did not hold.
+    /// The writes were not applied, as conditions did not hold.
     Conflict {
         /// The keys of the conditions that did not hold.
         failed: Vec<String>,
         /// The revision at which the conditions were checked.
         revision: u64,
     },
-    /// The writes were not made.
+    /// The writes were not applied, as the transaction was refused or never sent.
     Rejected,
-    /// Unknown outcome: the writes may have been made, or may yet be made later.
+    /// The outcome is unknown: the writes may have been applied, or may still be applied later.
     Unknown,
 }
 
 impl CommitResult {
-    /// Classifies the outcome of a transaction. Only a reply that was received and says so, or
-    /// a request that was never sent, shows that the writes were not made.
+    /// Classifies the outcome of a transaction. Only a received reply that says so, or a request
+    /// that was never sent, proves that the writes were not applied.
     pub(super) fn from_outcome(outcome: &Outcome) -> CommitResult {
         match outcome {
             Outcome::Answer { status, body } => CommitResult::from_reply(*status, body),
@@ -44,7 +44,7 @@
     }
 }
 
-/// A malformed body leaves open at which revision the writes were made.
+/// If the body is malformed, the revision of the writes is not known, so the result is unknown.
 fn committed(body: &[u8]) -> CommitResult {
     match wire::decode::<TransactionReply>(body) {
         Ok(reply) => CommitResult::Committed {
@@ -64,7 +64,7 @@
     }
 }
 
-/// Returns whether the store refused the transaction because of its rate limits.
+/// Returns whether the store throttled the transaction.
 pub(super) fn is_throttled(outcome: &Outcome) -> bool {
     matches!(
         outcome,
--- a/src/write_queue/stats.rs
+++ b/src/write_queue/stats.rs
@@ -1,15 +1,15 @@
-//! Statistics of the write queue, for the log.
+//! Statistics of the write queue, for the periodic log event.
 
 use super::result::CommitResult;
 
-/// Counts since the statistics were last taken.
+/// Counts since the last [`super::WriteQueue::take_stats`].
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
 pub struct WriteStats {
     /// Transactions sent.
     pub transactions: u64,
     /// Writes sent.
     pub writes: u64,
-    /// Transactions that the store refused because of its rate limits.
+    /// Transactions that the store throttled, because of its rate limits.
     pub throttled: u64,
     /// Transactions with a condition that did not hold.
     pub conflicts: u64,
