--- a/src/leadership_keys.rs
+++ b/src/leadership_keys.rs
@@ -1,8 +1,9 @@
 //! The keys of the store that hold the leadership, the epoch and the format version.
 //!
 //! Versions before format 1 can't read packed records, and a rollback may start one after the
-//! format was raised. From format 1 on, leaders are therefore elected by a key that those versions don't
-//! know, and the key that they know is fenced: it names a leader that never gives way.
+//! format was raised. From format 1 on, leaders are therefore elected by a key that those
+//! versions don't know, and the key that they know is fenced: it names a leader that never
+//! resigns.
 
 use crate::epoch::Epoch;
 use ciborium::Value;
@@ -14,7 +15,7 @@
 /// ignore this key, as they do all unknown keys below [`LEADERSHIP_PREFIX`].
 pub const FORMAT_KEY: &str = "g/l/format";
 /// The leader key before format 1, held by the leader while its grant is valid. From format 1 on
-/// it is never deleted and names [`SUPERSEDED`].
+/// it is never deleted and names [`SUPERSEDED_LEADER`].
 pub const LEADER_KEY: &str = "g/l/leader";
 /// The leader key from format 1 on, held by the leader while its grant is valid.
 pub const LEASE_KEY: &str = "g/l/lease";
@@ -23,7 +24,7 @@
 /// The leader that versions before format 1 see from format 1 on. No controller has this id, so a
 /// controller that is rolled back to such a version follows and can't be elected: it could not read
 /// the records.
-pub const SUPERSEDED: &str = "superseded by format 1";
+pub const SUPERSEDED_LEADER: &str = "superseded by format 1";
 
 /// The value of [`LEADER_KEY`] and [`LEASE_KEY`].
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
@@ -38,7 +39,7 @@
     /// Returns the value of [`LEADER_KEY`] from format 1 on.
     pub fn superseded() -> LeaderKey {
         LeaderKey {
-            member: SUPERSEDED.into(),
+            member: SUPERSEDED_LEADER.into(),
             epoch: Epoch::NONE,
         }
     }
--- a/src/watch_cache/mod.rs
+++ b/src/watch_cache/mod.rs
@@ -26,7 +26,7 @@
 use crate::duties::DutyRecords;
 use crate::epoch::Epoch;
 use crate::job::{FinalState, JobRecord};
-use crate::leadership_keys::{read_number, Fence, LeaderKey, SUPERSEDED};
+use crate::leadership_keys::{read_number, Fence, LeaderKey, SUPERSEDED_LEADER};
 use crate::wire::{KeyChange, Page};
 use final_states::FinalStates;
 use keys::{ClaimKey, KeyKind};
@@ -65,7 +65,7 @@
 impl VersionedLeaderKey {
     /// Returns whether the key only keeps versions before format 1 from leading.
     fn is_superseded(&self) -> bool {
-        self.key.member == SUPERSEDED
+        self.key.member == SUPERSEDED_LEADER
     }
 }
 
