--- a/src/machine/termination.rs
+++ b/src/machine/termination.rs
@@ -61,10 +61,10 @@
 impl fmt::Display for TerminationReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            TerminationReason::Failed => "failed in the cloud",
+            TerminationReason::Failed => "failed",
             TerminationReason::SpotInterruption => "spot interruption",
             TerminationReason::NotListed => "no longer listed by the cloud",
-            TerminationReason::Silent => "no status from the agent",
+            TerminationReason::Silent => "silent",
             TerminationReason::Unreachable => "commands do not reach the agent",
             TerminationReason::Idle => "idle",
             TerminationReason::Unknown => "unknown to the cloud",
