--- a/src/controller/commits.rs
+++ b/src/controller/commits.rs
@@ -65,7 +65,7 @@
         let now = self.clock.steady_ms();
         let final_state = write.final_state;
         if let (CommitResult::Committed { .. }, Some(state)) = (result, final_state) {
-            self.watch_cache.record_final(&write.job, state);
+            self.watch_cache.record_final_state(&write.job, state);
             self.watch_cache.jobs.remove(&write.job);
             self.forward_dependency_events();
         }
--- a/src/controller/dependencies.rs
+++ b/src/controller/dependencies.rs
@@ -14,7 +14,7 @@
 use crate::dependencies::{DependencyEvent, DependencyState};
 use crate::job::FinalState;
 use crate::net::Outcome;
-use crate::watch_cache::{final_key, job_key};
+use crate::watch_cache::{final_state_key, job_key};
 use crate::wire;
 
 /// Maximum number of look-ups in flight.
@@ -70,7 +70,7 @@
     fn key(self, id: &str) -> String {
         match self {
             DependencyRecord::Live => job_key(id),
-            DependencyRecord::Final => final_key(id),
+            DependencyRecord::Final => final_state_key(id),
         }
     }
 }
@@ -164,7 +164,7 @@
                 return;
             }
             self.dependency_lookups.begin(&dependency);
-            let call = HttpCall::get_key(&final_key(&dependency));
+            let call = HttpCall::get_key(&final_state_key(&dependency));
             let pending = PendingCall::LookUpDependency { dependency };
             self.outbox.call_store(pending, call);
         }
@@ -192,7 +192,7 @@
                 return None;
             }
         };
-        self.watch_cache.record_final(id, state);
+        self.watch_cache.record_final_state(id, state);
         self.forward_dependency_events();
         Some(state)
     }
--- a/src/controller/leadership.rs
+++ b/src/controller/leadership.rs
@@ -12,7 +12,7 @@
 use crate::leader_lease::{
     Election, LeaderLease, LeadershipTransition, LeaseRequest, LeaseResponse,
 };
-use crate::leadership_keys::{Fence, LeaderKey, EPOCH_KEY, LEADER_KEY, LEASE_KEY};
+use crate::leadership_keys::{LeaderKey, VersionFence, EPOCH_KEY, LEADER_KEY, LEASE_KEY};
 use crate::net::{status, Outcome};
 use crate::scheduler::Term;
 use crate::watch_cache::WatchCache;
@@ -27,7 +27,7 @@
     pub epoch: Epoch,
     /// The version of the leader key.
     pub version: u64,
-    pub fence: Fence,
+    pub fence: VersionFence,
 }
 
 /// The effect of a lease request's outcome on leadership.
@@ -68,7 +68,7 @@
 
     /// Whether this controller holds the lease and it cannot have expired at `now`.
     pub(super) fn is_certain(&self, now: u64) -> bool {
-        self.lease.is_certain(now)
+        self.lease.holds_valid_lease(now)
     }
 
     /// The next lease request, if one is due.
@@ -166,7 +166,7 @@
         epoch: election.epoch,
     };
     let mut writes = Vec::new();
-    if election.fence == Fence::Raise {
+    if election.fence == VersionFence::Raise {
         writes.push(Write::leader(LEADER_KEY, &LeaderKey::superseded(), None));
     }
     let own_key = election.fence.leader_key();
--- a/src/controller/user_requests.rs
+++ b/src/controller/user_requests.rs
@@ -15,7 +15,7 @@
 use super::Controller;
 use crate::net::{status, Outcome};
 use crate::peer_protocol::{ForwardedReply, ForwardedRequest, FORWARD_PATH};
-use crate::watch_cache::{final_key, job_key};
+use crate::watch_cache::{final_state_key, job_key};
 use crate::wire::{self, Condition, Write};
 use crate::write_queue::{CommitResult, WriteClass, WriteRequest};
 
@@ -180,7 +180,7 @@
 
     fn read_final_state(&mut self, request_id: u64, job_id: &str) {
         self.users.set_stage(request_id, RequestStage::Read);
-        let call = HttpCall::get_key(&final_key(job_id));
+        let call = HttpCall::get_key(&final_state_key(job_id));
         self.outbox
             .call_store(PendingCall::ReadFinalState { user: request_id }, call);
     }
--- a/src/controller/user_submissions.rs
+++ b/src/controller/user_submissions.rs
@@ -8,7 +8,7 @@
 use super::user_types::{RejectionReason, RequestStage, UserRequest};
 use super::Controller;
 use crate::job::{JobRecord, JobSpec};
-use crate::watch_cache::{final_key, job_key};
+use crate::watch_cache::{final_state_key, job_key};
 use crate::wire::{Condition, Write};
 use crate::write_queue::{WriteClass, WriteRequest};
 
@@ -55,7 +55,7 @@
             owner: WriteOwner::User(request_id),
             conditions: vec![
                 Condition::new(job_key(job), 0),
-                Condition::new(final_key(job), 0),
+                Condition::new(final_state_key(job), 0),
             ],
             writes: vec![Write::set(job_key(job), record.to_value(self.format()))],
             class: WriteClass::User,
--- a/src/duties/query.rs
+++ b/src/duties/query.rs
@@ -12,7 +12,7 @@
 
 use super::keys::DUTIES_PREFIX;
 use super::report::DutyReport;
-use crate::leadership_keys::{read_number, FORMAT_KEY};
+use crate::leadership_keys::{decode_u64, FORMAT_KEY};
 use crate::net::{status, ConnectionLimits, Event, EventLoop, Outcome};
 use crate::settings::Settings;
 use crate::wire::{self, KeyValue, Page};
@@ -110,7 +110,7 @@
         }
         let body = self.expect_ok(response)?;
         let pair = wire::decode::<KeyValue>(&body);
-        let format = pair.ok().and_then(|pair| read_number(&pair.value));
+        let format = pair.ok().and_then(|pair| decode_u64(&pair.value));
         format.ok_or(QueryError::Unreadable(self.address))
     }
 
--- a/src/leader_lease.rs
+++ b/src/leader_lease.rs
@@ -20,7 +20,7 @@
 
 use crate::epoch::Epoch;
 use crate::job::PACKED_FORMAT;
-use crate::leadership_keys::Fence;
+use crate::leadership_keys::VersionFence;
 use crate::settings::{ClusterSettings, OperatorSettings};
 use crate::time_units::to_ms;
 use crate::watch_cache::{VersionedLeaderKey, WatchCache};
@@ -70,7 +70,7 @@
     /// The version of [`crate::leadership_keys::EPOCH_KEY`]; 0 if it does not exist.
     pub epoch_version: u64,
     /// How versions before format 1 are kept from leading.
-    pub fence: Fence,
+    pub fence: VersionFence,
 }
 
 /// A request to the store.
@@ -178,7 +178,7 @@
 
     /// Returns whether this controller leads and its grant is certain to be valid, even if clocks
     /// drift.
-    pub fn is_certain(&self, now: u64) -> bool {
+    pub fn holds_valid_lease(&self, now: u64) -> bool {
         self.is_leading() && now < self.renewed_at + self.ttl_ms * TTL_CERTAIN_TENTHS / 10
     }
 
@@ -247,16 +247,16 @@
         }
     }
 
-    fn fence(&self, watch_cache: &WatchCache) -> Fence {
+    fn fence(&self, watch_cache: &WatchCache) -> VersionFence {
         let is_packed = watch_cache.format >= PACKED_FORMAT;
         if watch_cache.is_superseded() {
-            Fence::Raised
+            VersionFence::Raised
         } else if is_packed && self.writes_max >= FENCE_RAISE_WRITES {
-            Fence::Raise
+            VersionFence::Raise
         } else {
             // Versions before format 1 may still run, or transactions are too small to raise the
             // fence.
-            Fence::None
+            VersionFence::None
         }
     }
 
--- a/src/leadership_keys.rs
+++ b/src/leadership_keys.rs
@@ -47,7 +47,7 @@
 
 /// How an election keeps versions before format 1 from leading.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Fence {
+pub enum VersionFence {
     /// Not at all: such versions may run and lead. The election acquires [`LEADER_KEY`].
     None,
     /// The election acquires [`LEASE_KEY`], and the same transaction sets [`LEADER_KEY`] to
@@ -57,18 +57,18 @@
     Raised,
 }
 
-impl Fence {
+impl VersionFence {
     /// Returns the key that the election acquires.
     pub fn leader_key(self) -> &'static str {
         match self {
-            Fence::None => LEADER_KEY,
-            Fence::Raise | Fence::Raised => LEASE_KEY,
+            VersionFence::None => LEADER_KEY,
+            VersionFence::Raise | VersionFence::Raised => LEASE_KEY,
         }
     }
 }
 
 /// Decodes a whole number; `None` if the value is anything else or out of range.
-pub(crate) fn read_number(value: &Value) -> Option<u64> {
+pub(crate) fn decode_u64(value: &Value) -> Option<u64> {
     let integer = value.as_integer()?;
     u64::try_from(i128::from(integer)).ok()
 }
--- a/src/machine/heartbeat_responses.rs
+++ b/src/machine/heartbeat_responses.rs
@@ -79,7 +79,7 @@
 
 /// A heartbeat from which to tell whether responses reach the agent.
 #[derive(Debug)]
-pub struct AnswerCheck<'a> {
+pub struct ReachabilityCheck<'a> {
     /// The status in the heartbeat.
     pub status: &'a AgentStatus,
     /// Whether the agent has begun a new incarnation since its last status.
--- a/src/machine/mod.rs
+++ b/src/machine/mod.rs
@@ -21,7 +21,7 @@
 use crate::wire::{AgentStatus, MachineType};
 use heartbeat_responses::{ResponseEffect, ResponseTracker};
 
-pub use heartbeat_responses::{AnswerCheck, ExpectedEffect};
+pub use heartbeat_responses::{ExpectedEffect, ReachabilityCheck};
 pub use image_cache::ImageCache;
 pub use tasks::{BoundTask, ExitCause, ReportedTask, TaskPhase};
 pub use termination::{TerminationClass, TerminationReason};
@@ -30,7 +30,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CloudStatus {
     /// No list has shown the machine yet.
-    NotListed,
+    NotYetListed,
     /// The machine is booting.
     Starting,
     /// The machine is running.
@@ -38,7 +38,7 @@
     /// The machine has stopped without a request to terminate it.
     Failed,
     /// An earlier list showed the machine, and the last one does not.
-    Gone,
+    NoLongerListed,
 }
 
 /// A rented machine. All times are those of the steady clock, in milliseconds.
@@ -81,14 +81,14 @@
     /// The machine's status in the cloud's list.
     pub cloud_status: CloudStatus,
     /// When this controller first learned of the machine.
-    pub known_since: u64,
+    pub first_seen_at: u64,
     /// When the first status was received.
-    pub up_since: Option<u64>,
+    pub first_status_at: Option<u64>,
     /// Since when the machine has been idle: ready for tasks, but without any.
     pub idle_since: Option<u64>,
     /// When the planner last counted on the machine for a gang that lacks other machines; 0 if
     /// never.
-    pub needed_at: u64,
+    pub last_needed_by_gang_at: u64,
     /// The images that its cache is expected to hold.
     pub images: ImageCache,
     /// Why the machine is drained: it gets no new tasks, and is terminated once it is empty or
@@ -97,16 +97,16 @@
     /// When a request to terminate the machine was last sent.
     pub termination_sent_at: Option<u64>,
     /// The earliest time at which to send the request to terminate the machine again.
-    pub next_termination_at: u64,
+    pub next_termination_attempt_at: u64,
     /// When a status was last requested from its agent.
     pub last_probe_at: u64,
     /// When a direct start was last sent; `None` once its outcome is known.
-    pub direct_start_at: Option<u64>,
+    pub unconfirmed_direct_start_at: Option<u64>,
     /// No direct starts are sent before this time, as a connection to the agent has failed.
-    pub unreachable_until: u64,
+    pub direct_starts_paused_until: u64,
     heartbeat_responses: ResponseTracker,
     /// Number of consecutive heartbeats without any expected effect of the preceding response.
-    pub ineffective_answers: u32,
+    pub ineffective_responses: u32,
     /// Whether the agent began a new incarnation although its heartbeats were responded to.
     /// Either it resumed after a hang, or the responses do not reach it, so the machine gets no
     /// tasks until the agent has responded to a request.
@@ -114,7 +114,7 @@
     /// Jobs with a task that failed on the machine since a task last completed on it.
     pub failed_jobs: BTreeSet<Arc<str>>,
     /// The cached planner's view of the machine; `None` once a change has invalidated it.
-    pub view: Option<Arc<MachineView>>,
+    pub cached_view: Option<Arc<MachineView>>,
 }
 
 impl Machine {
@@ -136,23 +136,23 @@
             has_no_orphans: true,
             reservations: vec![],
             interruption_deadline: None,
-            cloud_status: CloudStatus::NotListed,
-            known_since: now,
-            up_since: None,
+            cloud_status: CloudStatus::NotYetListed,
+            first_seen_at: now,
+            first_status_at: None,
             idle_since: None,
-            needed_at: 0,
+            last_needed_by_gang_at: 0,
             images: ImageCache::default(),
             termination_reason: None,
             termination_sent_at: None,
-            next_termination_at: 0,
+            next_termination_attempt_at: 0,
             last_probe_at: 0,
-            direct_start_at: None,
-            unreachable_until: 0,
+            unconfirmed_direct_start_at: None,
+            direct_starts_paused_until: 0,
             heartbeat_responses: ResponseTracker::default(),
-            ineffective_answers: 0,
+            ineffective_responses: 0,
             reachability_unverified: false,
             failed_jobs: BTreeSet::new(),
-            view: None,
+            cached_view: None,
         }
     }
 
@@ -171,8 +171,8 @@
         self.serial = status.serial;
         self.epoch = status.epoch;
         self.last_status_at = Some(now);
-        self.up_since.get_or_insert(now);
-        if self.address.is_none() || self.view.is_none() {
+        self.first_status_at.get_or_insert(now);
+        if self.address.is_none() || self.cached_view.is_none() {
             self.address = status.endpoint.parse().ok().or(self.address);
         }
         self.set_kind(&status.machine_type, &status.zone, status.spot);
@@ -180,7 +180,7 @@
         if !tasks::has_same_tasks(status, &self.reported_tasks) {
             self.reported_tasks = tasks::reported_tasks(status);
             self.has_no_orphans = false;
-            self.view = None;
+            self.cached_view = None;
         }
         true
     }
@@ -191,14 +191,14 @@
             self.machine_type = machine_type.into();
             self.zone = zone.into();
             self.spot = spot;
-            self.view = None;
+            self.cached_view = None;
         }
     }
 
     /// For how long no status has been received, in a leader's term that began at
     /// `term_began_at`: the time before the term does not count.
     pub fn silent_ms(&self, term_began_at: u64, now: u64) -> u64 {
-        let last_status_at = self.last_status_at.unwrap_or(self.known_since);
+        let last_status_at = self.last_status_at.unwrap_or(self.first_seen_at);
         now.saturating_sub(last_status_at.max(term_began_at))
     }
 
@@ -227,7 +227,7 @@
     }
 
     /// Caches that there are no orphans, as each plan enumerates the orphans of all machines.
-    pub fn update_orphans(&mut self) {
+    pub fn update_orphan_flag(&mut self) {
         if !self.has_no_orphans {
             let is_empty = self.orphans().next().is_none();
             self.has_no_orphans = is_empty;
@@ -241,23 +241,26 @@
             *bound_task.job != *job || task.is_some_and(|task| task != bound_task.task)
         });
         self.has_no_orphans = false;
-        self.view = None;
+        self.cached_view = None;
     }
 
     /// Whether the machine stays in service: it is neither drained for its termination nor about
     /// to be reclaimed by the cloud.
-    pub fn is_retained(&self) -> bool {
+    pub fn is_in_service(&self) -> bool {
         self.termination_reason.is_none() && self.interruption_deadline.is_none()
     }
 
     /// Whether the cloud's list shows that the machine no longer runs: it has failed, or is no
     /// longer listed.
-    pub fn is_dead(&self) -> bool {
-        matches!(self.cloud_status, CloudStatus::Failed | CloudStatus::Gone)
+    pub fn has_stopped(&self) -> bool {
+        matches!(
+            self.cloud_status,
+            CloudStatus::Failed | CloudStatus::NoLongerListed
+        )
     }
 
     /// Whether the machine has booted, so that its agent is expected to send heartbeats.
-    pub fn is_up(&self) -> bool {
+    pub fn has_booted(&self) -> bool {
         self.last_status_at.is_some() || self.cloud_status == CloudStatus::Running
     }
 
@@ -279,7 +282,7 @@
     }
 
     /// Records that the response to a heartbeat is sent.
-    pub fn on_heartbeat_answered(&mut self, now: u64) {
+    pub fn record_heartbeat_response(&mut self, now: u64) {
         self.heartbeat_responses.record_response(now);
     }
 
@@ -297,12 +300,12 @@
 
     /// Records that the agent has responded to a request. Returns whether its reachability was
     /// unverified until then.
-    pub fn verify_reachability(&mut self) -> bool {
+    pub fn mark_reachable(&mut self) -> bool {
         std::mem::take(&mut self.reachability_unverified)
     }
 
     /// Checks from a new heartbeat whether responses reach the agent.
-    pub fn check_reachability(&mut self, check: &AnswerCheck) {
+    pub fn check_reachability(&mut self, check: &ReachabilityCheck) {
         if check.is_lagging {
             // The agent may have discarded the last response as too late.
             self.heartbeat_responses.discard_response();
@@ -312,8 +315,8 @@
                 .check_effect(check.status, &self.reported_tasks)
             {
                 ResponseEffect::NotExpected => {}
-                ResponseEffect::Shown => self.ineffective_answers = 0,
-                ResponseEffect::Missing => self.ineffective_answers += 1,
+                ResponseEffect::Shown => self.ineffective_responses = 0,
+                ResponseEffect::Missing => self.ineffective_responses += 1,
             }
             self.reachability_unverified |= check.is_new_incarnation
                 && self
@@ -329,7 +332,7 @@
     /// responses do reach the agent. Otherwise a machine with long tasks, which is sent no
     /// commands for minutes, would get no new tasks for as long.
     fn clear_expired_suspicion(&mut self, timeout_ms: u64, now: u64) {
-        let is_suspected = self.ineffective_answers > 0 || self.reachability_unverified;
+        let is_suspected = self.ineffective_responses > 0 || self.reachability_unverified;
         if is_suspected
             && !self
                 .heartbeat_responses
@@ -338,7 +341,7 @@
             return;
         }
         self.heartbeat_responses.clear_suspicion();
-        self.ineffective_answers = 0;
+        self.ineffective_responses = 0;
         self.reachability_unverified = false;
     }
 
@@ -346,7 +349,7 @@
     pub fn add_image(&mut self, image: &str, size_gb: f64, machine_type: Option<&MachineType>) {
         let capacity_gb = machine_type.map_or(f64::INFINITY, |machine_type| machine_type.cache_gb);
         if self.images.add(image, size_gb, capacity_gb) {
-            self.view = None;
+            self.cached_view = None;
         }
     }
 }
--- a/src/machine/termination.rs
+++ b/src/machine/termination.rs
@@ -10,7 +10,7 @@
     /// The cloud has reclaimed the machine after a spot interruption notice.
     SpotInterruption,
     /// The cloud no longer lists the machine.
-    NotListed,
+    NoLongerListed,
     /// No status has been received from its agent for too long.
     Silent,
     /// Its agent sends heartbeats, but neither commands nor responses reach the agent.
@@ -18,15 +18,15 @@
     /// The machine has been idle for too long.
     Idle,
     /// Only a record names the machine; neither its agent nor the cloud's list has shown it.
-    Unknown,
+    NeverSeen,
     /// The machine did not boot in the expected time.
     NeverBooted,
     /// A task failed on the machine, which is drained before it is terminated.
     TaskFailed,
     /// Its agent still sends statuses although a request to terminate the machine was sent.
-    TerminationSent,
+    StillReporting,
     /// The termination is recorded in the store, perhaps by an earlier leader.
-    OnRecord,
+    AlreadyRecorded,
 }
 
 /// Which checks precede the termination of a machine.
@@ -44,16 +44,16 @@
     /// Returns which checks precede a termination for this reason.
     pub fn class(self) -> TerminationClass {
         match self {
-            TerminationReason::Idle | TerminationReason::OnRecord => TerminationClass::Idle,
+            TerminationReason::Idle | TerminationReason::AlreadyRecorded => TerminationClass::Idle,
             TerminationReason::TaskFailed => TerminationClass::Drained,
             TerminationReason::Failed
             | TerminationReason::SpotInterruption
-            | TerminationReason::NotListed
+            | TerminationReason::NoLongerListed
             | TerminationReason::Silent
             | TerminationReason::Unreachable
-            | TerminationReason::Unknown
+            | TerminationReason::NeverSeen
             | TerminationReason::NeverBooted
-            | TerminationReason::TerminationSent => TerminationClass::Lost,
+            | TerminationReason::StillReporting => TerminationClass::Lost,
         }
     }
 }
@@ -63,17 +63,17 @@
         f.write_str(match self {
             TerminationReason::Failed => "failed",
             TerminationReason::SpotInterruption => "spot interruption",
-            TerminationReason::NotListed => "no longer listed by the cloud",
+            TerminationReason::NoLongerListed => "no longer listed by the cloud",
             TerminationReason::Silent => "silent",
             TerminationReason::Unreachable => "commands do not reach the agent",
             TerminationReason::Idle => "idle",
-            TerminationReason::Unknown => "unknown to the cloud",
+            TerminationReason::NeverSeen => "unknown to the cloud",
             TerminationReason::NeverBooted => "never booted",
             TerminationReason::TaskFailed => "task failed",
-            TerminationReason::TerminationSent => {
+            TerminationReason::StillReporting => {
                 "agent still running after the termination request"
             }
-            TerminationReason::OnRecord => "termination recorded earlier",
+            TerminationReason::AlreadyRecorded => "termination recorded earlier",
         })
     }
 }
--- a/src/scheduler/agent_status.rs
+++ b/src/scheduler/agent_status.rs
@@ -8,7 +8,9 @@
 use super::task_observation::{ReceivedStatus, TaskObservation};
 use super::{to_ms, Scheduler};
 use crate::job::task_name;
-use crate::machine::{AnswerCheck, BoundTask, ExitCause, Machine, TaskPhase, TerminationReason};
+use crate::machine::{
+    BoundTask, ExitCause, Machine, ReachabilityCheck, TaskPhase, TerminationReason,
+};
 use crate::plan::Resources;
 use crate::wire::{self, AgentStatus, Command};
 
@@ -108,12 +110,12 @@
         }
         self.partition.on_status(now);
         if machine.termination_sent_at.is_some() && machine.termination_reason.is_none() {
-            machine.termination_reason = Some(TerminationReason::TerminationSent);
+            machine.termination_reason = Some(TerminationReason::StillReporting);
         }
         let was_verified = match origin {
-            StatusOrigin::DirectResponse => machine.verify_reachability(),
+            StatusOrigin::DirectResponse => machine.mark_reachable(),
             StatusOrigin::Heartbeat => {
-                machine.check_reachability(&AnswerCheck {
+                machine.check_reachability(&ReachabilityCheck {
                     status,
                     is_new_incarnation: was_heard && machine.incarnation > old_incarnation,
                     is_lagging,
@@ -143,7 +145,7 @@
         let machine = self.machines.get(&status.machine)?;
         let has_current_epoch = status.epoch >= self.term.epoch;
         let mut effects = StatusEffects {
-            may_start: machine.is_retained() && has_current_epoch,
+            may_start: machine.is_in_service() && has_current_epoch,
             freed_capacity: is_newly_free(machine, received, schedulability),
             start_pending: false,
         };
@@ -265,7 +267,7 @@
             let task = task_name(&bound_task.job, bound_task.task);
             debug!(task, machine = status.machine, "task is running");
             placement.running_since = Some(received.now);
-            machine.view = None;
+            machine.cached_view = None;
         }
         let was_fetching = placement
             .phase
@@ -290,9 +292,9 @@
             })
             .collect();
         if !start_pending {
-            machine.direct_start_at = None;
+            machine.unconfirmed_direct_start_at = None;
         }
-        machine.update_orphans();
+        machine.update_orphan_flag();
         machine.update_idle(self.term.epoch, now);
         self.direct_commands.extend(machine.name.clone(), stops);
     }
--- a/src/scheduler/bindings.rs
+++ b/src/scheduler/bindings.rs
@@ -27,7 +27,7 @@
             spot: job.spec.spot,
         });
         machine.idle_since = None;
-        machine.view = None;
+        machine.cached_view = None;
         job.placements.push(placement);
         self.quota_cache.invalidate();
     }
@@ -65,7 +65,7 @@
         for name in std::mem::take(&mut job.reserved_machines) {
             if let Some(machine) = self.machines.get_mut(&*name) {
                 machine.reservations.retain(|held| *held.job != *job.id);
-                machine.view = None;
+                machine.cached_view = None;
             }
         }
         self.needs_planning = true;
--- a/src/scheduler/commands.rs
+++ b/src/scheduler/commands.rs
@@ -40,7 +40,7 @@
             // the response.
             return vec![];
         }
-        machine.on_heartbeat_answered(now);
+        machine.record_heartbeat_response(now);
         let name = machine.name.clone();
         let mut response = ResponseBuilder::default();
         if status.epoch >= self.term.epoch {
--- a/src/scheduler/decisions.rs
+++ b/src/scheduler/decisions.rs
@@ -53,7 +53,7 @@
         }
         for name in decision.unmet.iter().flat_map(|unmet| &unmet.machines) {
             if let Some(machine) = self.machines.get_mut(&**name) {
-                machine.needed_at = now;
+                machine.last_needed_by_gang_at = now;
             }
         }
         self.scale_out(&decision.unmet, requests_max, PlanTime { now, wall_ms });
@@ -72,7 +72,7 @@
             priority: job.spec.priority,
         });
         machine.idle_since = None;
-        machine.view = None;
+        machine.cached_view = None;
         job.reserved_machines.insert(reservation.machine);
         job.reserved_at = now;
     }
--- a/src/scheduler/dependency_links.rs
+++ b/src/scheduler/dependency_links.rs
@@ -91,7 +91,7 @@
                 Arc::make_mut(&mut job.spec).priority = spec.priority;
                 for placement in &job.placements {
                     if let Some(machine) = self.machines.get_mut(&*placement.machine) {
-                        machine.view = None;
+                        machine.cached_view = None;
                     }
                 }
             }
--- a/src/scheduler/gangs.rs
+++ b/src/scheduler/gangs.rs
@@ -92,7 +92,7 @@
         for placement in placements.filter(|placement| placement.is_start_pending()) {
             let machine = self.machines.get(&*placement.machine);
             let is_unsendable = machine.is_none_or(|machine| {
-                !machine.is_retained()
+                !machine.is_in_service()
                     || machine.silent_ms(self.began_at, now) > silence_tolerance_ms
             });
             if is_unsendable {
@@ -154,7 +154,7 @@
         let is_grace_over = now > job.reserved_at + grace_ms;
         job.reserved_machines.iter().any(|name| {
             self.machines.get(&**name).is_none_or(|machine| {
-                !machine.is_retained() || (is_grace_over && !self.has_stopping_tasks(machine))
+                !machine.is_in_service() || (is_grace_over && !self.has_stopping_tasks(machine))
             })
         })
     }
--- a/src/scheduler/machine_list.rs
+++ b/src/scheduler/machine_list.rs
@@ -26,7 +26,7 @@
         }
         for machine in self.machines.values_mut() {
             if !names.contains(&*machine.name) && should_be_listed(machine, lag_ms, requested_at) {
-                machine.cloud_status = CloudStatus::Gone;
+                machine.cloud_status = CloudStatus::NoLongerListed;
             }
         }
         self.terminations.remove_expired(lag_ms, now);
@@ -74,7 +74,7 @@
     fn retry_termination(&mut self, name: &str, now: u64) {
         if let Some(machine) = self.machines.get_mut(name) {
             machine.termination_sent_at = Some(now);
-            machine.next_termination_at = now + TERMINATION_RETRY_MS;
+            machine.next_termination_attempt_at = now + TERMINATION_RETRY_MS;
         }
     }
 
@@ -105,9 +105,9 @@
 fn should_be_listed(machine: &Machine, lag_ms: u64, requested_at: u64) -> bool {
     let was_listed = !matches!(
         machine.cloud_status,
-        CloudStatus::NotListed | CloudStatus::Gone
+        CloudStatus::NotYetListed | CloudStatus::NoLongerListed
     );
-    let is_settled = machine.known_since + 2 * lag_ms < requested_at
+    let is_settled = machine.first_seen_at + 2 * lag_ms < requested_at
         || machine.cloud_status == CloudStatus::Running;
-    was_listed && is_settled && machine.known_since + lag_ms < requested_at
+    was_listed && is_settled && machine.first_seen_at + lag_ms < requested_at
 }
--- a/src/scheduler/machine_views.rs
+++ b/src/scheduler/machine_views.rs
@@ -27,13 +27,16 @@
     /// from a machine that this controller's answers do not reach.
     pub(super) fn accepts_tasks(&self, machine: &Machine, now: u64) -> bool {
         let silence_tolerance_ms = self.silence_tolerance_ms();
-        let last_heartbeat_at = machine.last_heartbeat_at.or(machine.up_since).unwrap_or(0);
-        machine.is_retained()
-            && !machine.is_dead()
+        let last_heartbeat_at = machine
+            .last_heartbeat_at
+            .or(machine.first_status_at)
+            .unwrap_or(0);
+        machine.is_in_service()
+            && !machine.has_stopped()
             && !self.terminations.is_recorded(&machine.name)
             && machine.last_status_at.is_some()
             && machine.epoch >= self.term.epoch
-            && machine.ineffective_answers == 0
+            && machine.ineffective_responses == 0
             && !machine.is_reachability_unverified()
             && machine.silent_ms(self.began_at, now) <= silence_tolerance_ms
             && now.saturating_sub(last_heartbeat_at.max(self.began_at)) <= silence_tolerance_ms
@@ -64,14 +67,14 @@
         let mut new_views = Vec::new();
         let mut unreliable = HashSet::new();
         for (name, machine) in &self.machines {
-            if !machine.is_retained() {
+            if !machine.is_in_service() {
                 unreliable.insert(machine.name.clone());
                 continue;
             }
             if !self.accepts_tasks(machine, time.now) {
                 continue;
             }
-            if let Some(view) = &machine.view {
+            if let Some(view) = &machine.cached_view {
                 views.push(view.clone());
             } else if let Some(machine_type) = self.catalog.machine_type(&machine.machine_type) {
                 let view = Arc::new(self.view_of_machine(machine, machine_type, time));
@@ -81,7 +84,7 @@
         }
         for (name, view) in new_views {
             if let Some(machine) = self.machines.get_mut(&name) {
-                machine.view = Some(view);
+                machine.cached_view = Some(view);
             }
         }
         MachineViews { views, unreliable }
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -270,7 +270,7 @@
     pub fn set_machine_types(&mut self, machine_types: Arc<Vec<MachineType>>) {
         self.catalog = MachineCatalog::new(machine_types);
         for machine in self.machines.values_mut() {
-            machine.view = None;
+            machine.cached_view = None;
         }
         self.needs_planning = true;
     }
--- a/src/scheduler/probes.rs
+++ b/src/scheduler/probes.rs
@@ -27,7 +27,7 @@
 
 impl ProbeSchedule {
     fn is_due(&self, machine: &Machine) -> bool {
-        let last_status_at = machine.last_status_at.unwrap_or(machine.known_since);
+        let last_status_at = machine.last_status_at.unwrap_or(machine.first_seen_at);
         let is_silent = self.now > last_status_at.max(self.began_at) + self.silence_tolerance_ms;
         let needs_epoch = machine.epoch < self.epoch && self.now > self.first_probe_at;
         let needs_probe = is_silent || machine.is_reachability_unverified() || needs_epoch;
--- a/src/scheduler/reachability.rs
+++ b/src/scheduler/reachability.rs
@@ -44,9 +44,14 @@
             silent: 0,
             total: 0,
         };
-        for machine in self.machines.values().filter(|machine| machine.is_up()) {
+        for machine in self
+            .machines
+            .values()
+            .filter(|machine| machine.has_booted())
+        {
             reachability.total += 1;
-            if machine.silent_ms(self.began_at, now) > silent_ms || machine.ineffective_answers > 0
+            if machine.silent_ms(self.began_at, now) > silent_ms
+                || machine.ineffective_responses > 0
             {
                 reachability.silent += 1;
             }
--- a/src/scheduler/records.rs
+++ b/src/scheduler/records.rs
@@ -7,7 +7,7 @@
 use super::{to_ms, Effect, Job, Placement, Scheduler};
 use crate::dependencies::DependencyGraph;
 use crate::job::{FinalState, JobRecord};
-use crate::watch_cache::{final_key, job_key, LiveJob};
+use crate::watch_cache::{final_state_key, job_key, LiveJob};
 use crate::wire::{Condition, Write};
 use crate::write_queue::CommitResult;
 
@@ -184,7 +184,7 @@
         let writes = match final_state {
             Some(state) => vec![
                 Write::delete(job_key(id)),
-                Write::set(final_key(id), state.to_value()),
+                Write::set(final_state_key(id), state.to_value()),
             ],
             None => {
                 let format = self.record_capacity.format();
--- a/src/scheduler/scale_in.rs
+++ b/src/scheduler/scale_in.rs
@@ -80,7 +80,7 @@
         for name in self.terminations.recorded() {
             if let Some(machine) = self.machines.get_mut(name) {
                 if machine.termination_reason.is_none() {
-                    machine.termination_reason = Some(TerminationReason::OnRecord);
+                    machine.termination_reason = Some(TerminationReason::AlreadyRecorded);
                     self.needs_planning = true;
                 }
             }
@@ -98,9 +98,9 @@
             if class == Some(TerminationClass::Idle) {
                 machine.termination_reason = None;
                 machine.termination_sent_at = None;
-                machine.next_termination_at = 0;
+                machine.next_termination_attempt_at = 0;
                 machine.idle_since = None;
-                machine.view = None;
+                machine.cached_view = None;
                 self.needs_planning = true;
             }
         }
@@ -119,10 +119,10 @@
         if machine.termination_reason.is_none() || reason.class() == TerminationClass::Lost {
             machine.termination_reason = Some(reason);
         }
-        if now < machine.next_termination_at {
+        if now < machine.next_termination_attempt_at {
             return false;
         }
-        machine.next_termination_at = now + TERMINATION_RETRY_MS;
+        machine.next_termination_attempt_at = now + TERMINATION_RETRY_MS;
         if machine.termination_sent_at.is_none() {
             info!(machine = %due.machine, %reason, "terminating machine");
             let is_unreachable = matches!(
@@ -144,7 +144,7 @@
         let retry_at = now + to_ms(1.0 / self.cluster.cloud.rps);
         for name in machines {
             if let Some(machine) = self.machines.get_mut(name) {
-                machine.next_termination_at = retry_at;
+                machine.next_termination_attempt_at = retry_at;
             }
         }
     }
--- a/src/scheduler/scale_out.rs
+++ b/src/scheduler/scale_out.rs
@@ -135,20 +135,20 @@
         if has_reported && machine.epoch >= self.term.epoch {
             return false;
         }
-        if machine.termination_reason.is_some() || machine.is_dead() {
+        if machine.termination_reason.is_some() || machine.has_stopped() {
             return false;
         }
         if has_reported {
             // It has sent a status but not yet with this leader's epoch, so it is still joining.
             return machine.bound_tasks.is_empty()
                 && machine.interruption_deadline.is_none()
-                && machine.ineffective_answers == 0;
+                && machine.ineffective_responses == 0;
         }
         // A machine that takes far longer than usual may never boot. A replacement is rented, and
         // if the late machine does boot, it is terminated once idle.
         let machine_type = self.catalog.machine_type(&machine.machine_type);
         let is_late = machine_type.is_some_and(|machine_type| {
-            now > machine.known_since + to_ms(LATE_BOOT_MULTIPLIER * machine_type.boot_s)
+            now > machine.first_seen_at + to_ms(LATE_BOOT_MULTIPLIER * machine_type.boot_s)
         });
         !is_late
     }
--- a/src/scheduler/snapshots.rs
+++ b/src/scheduler/snapshots.rs
@@ -54,7 +54,7 @@
         self.needs_planning = false;
         self.apply_end_backoffs();
         for machine in self.machines.values_mut() {
-            machine.update_orphans();
+            machine.update_orphan_flag();
         }
         let machines = self.machine_views(time);
         let context = SnapshotContext {
--- a/src/scheduler/spot_queue.rs
+++ b/src/scheduler/spot_queue.rs
@@ -116,7 +116,7 @@
             if !machine.spot {
                 let bound_tasks = machine.bound_tasks.iter();
                 on_demand_tasks += bound_tasks.filter(|task| task.spot).count();
-            } else if machine.termination_reason.is_none() && !machine.is_dead() {
+            } else if machine.termination_reason.is_none() && !machine.has_stopped() {
                 let name = &*machine.machine_type;
                 match by_type.iter_mut().find(|(other, _)| *other == name) {
                     Some((_, count)) => *count += 1,
--- a/src/scheduler/starts.rs
+++ b/src/scheduler/starts.rs
@@ -69,7 +69,7 @@
     ) {
         if failure == StartFailure::NotSent {
             if let Some(machine) = self.machines.get_mut(machine) {
-                machine.unreachable_until = now + to_ms(self.cluster.workers.report_s);
+                machine.direct_starts_paused_until = now + to_ms(self.cluster.workers.report_s);
             }
         }
         for start in starts {
@@ -121,7 +121,7 @@
         let Some(machine) = self.machines.get(name) else {
             return vec![];
         };
-        if !machine.is_retained() {
+        if !machine.is_in_service() {
             return vec![];
         }
         let mut starts = Vec::new();
@@ -173,7 +173,7 @@
             }
             self.start_queue.charge(now);
             if let Some(machine) = self.machines.get_mut(&*name) {
-                machine.direct_start_at = Some(now);
+                machine.unconfirmed_direct_start_at = Some(now);
             }
             self.effects.push(Effect::Commands {
                 machine: name,
@@ -190,7 +190,8 @@
     fn direct_start_target(&self, name: &str, now: u64) -> Option<AgentTarget> {
         let machine = self.machines.get(name)?;
         let target = AgentTarget::of(machine)?;
-        let is_usable = now >= machine.unreachable_until && self.accepts_tasks(machine, now);
+        let is_usable =
+            now >= machine.direct_starts_paused_until && self.accepts_tasks(machine, now);
         is_usable.then_some(target)
     }
 
--- a/src/scheduler/stops.rs
+++ b/src/scheduler/stops.rs
@@ -52,7 +52,7 @@
         let command = wire::stop_command(task.to_string(), placement.attempt, grace_s);
         let name = placement.machine.clone();
         if let Some(machine) = self.machines.get_mut(&*name) {
-            machine.view = None;
+            machine.cached_view = None;
         }
         self.direct_commands.push(name, command);
     }
--- a/src/scheduler/task_exits.rs
+++ b/src/scheduler/task_exits.rs
@@ -86,7 +86,7 @@
     if is_at_fault && machine.termination_reason.is_none() {
         warn!(machine = %machine.name, %task, "draining machine: a task on it failed");
         machine.termination_reason = Some(TerminationReason::TaskFailed);
-        machine.view = None;
+        machine.cached_view = None;
     }
     is_at_fault
 }
--- a/src/scheduler/termination_review.rs
+++ b/src/scheduler/termination_review.rs
@@ -53,24 +53,24 @@
         if self.is_interrupted(machine) {
             return Some(TerminationReason::SpotInterruption);
         }
-        if machine.cloud_status == CloudStatus::Gone && silent_ms > unlisted_ms {
-            return Some(TerminationReason::NotListed);
+        if machine.cloud_status == CloudStatus::NoLongerListed && silent_ms > unlisted_ms {
+            return Some(TerminationReason::NoLongerListed);
         }
         let is_drained = !machine.is_occupied() && !self.has_uncommitted_result(machine);
         if machine.termination_reason.is_some() && is_drained {
             return machine.termination_reason;
         }
-        if machine.is_up() {
+        if machine.has_booted() {
             return self.find_reason_while_up(machine, silent_ms);
         }
-        if machine.cloud_status == CloudStatus::NotListed && machine.machine_type.is_empty() {
+        if machine.cloud_status == CloudStatus::NotYetListed && machine.machine_type.is_empty() {
             // Only a job record names the machine; it has not been seen in this term.
             let is_unknown =
                 self.has_machine_list && silent_ms > self.lost_after_ms && !self.is_partitioned;
-            return is_unknown.then_some(TerminationReason::Unknown);
+            return is_unknown.then_some(TerminationReason::NeverSeen);
         }
         let boot_ms = to_ms(self.boot_s_of(machine) * BOOT_TIMEOUT_MULTIPLIER);
-        (self.now > machine.known_since + boot_ms).then_some(TerminationReason::NeverBooted)
+        (self.now > machine.first_seen_at + boot_ms).then_some(TerminationReason::NeverBooted)
     }
 
     fn is_interrupted(&self, machine: &Machine) -> bool {
@@ -90,7 +90,7 @@
         if silent_ms > self.lost_after_ms && (!self.is_partitioned || has_no_running_task) {
             return Some(TerminationReason::Silent);
         }
-        let is_unreachable = machine.ineffective_answers >= INEFFECTIVE_ANSWERS_MAX
+        let is_unreachable = machine.ineffective_responses >= INEFFECTIVE_ANSWERS_MAX
             || self.has_unconfirmed_start(machine);
         if is_unreachable && !self.is_partitioned {
             return Some(TerminationReason::Unreachable);
@@ -112,7 +112,8 @@
         machine
             .idle_since
             .is_some_and(|since| self.now > since + idle_ms)
-            && (machine.needed_at == 0 || self.now > machine.needed_at + peer_ms)
+            && (machine.last_needed_by_gang_at == 0
+                || self.now > machine.last_needed_by_gang_at + peer_ms)
             && machine.last_status_at.is_some()
     }
 
@@ -135,7 +136,7 @@
     /// Whether the outcome of a direct start is still unknown although the machine's next
     /// heartbeats should have shown it.
     fn has_unconfirmed_start(&self, machine: &Machine) -> bool {
-        machine.direct_start_at.is_some()
+        machine.unconfirmed_direct_start_at.is_some()
             && machine
                 .bound_tasks
                 .iter()
--- a/src/watch_cache/keys.rs
+++ b/src/watch_cache/keys.rs
@@ -24,7 +24,7 @@
 }
 
 /// Returns the key of a job's final state.
-pub fn final_key(id: &str) -> String {
+pub fn final_state_key(id: &str) -> String {
     format!("{FINAL_STATES_PREFIX}{id}")
 }
 
--- a/src/watch_cache/mod.rs
+++ b/src/watch_cache/mod.rs
@@ -26,12 +26,12 @@
 use crate::duties::DutyRecords;
 use crate::epoch::Epoch;
 use crate::job::{FinalState, JobRecord};
-use crate::leadership_keys::{read_number, Fence, LeaderKey, SUPERSEDED_LEADER};
+use crate::leadership_keys::{decode_u64, LeaderKey, VersionFence, SUPERSEDED_LEADER};
 use crate::wire::{KeyChange, Page};
 use final_states::FinalStates;
 use keys::{ClaimKey, KeyKind};
 
-pub use keys::{final_key, job_key, member_key, JOBS_PREFIX, ROOT_PREFIX};
+pub use keys::{final_state_key, job_key, member_key, JOBS_PREFIX, ROOT_PREFIX};
 
 /// The committed state of a live job.
 #[derive(Debug, Clone)]
@@ -134,18 +134,18 @@
 
     /// Applies an election that this controller has won, without waiting for the watch to report
     /// it. `version` is the revision of the election's transaction.
-    pub fn apply_own_election(&mut self, key: LeaderKey, version: u64, fence: Fence) {
+    pub fn apply_own_election(&mut self, key: LeaderKey, version: u64, fence: VersionFence) {
         self.epoch = key.epoch;
         self.epoch_version = version;
         let elected = VersionedLeaderKey { key, version };
         match fence {
-            Fence::None => self.leader_key = Some(elected),
-            Fence::Raise => {
+            VersionFence::None => self.leader_key = Some(elected),
+            VersionFence::Raise => {
                 let key = LeaderKey::superseded();
                 self.leader_key = Some(VersionedLeaderKey { key, version });
                 self.lease_key = Some(elected);
             }
-            Fence::Raised => self.lease_key = Some(elected),
+            VersionFence::Raised => self.lease_key = Some(elected),
         }
     }
 
@@ -270,7 +270,7 @@
     fn apply_final_state(&mut self, id: &str, value: &Value) -> Option<CacheEvent> {
         let state = FinalState::from_value(value)?;
         self.jobs.remove(id);
-        self.record_final(id, state);
+        self.record_final_state(id, state);
         Some(CacheEvent::JobRemoved(id.to_string()))
     }
 
@@ -284,7 +284,7 @@
     fn apply_format(&mut self, value: &Value, version: u64) {
         if version > self.format_version {
             // A value that can't be decoded was written by a later version.
-            let format = read_number(value).unwrap_or(u64::MAX);
+            let format = decode_u64(value).unwrap_or(u64::MAX);
             self.format = format.max(self.format);
             self.format_version = version;
         }
@@ -292,7 +292,7 @@
 
     fn apply_epoch(&mut self, value: &Value, version: u64) {
         if version > self.epoch_version {
-            let epoch = read_number(value).map_or(Epoch::NONE, Epoch::new);
+            let epoch = decode_u64(value).map_or(Epoch::NONE, Epoch::new);
             self.epoch = epoch.max(self.epoch);
             self.epoch_version = version;
         }
@@ -338,7 +338,7 @@
     }
 
     /// Caches the final state of a job once it is committed, and updates the dependency graph.
-    pub fn record_final(&mut self, id: &str, state: FinalState) {
+    pub fn record_final_state(&mut self, id: &str, state: FinalState) {
         let events = &mut self.dependency_events;
         match state {
             FinalState::Done => self.dependencies.on_done(id, events),
--- a/tests/job_dependencies/graph.rs
+++ b/tests/job_dependencies/graph.rs
@@ -105,7 +105,7 @@
         ],
     );
     assert!(cache.dependencies.has_unresolved_dependency("run-3"));
-    cache.record_final("run-1", FinalState::Cancelled);
+    cache.record_final_state("run-1", FinalState::Cancelled);
     assert_eq!(
         cache.take_dependency_events(),
         [
--- a/tests/unit/agent_status.rs
+++ b/tests/unit/agent_status.rs
@@ -296,7 +296,7 @@
 /// itself.
 #[test]
 fn a_lagging_leader_suspects_no_machine() {
-    for (delay_ms, ineffective_answers) in [(0, 2), (3000, 0)] {
+    for (delay_ms, ineffective_responses) in [(0, 2), (3000, 0)] {
         let mut scheduler = control("[]");
         for serial in 1..=3 {
             let now = 1000 + 3000 * serial;
@@ -307,7 +307,7 @@
             scheduler.heartbeat_response_commands(&status, StartPermission::Granted, now);
         }
         assert_eq!(
-            scheduler.machines["m-0"].ineffective_answers, ineffective_answers,
+            scheduler.machines["m-0"].ineffective_responses, ineffective_responses,
             "{delay_ms} ms behind"
         );
     }
--- a/tests/unit/leader_lease.rs
+++ b/tests/unit/leader_lease.rs
@@ -4,7 +4,7 @@
 use gaugesill::leader_lease::{
     leader_lease_ttl_ms, Election, LeaderLease, LeadershipTransition, LeaseRequest, LeaseResponse,
 };
-use gaugesill::leadership_keys::{Fence, LeaderKey};
+use gaugesill::leadership_keys::{LeaderKey, VersionFence};
 use gaugesill::settings::OperatorSettings;
 use gaugesill::watch_cache::{VersionedLeaderKey, WatchCache};
 
@@ -45,7 +45,7 @@
         Some(LeadershipTransition::Began)
     );
     assert!(
-        lease.is_certain(2000) && !lease.is_certain(2900),
+        lease.holds_valid_lease(2000) && !lease.holds_valid_lease(2900),
         "counted from the request for the grant"
     );
     cache.leader_key = own_key();
@@ -111,9 +111,9 @@
             other => panic!("{other:?}"),
         }
     };
-    assert_eq!(fence_of(20, 0, false), Fence::None);
-    assert_eq!(fence_of(3, 1, false), Fence::Raise);
-    assert_eq!(fence_of(2, 1, false), Fence::None);
-    assert_eq!(fence_of(2, 1, true), Fence::Raised);
-    assert_eq!(fence_of(20, 0, true), Fence::Raised);
+    assert_eq!(fence_of(20, 0, false), VersionFence::None);
+    assert_eq!(fence_of(3, 1, false), VersionFence::Raise);
+    assert_eq!(fence_of(2, 1, false), VersionFence::None);
+    assert_eq!(fence_of(2, 1, true), VersionFence::Raised);
+    assert_eq!(fence_of(20, 0, true), VersionFence::Raised);
 }
--- a/tests/unit/machine.rs
+++ b/tests/unit/machine.rs
@@ -10,7 +10,7 @@
 fn orphans_are_found_anew_once_a_record_changes() {
     let mut scheduler = busy_machines("3.0");
     let machine = scheduler.machines.get_mut("m-0").expect("a machine");
-    machine.update_orphans();
+    machine.update_orphan_flag();
     assert_eq!(machine.orphans().count(), 1, "no record binds its task");
     machine.bound_tasks.push(BoundTask {
         job: "run-0".into(),
@@ -19,7 +19,7 @@
         resources: Resources::default(),
         spot: false,
     });
-    machine.update_orphans();
+    machine.update_orphan_flag();
     assert_eq!(machine.orphans().count(), 0);
     machine.unbind("run-0", Some(1));
     assert_eq!(machine.orphans().count(), 0, "another task was unbound");
--- a/tests/unit/watch_cache.rs
+++ b/tests/unit/watch_cache.rs
@@ -49,7 +49,7 @@
 fn late_changes_of_a_finished_job_are_ignored() {
     let mut cache = WatchCache::default();
     cache.loaded = true;
-    cache.record_final("run-1", FinalState::Done);
+    cache.record_final_state("run-1", FinalState::Done);
     let record = JobRecord::new(spec(Shape::Array, 1, 1.0, Priority::Low), 1);
     let late = KeyChange {
         set: Some("g/j/run-1".into()),
