--- a/src/net/buffered_stream.rs
+++ b/src/net/buffered_stream.rs
@@ -1,5 +1,5 @@
-//! A TCP stream with the bytes that were received but not yet parsed, and those that are still
-//! to be sent.
+//! A TCP stream with its buffers of received bytes that are not parsed yet, and of bytes that are
+//! not sent yet.
 
 use std::io::{self, Read, Write};
 
@@ -14,7 +14,7 @@
     Complete,
     /// The connection is not established yet.
     Connecting,
-    /// The socket accepts no more at present.
+    /// The socket's send buffer is full.
     Blocked,
     /// The connection is broken.
     Broken,
@@ -26,12 +26,12 @@
     input: Vec<u8>,
     output: Vec<u8>,
     /// Number of bytes of `output` that have been sent.
-    sent: usize,
+    sent_bytes: usize,
     /// The connection is known to be established.
     is_established: bool,
-    /// The poll reports when the socket is writable.
+    /// The socket is registered for writability events.
     watches_writable: bool,
-    /// The other side has closed its sending direction.
+    /// The peer has closed its sending direction.
     is_read_closed: bool,
 }
 
@@ -42,7 +42,7 @@
             socket,
             input: Vec::new(),
             output: Vec::new(),
-            sent: 0,
+            sent_bytes: 0,
             is_established: true,
             watches_writable: false,
             is_read_closed: false,
@@ -71,7 +71,7 @@
         &self.input
     }
 
-    /// The received bytes, from which the caller removes what it has parsed.
+    /// The received bytes; the caller removes those that it has parsed.
     pub(super) fn input_mut(&mut self) -> &mut Vec<u8> {
         &mut self.input
     }
@@ -80,15 +80,14 @@
         !self.output.is_empty()
     }
 
-    /// Appends to the output.
     pub(super) fn push_output(&mut self, bytes: &[u8]) {
         self.output.extend_from_slice(bytes);
     }
 
-    /// Replaces the output.
+    /// Replaces the output; sending starts at its first byte.
     pub(super) fn set_output(&mut self, output: Vec<u8>) {
         self.output = output;
-        self.sent = 0;
+        self.sent_bytes = 0;
     }
 
     /// Reads until the socket is empty or the input exceeds `input_max` bytes, which is more than
@@ -113,8 +112,8 @@
                     self.input.extend_from_slice(&buffer[..count]);
                     total += count;
                     if count < buffer.len() {
-                        // A short read empties the socket. The poll is edge-triggered and
-                        // reports anything newer.
+                        // A short read means that the socket is empty. The poll is
+                        // edge-triggered and reports bytes that arrive later.
                         break;
                     }
                 }
@@ -128,12 +127,12 @@
 
     /// Writes the pending output as far as the socket accepts it.
     pub(super) fn write_pending(&mut self) -> WriteProgress {
-        while self.sent < self.output.len() {
-            match self.socket.write(&self.output[self.sent..]) {
+        while self.sent_bytes < self.output.len() {
+            match self.socket.write(&self.output[self.sent_bytes..]) {
                 Ok(0) => return WriteProgress::Broken,
                 Ok(count) => {
                     self.is_established = true;
-                    self.sent += count;
+                    self.sent_bytes += count;
                 }
                 // The first write tells whether the connection is established.
                 Err(error) if error.kind() == io::ErrorKind::NotConnected => {
@@ -147,11 +146,11 @@
             }
         }
         self.output.clear();
-        self.sent = 0;
+        self.sent_bytes = 0;
         WriteProgress::Complete
     }
 
-    /// Lets the poll report when the socket is writable.
+    /// Registers the socket for writability events.
     ///
     /// # Errors
     ///
@@ -169,7 +168,7 @@
         registry.reregister(&mut self.socket, Token(id), interest)
     }
 
-    /// Lets the poll no longer report when the socket is writable.
+    /// Removes the registration for writability events.
     ///
     /// # Errors
     ///
--- a/src/net/client_pool.rs
+++ b/src/net/client_pool.rs
@@ -1,7 +1,6 @@
-//! Connections that this process has opened: those that are idle, and those with a call in
-//! progress.
+//! Connections that this process has opened: idle ones, and those with a call in progress.
 //!
-//! Invariant: each is an open client connection; closing one removes it.
+//! Invariant: the pool holds only open client connections; closing a connection removes it.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -12,7 +11,7 @@
 /// Idle client connections by address, and the deadlines of calls in progress.
 #[derive(Debug, Default)]
 pub(super) struct ClientPool {
-    /// The most recently used connection is the last one.
+    /// The most recently used connection of an address is its last.
     idle: HashMap<SocketAddr, Vec<ConnectionId>>,
     deadlines: BTreeMap<ConnectionId, Instant>,
 }
@@ -33,12 +32,12 @@
         self.deadlines.insert(id, deadline);
     }
 
-    /// Records that no call is in progress any more on a connection.
+    /// Records that a connection no longer has a call in progress.
     pub(super) fn end_call(&mut self, id: ConnectionId) {
         self.deadlines.remove(&id);
     }
 
-    /// Removes a connection that is closed.
+    /// Removes a closed connection.
     pub(super) fn remove(&mut self, address: SocketAddr, id: ConnectionId) {
         self.end_call(id);
         if let Some(idle) = self.idle.get_mut(&address) {
--- a/src/net/client_state.rs
+++ b/src/net/client_state.rs
@@ -1,16 +1,16 @@
-//! The state of a connection that this process has opened: its call and the reply.
+//! The state of a connection that this process has opened: the call in progress and its reply.
 
 use std::net::SocketAddr;
 
 use super::http::ResponseHead;
 use super::Outcome;
 
-/// Who is called.
+/// The kind of process that is called.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Callee {
-    /// The store, the cloud or another controller: calls must succeed however many agents are
-    /// called.
-    Vital,
+    /// The store, the cloud or another controller: calls must not be delayed or refused because
+    /// of many calls to agents.
+    Critical,
     /// Any other address: an agent.
     Agent,
 }
@@ -19,16 +19,16 @@
 pub(super) struct ClientState {
     address: SocketAddr,
     callee: Callee,
-    /// Tag of the call in progress.
-    call: Option<u64>,
+    /// Tag of the call in progress; `None` while the connection is idle.
+    call_tag: Option<u64>,
 }
 
 /// Result of parsing the received part of a reply.
 pub(super) enum ParsedReply {
     /// More input is needed.
     Incomplete,
-    /// The input is malformed, or there is no call in progress that it could belong to.
-    Unusable,
+    /// The input is malformed, or no call is in progress.
+    Invalid,
     /// The reply is larger than allowed.
     TooLarge {
         /// Tag of the call.
@@ -43,11 +43,11 @@
     /// Tag of the call.
     pub tag: u64,
     pub outcome: Outcome,
-    /// The address whose further calls may use the connection; `None` if it has to be closed.
+    /// The address to which the connection can carry further calls; `None` if it has to be closed.
     pub reusable_for: Option<SocketAddr>,
 }
 
-/// Extent of a reply in the input.
+/// End of a reply in the input.
 enum Extent {
     Incomplete,
     TooLarge,
@@ -61,7 +61,7 @@
         ClientState {
             address,
             callee,
-            call: Some(tag),
+            call_tag: Some(tag),
         }
     }
 
@@ -74,13 +74,13 @@
     }
 
     /// Tag of the call in progress.
-    pub(super) fn call(&self) -> Option<u64> {
-        self.call
+    pub(super) fn call_tag(&self) -> Option<u64> {
+        self.call_tag
     }
 
     /// Begins the call `tag` on an idle connection.
     pub(super) fn begin_call(&mut self, tag: u64) {
-        self.call = Some(tag);
+        self.call_tag = Some(tag);
     }
 
     /// Removes a complete reply of at most `reply_max` bytes from `input`.
@@ -90,27 +90,27 @@
         is_read_closed: bool,
         reply_max: usize,
     ) -> ParsedReply {
-        let Some(tag) = self.call else {
-            let is_quiet = !is_read_closed && input.is_empty();
-            return if is_quiet {
+        let Some(tag) = self.call_tag else {
+            let is_idle = !is_read_closed && input.is_empty();
+            return if is_idle {
                 ParsedReply::Incomplete
             } else {
-                ParsedReply::Unusable
+                ParsedReply::Invalid
             };
         };
         let head = match ResponseHead::parse(input) {
             Ok(Some(head)) => head,
             Ok(None) => return ParsedReply::Incomplete,
-            Err(_) => return ParsedReply::Unusable,
+            Err(_) => return ParsedReply::Invalid,
         };
         match reply_extent(&head, input.len(), is_read_closed, reply_max) {
             Extent::Incomplete => ParsedReply::Incomplete,
             Extent::TooLarge => {
-                self.call = None;
+                self.call_tag = None;
                 ParsedReply::TooLarge { tag }
             }
             Extent::End(end) => {
-                self.call = None;
+                self.call_tag = None;
                 ParsedReply::Complete(self.complete(tag, &head, input, end, is_read_closed))
             }
         }
@@ -148,8 +148,8 @@
     let end = match head.body_length {
         Some(length) if length > reply_max => return Extent::TooLarge,
         Some(length) => head.length + length,
-        None if head.has_no_body() => head.length,
-        // Without a length the body ends with the connection.
+        None if head.excludes_body() => head.length,
+        // Without a declared length the body extends to the end of the connection.
         None if received > reply_max => return Extent::TooLarge,
         None if is_read_closed => received,
         None => return Extent::Incomplete,
--- a/src/net/connection.rs
+++ b/src/net/connection.rs
@@ -1,4 +1,4 @@
-//! A connection: its stream, and its role as a server's or a client's side.
+//! A connection: its buffered stream, and its state as the server's or the client's side.
 
 use std::io;
 use std::time::Instant;
@@ -9,17 +9,17 @@
 use super::buffered_stream::{BufferedStream, WriteProgress};
 use super::client_state::{Callee, ClientState, ParsedReply};
 use super::eviction::EvictionTier;
-use super::http::{response_head, RequestError, REQUEST_HEAD_MAX, RESPONSE_HEAD_MAX};
+use super::http::{response_head, RequestError, REQUEST_HEAD_MAX_BYTES, RESPONSE_HEAD_MAX_BYTES};
 use super::read_queue::ReadClass;
-use super::server_state::{Crowding, ServerState};
-use super::{Listener, Outcome, Request, BODY_MAX};
+use super::server_state::{AgentOccupancy, ServerState};
+use super::{Listener, Outcome, Request, BODY_MAX_BYTES};
 
-/// Identifies a connection, and is its token in the poll. Never reused.
+/// Identifies a connection; also its token in the poll. Never reused.
 pub(super) type ConnectionId = usize;
 
 /// Which side of a connection this process is.
 pub(super) enum Role {
-    /// Another side has opened the connection.
+    /// The peer has opened the connection.
     Server(ServerState),
     /// This process has opened the connection.
     Client(ClientState),
@@ -29,38 +29,38 @@
 #[must_use]
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Disposition {
-    /// It stays open.
+    /// The connection stays open.
     Keep,
-    /// It has to be closed.
+    /// The connection has to be closed.
     Close,
 }
 
-/// What a connection is doing, which decides how long it may be idle.
+/// The activity of a connection, which decides its idle timeout.
 pub(super) enum Activity {
     /// A request or a call is in progress.
     InUse,
-    /// A request has been received in part since this time.
+    /// The first bytes of an incomplete request were received at this time.
     ReceivingRequest(Instant),
-    /// Kept by an agent for its next heartbeat.
+    /// Kept open by an agent for its next heartbeat.
     AgentIdle,
-    /// An answer has not been sent completely.
-    SendingAnswer,
-    /// Kept by any other client for its next request.
+    /// A response has not been sent completely.
+    SendingResponse,
+    /// Kept open by any other client for its next request.
     ServerIdle,
-    /// Kept by this process for its next call.
+    /// Kept open by this process for its next call.
     ClientIdle,
 }
 
-/// A request with the listener that its connection was accepted by.
+/// A request with the listener that accepted its connection.
 pub(super) struct ReceivedRequest {
     pub listener: Listener,
     pub request: Request,
 }
 
-/// An answer to a request.
-pub(super) struct Answer<'a> {
+/// A response to a request.
+pub(super) struct Response<'a> {
     pub status: u16,
-    /// When the client should retry, in seconds.
+    /// Value of the `Retry-After` header, in seconds.
     pub retry_after_s: Option<u32>,
     pub body: &'a [u8],
 }
@@ -113,16 +113,16 @@
         matches!(&self.role, Role::Server(state) if state.is_agent())
     }
 
-    /// Whether input is read at once: replies of vital callees, and requests of other
+    /// Whether input is read at once: replies from critical callees, and requests from other
     /// controllers.
     pub(super) fn is_urgent(&self) -> bool {
         match &self.role {
             Role::Server(state) => state.listener() == Listener::Peers,
-            Role::Client(state) => state.callee() == Callee::Vital,
+            Role::Client(state) => state.callee() == Callee::Critical,
         }
     }
 
-    /// Marks the connection as queued for reading. Returns its class, or `None` if it is queued
+    /// Marks the connection as queued for reading. Returns its class, or `None` if it was queued
     /// already.
     pub(super) fn enqueue(&mut self) -> Option<ReadClass> {
         if self.is_queued {
@@ -131,7 +131,7 @@
         self.is_queued = true;
         match &self.role {
             Role::Server(state) if state.was_served() => Some(ReadClass::Served),
-            Role::Server(_) | Role::Client(_) => Some(ReadClass::Newcomer),
+            Role::Server(_) | Role::Client(_) => Some(ReadClass::New),
         }
     }
 
@@ -140,8 +140,8 @@
         self.is_queued = false;
     }
 
-    /// Reads what has been received. `buffer` is scratch space; replies have at most `reply_max`
-    /// bytes.
+    /// Reads the received bytes into the input. `buffer` is scratch space; replies have at most
+    /// `reply_max` bytes.
     ///
     /// # Errors
     ///
@@ -153,8 +153,8 @@
         now: Instant,
     ) -> io::Result<()> {
         let input_max = match self.role {
-            Role::Server(_) => BODY_MAX + REQUEST_HEAD_MAX,
-            Role::Client(_) => reply_max + RESPONSE_HEAD_MAX,
+            Role::Server(_) => BODY_MAX_BYTES + REQUEST_HEAD_MAX_BYTES,
+            Role::Client(_) => reply_max + RESPONSE_HEAD_MAX_BYTES,
         };
         if self.stream.read_available(buffer, input_max)? > 0 {
             self.last_used = now;
@@ -167,38 +167,38 @@
         !self.stream.input().is_empty()
     }
 
-    /// Whether the other side has closed its sending direction, so that this side closes, too. A
-    /// request that awaits its answer behind earlier output still keeps the connection open.
+    /// Whether the peer has closed its sending direction, so that this side closes, too. A request
+    /// that awaits its response while earlier output is pending keeps the connection open.
     pub(super) fn is_finished(&self) -> bool {
-        let awaits_answer = matches!(&self.role, Role::Server(state) if state.awaits_answer());
-        self.stream.is_read_closed() && (!awaits_answer || !self.stream.has_output())
+        let awaits_response = matches!(&self.role, Role::Server(state) if state.awaits_response());
+        self.stream.is_read_closed() && (!awaits_response || !self.stream.has_output())
     }
 
-    /// Writes pending output, and lets the poll report writability while output is pending.
+    /// Writes pending output, and requests writability events from the poll while output remains.
     pub(super) fn flush(&mut self, id: ConnectionId, registry: &Registry) -> Disposition {
         let registered = match self.stream.write_pending() {
             WriteProgress::Broken => return Disposition::Close,
             WriteProgress::Connecting => return Disposition::Keep,
             WriteProgress::Blocked => self.stream.watch_writable(id, registry),
-            WriteProgress::Complete if self.is_lasting() => {
+            WriteProgress::Complete if self.is_long_lived() => {
                 self.stream.unwatch_writable(id, registry)
             }
             WriteProgress::Complete => Ok(()),
         };
-        let last_answer_sent = self.is_complete() && !self.stream.has_output();
-        if registered.is_err() || last_answer_sent {
+        let final_response_sent = self.is_complete() && !self.stream.has_output();
+        if registered.is_err() || final_response_sent {
             Disposition::Close
         } else {
             Disposition::Keep
         }
     }
 
-    /// Whether the connection is expected to serve many exchanges, so that a change of its
-    /// registration is worth its cost.
-    fn is_lasting(&self) -> bool {
+    /// Whether the connection is expected to serve many exchanges, so that the cost of changing
+    /// its poll registration pays off.
+    fn is_long_lived(&self) -> bool {
         match &self.role {
             Role::Server(_) => true,
-            Role::Client(state) => state.callee() == Callee::Vital,
+            Role::Client(state) => state.callee() == Callee::Critical,
         }
     }
 
@@ -220,7 +220,7 @@
         Ok(request.map(|request| ReceivedRequest { listener, request }))
     }
 
-    /// Discards the input after an invalid request, whose answer is the last on this connection.
+    /// Discards the input after an invalid request; its response is the last on this connection.
     pub(super) fn reject_request(&mut self) {
         self.stream.input_mut().clear();
         if let Role::Server(state) = &mut self.role {
@@ -228,36 +228,36 @@
         }
     }
 
-    /// Appends the answer of the request in progress to the output. Returns false if there is no
-    /// such request.
-    pub(super) fn push_answer(
+    /// Appends the response to the request in progress to the output. Returns false if no request
+    /// is in progress.
+    pub(super) fn push_response(
         &mut self,
-        answer: &Answer,
-        crowding: Crowding,
+        response: &Response,
+        agent_occupancy: AgentOccupancy,
         now: Instant,
     ) -> bool {
         let Role::Server(state) = &mut self.role else {
             return false;
         };
         let is_read_closed = self.stream.is_read_closed();
-        let persistence = state.finish_request(answer.status, is_read_closed, crowding);
+        let persistence = state.finish_request(response.status, is_read_closed, agent_occupancy);
         let Some(persistence) = persistence else {
             return false;
         };
-        let body_length = answer.body.len();
+        let body_length = response.body.len();
         let head = response_head(
-            answer.status,
-            answer.retry_after_s,
+            response.status,
+            response.retry_after_s,
             body_length,
             persistence,
         );
         self.stream.push_output(head.as_bytes());
-        self.stream.push_output(answer.body);
+        self.stream.push_output(response.body);
         self.last_used = now;
         true
     }
 
-    /// Begins the call `tag` with `message` on an idle client connection.
+    /// Begins the call `tag` on an idle client connection, with `message` as its request.
     pub(super) fn begin_call(&mut self, tag: u64, message: Vec<u8>, now: Instant) {
         if let Role::Client(state) = &mut self.role {
             state.begin_call(tag);
@@ -266,7 +266,7 @@
         self.last_used = now;
     }
 
-    /// Removes the reply of the call in progress from the input.
+    /// Removes the reply to the call in progress from the input.
     pub(super) fn next_reply(&mut self, reply_max: usize, now: Instant) -> ParsedReply {
         let Role::Client(state) = &mut self.role else {
             return ParsedReply::Incomplete;
@@ -279,8 +279,8 @@
         reply
     }
 
-    /// The outcome of a call whose connection is closed before its reply.
-    pub(super) fn outcome_of_closing(&self) -> Outcome {
+    /// The outcome of a call whose connection is closed before the reply is received.
+    pub(super) fn outcome_on_close(&self) -> Outcome {
         if self.stream.is_established() {
             Outcome::NoAnswer
         } else {
@@ -288,15 +288,15 @@
         }
     }
 
-    /// Whether a server connection may be evicted, and in which order. A user whose connection
-    /// is closed opens another one with the next request, whereas an agent tries other
-    /// controllers first.
+    /// The eviction tier of a server connection; `None` if it may not be evicted. Agents are
+    /// evicted last: a user whose connection is closed opens another one with the next request,
+    /// whereas an agent tries other controllers first.
     pub(super) fn server_eviction_tier(&self) -> Option<EvictionTier> {
         let Role::Server(state) = &self.role else {
             return None;
         };
         let has_queued_heartbeat = state.is_agent() && self.is_queued;
-        if state.awaits_answer() || has_queued_heartbeat {
+        if state.awaits_response() || has_queued_heartbeat {
             return None;
         }
         Some(if state.is_agent() {
@@ -306,34 +306,35 @@
         })
     }
 
-    /// Whether a connection to an agent may be evicted.
+    /// The eviction tier of a connection to an agent; `None` if it may not be evicted.
     pub(super) fn client_eviction_tier(&self) -> Option<EvictionTier> {
         match &self.role {
-            Role::Client(state) if state.callee() == Callee::Agent && state.call().is_none() => {
+            Role::Client(state)
+                if state.callee() == Callee::Agent && state.call_tag().is_none() =>
+            {
                 Some(EvictionTier::Preferred)
             }
             _ => None,
         }
     }
 
-    /// What the connection is doing.
     pub(super) fn activity(&self) -> Activity {
         let state = match &self.role {
-            Role::Client(state) if state.call().is_some() => return Activity::InUse,
+            Role::Client(state) if state.call_tag().is_some() => return Activity::InUse,
             Role::Client(_) => return Activity::ClientIdle,
             Role::Server(state) => state,
         };
-        if state.awaits_answer() {
+        if state.awaits_response() {
             return Activity::InUse;
         }
-        if let Some(began) = state.request_began() {
-            return Activity::ReceivingRequest(began);
+        if let Some(started_at) = state.request_started_at() {
+            return Activity::ReceivingRequest(started_at);
         }
         if state.is_agent() {
             return Activity::AgentIdle;
         }
         if self.stream.has_output() {
-            Activity::SendingAnswer
+            Activity::SendingResponse
         } else {
             Activity::ServerIdle
         }
--- a/src/net/connection_table.rs
+++ b/src/net/connection_table.rs
@@ -1,28 +1,27 @@
-//! All open connections, and how many there are of each kind.
+//! All open connections, with counts by kind.
 //!
-//! Invariant: the counts agree with the connections in the table. They change only when a
-//! connection is inserted or removed, and when a request shows whether its sender is an agent.
+//! Invariant: the counts match the connections in the table. They change only when a connection
+//! is inserted or removed, and when a request shows whether its sender is an agent.
 
 use std::collections::HashMap;
 
 use super::client_state::Callee;
 use super::connection::{Connection, ConnectionId, ReceivedRequest, Role};
 use super::http::RequestError;
-use super::limits::{is_crowded, ConnectionLimits};
-use super::server_state::Crowding;
+use super::limits::{is_agent_occupancy_high, ConnectionLimits};
+use super::server_state::AgentOccupancy;
 
 /// The open connections by id.
 pub(super) struct ConnectionTable {
     connections: HashMap<ConnectionId, Connection>,
     next_id: ConnectionId,
-    /// Server connections.
-    servers: usize,
-    servers_max: usize,
+    server_connections: usize,
+    server_connections_max: usize,
     /// Server connections whose last request was a heartbeat.
-    agents: usize,
-    /// Client connections to agents. Those to vital callees are few and not counted.
-    clients: usize,
-    clients_max: usize,
+    agent_connections: usize,
+    /// Client connections to agents. Those to critical callees are few and not counted.
+    client_connections: usize,
+    client_connections_max: usize,
 }
 
 impl ConnectionTable {
@@ -31,15 +30,15 @@
         ConnectionTable {
             connections: HashMap::new(),
             next_id: first_id,
-            servers: 0,
-            servers_max: limits.servers_max(),
-            agents: 0,
-            clients: 0,
-            clients_max: limits.clients_max(),
+            server_connections: 0,
+            server_connections_max: limits.server_connections_max(),
+            agent_connections: 0,
+            client_connections: 0,
+            client_connections_max: limits.client_connections_max(),
         }
     }
 
-    /// An id for a connection that is about to be registered.
+    /// Allocates the id of a connection that is about to be registered.
     pub(super) fn allocate_id(&mut self) -> ConnectionId {
         let id = self.next_id;
         self.next_id += 1;
@@ -48,8 +47,8 @@
 
     pub(super) fn insert(&mut self, id: ConnectionId, connection: Connection) {
         match connection.role() {
-            Role::Server(_) => self.servers += 1,
-            Role::Client(state) if state.callee() == Callee::Agent => self.clients += 1,
+            Role::Server(_) => self.server_connections += 1,
+            Role::Client(state) if state.callee() == Callee::Agent => self.client_connections += 1,
             Role::Client(_) => {}
         }
         self.connections.insert(id, connection);
@@ -59,10 +58,10 @@
         let connection = self.connections.remove(&id)?;
         match connection.role() {
             Role::Server(state) => {
-                self.servers -= 1;
-                self.agents -= usize::from(state.is_agent());
+                self.server_connections -= 1;
+                self.agent_connections -= usize::from(state.is_agent());
             }
-            Role::Client(state) if state.callee() == Callee::Agent => self.clients -= 1,
+            Role::Client(state) if state.callee() == Callee::Agent => self.client_connections -= 1,
             Role::Client(_) => {}
         }
         Some(connection)
@@ -76,7 +75,8 @@
         self.connections.get(&id)
     }
 
-    /// The connection; its requests are received by [`ConnectionTable::next_request`] alone.
+    /// The connection, mutably. Requests must be removed from it only through
+    /// [`ConnectionTable::next_request`], which updates the counts.
     pub(super) fn get_mut(&mut self, id: ConnectionId) -> Option<&mut Connection> {
         self.connections.get_mut(&id)
     }
@@ -87,8 +87,8 @@
         connections.map(|(id, connection)| (*id, connection))
     }
 
-    /// Removes the next complete request from a connection's input, if there is one, and counts
-    /// its sender as an agent or not.
+    /// Removes the next complete request from a connection's input, if there is one, and updates
+    /// the count of agents according to its sender.
     ///
     /// # Errors
     ///
@@ -102,31 +102,31 @@
         };
         let was_agent = connection.is_agent();
         let request = connection.next_request();
-        self.agents += usize::from(connection.is_agent());
-        self.agents -= usize::from(was_agent);
+        self.agent_connections += usize::from(connection.is_agent());
+        self.agent_connections -= usize::from(was_agent);
         request
     }
 
-    /// Whether no more server connections are allowed.
-    pub(super) fn is_server_full(&self) -> bool {
-        self.servers >= self.servers_max
+    /// Whether no more server connections may be accepted.
+    pub(super) fn is_server_limit_reached(&self) -> bool {
+        self.server_connections >= self.server_connections_max
     }
 
     /// Whether no more connections to agents may be opened.
-    pub(super) fn is_client_full(&self) -> bool {
-        self.clients >= self.clients_max
+    pub(super) fn is_client_limit_reached(&self) -> bool {
+        self.client_connections >= self.client_connections_max
     }
 
-    /// Whether agents hold nearly all places for server connections.
+    /// Whether agents hold nearly all server connections.
     ///
-    /// An agent that connects then is served on a connection of one request. Were it to replace
-    /// the least recently used connection, with more machines than places each agent would lose
-    /// its connection just before its next heartbeat, and none would keep one.
-    pub(super) fn crowding(&self) -> Crowding {
-        if is_crowded(self.agents, self.servers_max) {
-            Crowding::Crowded
+    /// If so, the connection of another agent is closed after one request. If it replaced the
+    /// least recently used connection instead, with more machines than connections each agent
+    /// would lose its connection just before its next heartbeat, and none would keep one.
+    pub(super) fn agent_occupancy(&self) -> AgentOccupancy {
+        if is_agent_occupancy_high(self.agent_connections, self.server_connections_max) {
+            AgentOccupancy::High
         } else {
-            Crowding::Normal
+            AgentOccupancy::Normal
         }
     }
 }
--- a/src/net/event_loop.rs
+++ b/src/net/event_loop.rs
@@ -1,9 +1,9 @@
-//! The event loop: the order in which connections are accepted, read, answered and closed.
+//! The event loop: accepts, reads, answers and closes connections, in a fixed order.
 //!
 //! One thread drives all sockets of the process in turns ([`EventLoop::turn`]). A turn does a
-//! bounded amount of work, so that urgent input (replies of the store, the cloud and other
-//! controllers, and requests of other controllers) never waits behind a mass of agents and
-//! users. The order within a turn decides who is served under overload.
+//! bounded amount of work, so that urgent input (replies from the store, the cloud and other
+//! controllers, and requests from other controllers) never waits for a large number of agents
+//! and users. The order within a turn decides which connections are served under overload.
 
 mod calls;
 mod requests;
@@ -24,26 +24,28 @@
 use super::interval::Interval;
 use super::limits::ConnectionLimits;
 use super::listeners::{ListenerTokens, Listeners};
-use super::read_queue::{NextRead, ReadClass, ReadQueue, NEWCOMER_BATCH, TURN_BATCH};
+use super::read_queue::{
+    NextRead, ReadClass, ReadQueue, CONNECTIONS_PER_TURN_MAX, NEW_CONNECTIONS_PER_TURN,
+};
 use super::{Event, Listener};
 
 const WAKE: Token = Token(0);
 const FRONT: Token = Token(1);
 const PEERS: Token = Token(2);
-/// Ids of connections, which are their tokens, begin after those of the other sources.
+/// First connection id. Ids double as poll tokens; lower ones belong to the waker and listeners.
 const FIRST_CONNECTION: ConnectionId = 16;
-/// Most socket events of one turn.
-const EVENTS_MAX: usize = 512;
+/// Maximum number of socket events handled in one turn.
+const SOCKET_EVENTS_MAX: usize = 512;
 /// Size of the buffer that sockets are read into, in bytes.
-const READ_BUFFER_LENGTH: usize = 16 * 1024;
-/// Interval at which timeouts are reviewed; those of calls are fractions of a second.
+const READ_BUFFER_BYTES: usize = 16 * 1024;
+/// Interval of the timeout checks; short, as timeouts of calls are fractions of a second.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(50);
 
 /// All sockets of the process.
 pub struct EventLoop {
     poll: Poll,
     socket_events: Events,
-    /// When this turn began; for all times that need not be exact.
+    /// Start of this turn; used wherever a slightly outdated time is acceptable.
     now: Instant,
     limits: ConnectionLimits,
     listeners: Listeners,
@@ -59,7 +61,7 @@
 }
 
 impl EventLoop {
-    /// Listens on both addresses.
+    /// Binds both listening sockets.
     ///
     /// # Errors
     ///
@@ -78,12 +80,12 @@
         let now = Instant::now();
         Ok(EventLoop {
             poll,
-            socket_events: Events::with_capacity(EVENTS_MAX),
+            socket_events: Events::with_capacity(SOCKET_EVENTS_MAX),
             now,
             listeners,
             connections: ConnectionTable::new(FIRST_CONNECTION, &limits),
             read_queue: ReadQueue::default(),
-            read_buffer: vec![0; READ_BUFFER_LENGTH].into_boxed_slice(),
+            read_buffer: vec![0; READ_BUFFER_BYTES].into_boxed_slice(),
             client_pool: ClientPool::default(),
             evictions: Evictions::default(),
             idle_timeouts: IdleTimeouts::new(limits.agent_idle, now),
@@ -93,7 +95,7 @@
         })
     }
 
-    /// A handle with which other threads end the wait of a turn.
+    /// A handle with which other threads wake up a waiting [`EventLoop::turn`].
     ///
     /// # Errors
     ///
@@ -102,8 +104,8 @@
         Ok(Arc::new(Waker::new(self.poll.registry(), WAKE)?))
     }
 
-    /// Waits for at most `wait` and returns the events: all that are urgent, and a bounded number
-    /// of the others.
+    /// Waits for at most `wait` and returns the events: all urgent ones, and a bounded number of
+    /// others.
     ///
     /// # Errors
     ///
@@ -125,7 +127,7 @@
     }
 
     /// The longest time that a connection has waited to be read since the last call, in
-    /// milliseconds: it measures how far this process is behind.
+    /// milliseconds: a measure of overload.
     pub fn take_longest_wait_ms(&mut self) -> u64 {
         self.read_queue.take_longest_wait_ms()
     }
@@ -145,7 +147,7 @@
     }
 
     fn handle_socket_events(&mut self) {
-        // Taken out for the time of the loop, whose body borrows the event loop.
+        // The loop's body borrows `self` mutably, so the events are moved out meanwhile.
         let empty = Events::with_capacity(0);
         let events = std::mem::replace(&mut self.socket_events, empty);
         for event in &events {
@@ -168,7 +170,7 @@
         }
     }
 
-    /// Reads urgent input at once, and queues any other.
+    /// Reads urgent input at once; queues the connection otherwise.
     fn read_or_queue(&mut self, id: ConnectionId) {
         if self.is_urgent(id) {
             return self.read(id);
@@ -179,20 +181,21 @@
         }
     }
 
-    /// Whether the connection carries replies of vital callees, or requests of other controllers.
+    /// Whether the connection carries replies from critical callees, or requests from other
+    /// controllers.
     fn is_urgent(&self, id: ConnectionId) -> bool {
         let connection = self.connections.get(id);
         connection.is_some_and(Connection::is_urgent)
     }
 
-    /// Reads a batch of the queued connections.
+    /// Reads a bounded number of queued connections.
     fn read_waiting(&mut self) {
-        let served = self.read_batch(ReadClass::Served, TURN_BATCH);
-        let newcomers_max = (TURN_BATCH - served).max(NEWCOMER_BATCH);
-        self.read_batch(ReadClass::Newcomer, newcomers_max);
+        let served = self.read_batch(ReadClass::Served, CONNECTIONS_PER_TURN_MAX);
+        let new_connections_max = (CONNECTIONS_PER_TURN_MAX - served).max(NEW_CONNECTIONS_PER_TURN);
+        self.read_batch(ReadClass::New, new_connections_max);
     }
 
-    /// Reads at most `max` queued connections of a class; returns how many.
+    /// Reads at most `max` queued connections of a class; returns how many were read.
     fn read_batch(&mut self, class: ReadClass, max: usize) -> usize {
         let mut count = 0;
         while count < max {
@@ -216,7 +219,7 @@
         self.read(id);
     }
 
-    /// Reads what has been received, and handles what is complete.
+    /// Reads the received bytes and handles a complete request or reply.
     fn read(&mut self, id: ConnectionId) {
         let Some(connection) = self.connections.get_mut(id) else {
             return;
@@ -249,7 +252,7 @@
         }
     }
 
-    /// Closes a connection. A call in progress on it ends without an answer.
+    /// Closes a connection. A call in progress on it ends without a response.
     fn close(&mut self, id: ConnectionId) {
         // Closing the socket, when the connection is dropped, removes it from the poll.
         let Some(connection) = self.connections.remove(id) else {
@@ -259,8 +262,8 @@
             return;
         };
         self.client_pool.remove(state.address(), id);
-        if let Some(tag) = state.call() {
-            let outcome = connection.outcome_of_closing();
+        if let Some(tag) = state.call_tag() {
+            let outcome = connection.outcome_on_close();
             self.ready.push(Event::Reply { tag, outcome });
         }
     }
@@ -274,6 +277,6 @@
         for id in self.idle_timeouts.expired(&self.connections, self.now) {
             self.close(id);
         }
-        self.listeners.retry_failed();
+        self.listeners.retry_accepting();
     }
 }
--- a/src/net/event_loop/calls.rs
+++ b/src/net/event_loop/calls.rs
@@ -23,7 +23,7 @@
 }
 
 impl EventLoop {
-    /// Sends a request. The outcome is an [`Event::Reply`] with the same tag.
+    /// Sends a request. Its outcome is returned as an [`Event::Reply`] with the same tag.
     pub fn call(
         &mut self,
         tag: u64,
@@ -60,11 +60,11 @@
     fn call_on_new(&mut self, call: OutboundCall) {
         let tag = call.tag;
         let callee = if self.limits.vital.contains(&call.address) {
-            Callee::Vital
+            Callee::Critical
         } else {
             Callee::Agent
         };
-        let has_room = callee == Callee::Vital || self.make_room_for_client();
+        let has_room = callee == Callee::Critical || self.make_room_for_client();
         if !has_room || self.open(call, callee).is_err() {
             let outcome = Outcome::NotSent;
             self.ready.push(Event::Reply { tag, outcome });
@@ -74,8 +74,8 @@
     /// Opens a connection for a call, which is sent once the connection is established.
     fn open(&mut self, call: OutboundCall, callee: Callee) -> io::Result<()> {
         let mut socket = TcpStream::connect(call.address)?;
-        if callee == Callee::Vital {
-            // Vital calls are urgent. A failure costs latency only.
+        if callee == Callee::Critical {
+            // Critical calls are urgent. If setting the option fails, only latency suffers.
             let _ = socket.set_nodelay(true);
         }
         let id = self.connections.allocate_id();
@@ -89,25 +89,25 @@
         Ok(())
     }
 
-    /// Evicts an idle connection to an agent if all places are taken. False if none could be
-    /// evicted.
+    /// Evicts an idle connection to an agent if the limit is reached. Returns false if the limit
+    /// is still reached afterwards.
     fn make_room_for_client(&mut self) -> bool {
-        if self.connections.is_client_full() {
+        if self.connections.is_client_limit_reached() {
             if let Some(id) = self.evictions.next_client(&self.connections, self.now) {
                 self.close(id);
             }
         }
-        !self.connections.is_client_full()
+        !self.connections.is_client_limit_reached()
     }
 
-    /// Passes the reply of the call in progress on, if it is complete.
+    /// Reports the reply to the call in progress, if it is complete or invalid.
     pub(super) fn handle_reply(&mut self, id: ConnectionId) {
         let Some(connection) = self.connections.get_mut(id) else {
             return;
         };
         match connection.next_reply(self.limits.reply_max, self.now) {
             ParsedReply::Incomplete => {}
-            ParsedReply::Unusable => self.close(id),
+            ParsedReply::Invalid => self.close(id),
             ParsedReply::TooLarge { tag } => {
                 let outcome = Outcome::TooLarge;
                 self.ready.push(Event::Reply { tag, outcome });
--- a/src/net/event_loop/requests.rs
+++ b/src/net/event_loop/requests.rs
@@ -1,44 +1,44 @@
-//! Accepting of connections, requests that are received on them, and their answers.
+//! Accepts connections, receives requests on them and sends the responses.
 
 use mio::net::TcpStream;
 use mio::{Interest, Token};
 
 use super::EventLoop;
-use crate::net::connection::{Answer, Connection, ConnectionId};
+use crate::net::connection::{Connection, ConnectionId, Response};
 use crate::net::http::RequestError;
-use crate::net::read_queue::{NEWCOMER_BATCH, TURN_BATCH};
+use crate::net::read_queue::{CONNECTIONS_PER_TURN_MAX, NEW_CONNECTIONS_PER_TURN};
 use crate::net::{Event, Listener};
 
 impl EventLoop {
-    /// Answers a request on the connection `id`. `retry_after` is in seconds. Without effect if
+    /// Responds to a request on the connection `id`. `retry_after` is in seconds. Has no effect if
     /// the connection is closed.
     pub fn answer(&mut self, id: usize, status: u16, retry_after: Option<u32>, body: &[u8]) {
-        let crowding = self.connections.crowding();
+        let agent_occupancy = self.connections.agent_occupancy();
         let Some(connection) = self.connections.get_mut(id) else {
             return;
         };
-        let answer = Answer {
+        let response = Response {
             status,
             retry_after_s: retry_after,
             body,
         };
-        if !connection.push_answer(&answer, crowding, self.now) {
+        if !connection.push_response(&response, agent_occupancy, self.now) {
             return;
         }
         self.flush(id);
-        // Another request may have been received behind the first.
+        // A pipelined request may already be in the input buffer.
         if self.connections.get(id).is_some_and(Connection::has_input) {
             self.handle_request(id);
         }
     }
 
-    /// Accepts a bounded number of connections, those of other controllers first.
+    /// Accepts a bounded number of connections, those from other controllers first.
     pub(super) fn accept_pending(&mut self) {
-        self.accept_batch(Listener::Peers, TURN_BATCH);
+        self.accept_batch(Listener::Peers, CONNECTIONS_PER_TURN_MAX);
         let front_max = if self.read_queue.is_backlogged() {
-            NEWCOMER_BATCH
+            NEW_CONNECTIONS_PER_TURN
         } else {
-            TURN_BATCH
+            CONNECTIONS_PER_TURN_MAX
         };
         self.accept_batch(Listener::Front, front_max);
     }
@@ -55,12 +55,12 @@
         }
     }
 
-    /// Adds an accepted connection, or closes it if there is no place.
+    /// Adds an accepted connection, or closes it if the connection limit is reached.
     fn add_accepted(&mut self, mut socket: TcpStream, listener: Listener) {
         if !self.make_room_for_server() {
             return;
         }
-        // Nagle's algorithm stays on: an answer is sent in one piece, and the next request
+        // Nagle's algorithm stays on: a response is sent in one write, and the next request
         // acknowledges it.
         let id = self.connections.allocate_id();
         let registry = self.poll.registry();
@@ -71,17 +71,18 @@
         }
     }
 
-    /// Evicts a server connection if all places are taken. False if none could be evicted.
+    /// Evicts a server connection if the limit is reached. Returns false if the limit is still
+    /// reached afterwards.
     fn make_room_for_server(&mut self) -> bool {
-        if self.connections.is_server_full() {
+        if self.connections.is_server_limit_reached() {
             if let Some(id) = self.evictions.next_server(&self.connections, self.now) {
                 self.close(id);
             }
         }
-        !self.connections.is_server_full()
+        !self.connections.is_server_limit_reached()
     }
 
-    /// Passes the next request on, if it is complete.
+    /// Reports the next request if it is complete; refuses it if it is invalid.
     pub(super) fn handle_request(&mut self, id: ConnectionId) {
         match self.connections.next_request(id) {
             Ok(Some(received)) => self.ready.push(Event::Request {
--- a/src/net/eviction.rs
+++ b/src/net/eviction.rs
@@ -1,7 +1,7 @@
-//! Eviction of the least recently used connection when there is no capacity for another one.
+//! Eviction of the least recently used connection when a connection limit is reached.
 //!
-//! A scan of all connections collects a batch of candidates, so that its cost is shared by the
-//! evictions that follow.
+//! A scan of all connections collects a batch of candidates, so that its cost is amortized over
+//! several evictions.
 
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
@@ -9,24 +9,24 @@
 use super::connection::{Connection, ConnectionId};
 use super::connection_table::ConnectionTable;
 
-/// Candidates that a scan collects: the larger of this number and a part of all that it finds.
-const BATCH_MIN: usize = 4;
-/// The part of all found candidates, as a divisor.
-const BATCH_DIVISOR: usize = 32;
-/// Pause after a scan without result.
-const EMPTY_SCAN_PAUSE: Duration = Duration::from_millis(50);
+/// Minimum size of the batch that a scan collects, if it finds as many candidates.
+const CANDIDATES_MIN: usize = 4;
+/// The batch is the number of found candidates divided by this, if that is more than the minimum.
+const CANDIDATES_DIVISOR: usize = 32;
+/// Time after a scan without candidates before the next one.
+const EMPTY_SCAN_BACKOFF: Duration = Duration::from_millis(50);
 
-/// The order in which connections are evicted, before the time of their last use.
+/// Primary order of eviction; within a tier the least recently used connection comes first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum EvictionTier {
     /// Evicted first.
     Preferred,
-    /// Evicted only if no other connection may be.
+    /// Evicted only if no preferred candidate was found.
     LastResort,
 }
 
-/// A connection that may be evicted, as it was found by the scan. Candidates are evicted in
-/// ascending order.
+/// A connection that may be evicted, with its state at the time of the scan. Candidates are
+/// evicted in ascending order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Candidate {
     tier: EvictionTier,
@@ -34,11 +34,11 @@
     id: ConnectionId,
 }
 
-/// Candidates of one kind.
+/// Candidates among the server connections, or among the client connections.
 #[derive(Debug, Default)]
 struct Candidates {
     queue: VecDeque<Candidate>,
-    /// No scan takes place before this time.
+    /// Earliest time of the next scan; `None` if the last one found candidates.
     next_scan_at: Option<Instant>,
 }
 
@@ -91,28 +91,28 @@
             })
         });
         let mut found: Vec<Candidate> = found.collect();
-        self.next_scan_at = found.is_empty().then(|| now + EMPTY_SCAN_PAUSE);
+        self.next_scan_at = found.is_empty().then(|| now + EMPTY_SCAN_BACKOFF);
         found.sort_unstable();
-        found.truncate(BATCH_MIN.max(found.len() / BATCH_DIVISOR));
+        found.truncate(CANDIDATES_MIN.max(found.len() / CANDIDATES_DIVISOR));
         self.queue = found.into();
     }
 }
 
-/// Chooses connections to evict, among server connections and among calls to agents.
+/// Chooses connections to evict, among server connections and among client connections to agents.
 #[derive(Debug, Default)]
 pub(super) struct Evictions {
-    servers: Candidates,
-    clients: Candidates,
+    server_connections: Candidates,
+    client_connections: Candidates,
 }
 
 impl Evictions {
-    /// The server connection to evict next; one of an agent only if there is no other.
+    /// The server connection to evict next; an agent's only if there is no other.
     pub(super) fn next_server(
         &mut self,
         connections: &ConnectionTable,
         now: Instant,
     ) -> Option<ConnectionId> {
-        self.servers
+        self.server_connections
             .next(connections, now, Connection::server_eviction_tier)
     }
 
@@ -122,7 +122,7 @@
         connections: &ConnectionTable,
         now: Instant,
     ) -> Option<ConnectionId> {
-        self.clients
+        self.client_connections
             .next(connections, now, Connection::client_eviction_tier)
     }
 }
--- a/src/net/http/mod.rs
+++ b/src/net/http/mod.rs
@@ -1,4 +1,4 @@
-//! HTTP/1.1 messages: parsing of heads and formatting of messages, without I/O.
+//! HTTP/1.1: parses heads and formats messages, without I/O.
 
 mod request;
 mod response;
@@ -7,10 +7,10 @@
 pub(super) use response::{response_head, Persistence, ResponseHead};
 
 /// Largest head of a request, in bytes.
-pub(super) const REQUEST_HEAD_MAX: usize = 8 * 1024;
+pub(super) const REQUEST_HEAD_MAX_BYTES: usize = 8 * 1024;
 /// Largest head of a response, in bytes.
-pub(super) const RESPONSE_HEAD_MAX: usize = 4 * REQUEST_HEAD_MAX;
-/// Most headers of a message; a message with more of them is malformed.
+pub(super) const RESPONSE_HEAD_MAX_BYTES: usize = 4 * REQUEST_HEAD_MAX_BYTES;
+/// Maximum number of headers; a message with more of them is malformed.
 const HEADERS_MAX: usize = 48;
 
 /// The value of a `Content-Length` header; `None` if it is not a number.
--- a/src/net/http/request.rs
+++ b/src/net/http/request.rs
@@ -1,11 +1,11 @@
-//! Requests: the heads of those that are received, and the text of those that are sent.
+//! Parses the heads of received requests, and formats requests to send.
 
 use std::net::SocketAddr;
 
 use thiserror::Error;
 
-use super::{is_connection_close, parse_content_length, HEADERS_MAX, REQUEST_HEAD_MAX};
-use crate::net::{status, BODY_MAX};
+use super::{is_connection_close, parse_content_length, HEADERS_MAX, REQUEST_HEAD_MAX_BYTES};
+use crate::net::{status, BODY_MAX_BYTES};
 
 /// The head of a received request.
 pub(crate) struct RequestHead {
@@ -24,11 +24,11 @@
 pub(crate) enum RequestError {
     #[error("the request is malformed")]
     Malformed,
-    #[error("the head is larger than {REQUEST_HEAD_MAX} bytes")]
+    #[error("the head is larger than {REQUEST_HEAD_MAX_BYTES} bytes")]
     HeadTooLarge,
     #[error("the body has no declared length")]
     LengthRequired,
-    #[error("the body is larger than {BODY_MAX} bytes")]
+    #[error("the body is larger than {BODY_MAX_BYTES} bytes")]
     BodyTooLarge,
 }
 
@@ -55,7 +55,7 @@
         let mut request = httparse::Request::new(&mut headers);
         let length = match request.parse(input) {
             Ok(httparse::Status::Complete(length)) => length,
-            Ok(httparse::Status::Partial) if input.len() > REQUEST_HEAD_MAX => {
+            Ok(httparse::Status::Partial) if input.len() > REQUEST_HEAD_MAX_BYTES => {
                 return Err(RequestError::HeadTooLarge);
             }
             Ok(httparse::Status::Partial) => return Ok(None),
@@ -72,9 +72,9 @@
         Ok(Some(head))
     }
 
-    /// Applies the headers that the body's length and the connection depend on. All are read
-    /// before a request is refused; the last error counts, except that a body that is too large
-    /// takes precedence.
+    /// Applies the headers that determine the body's length and whether the connection is kept.
+    /// All headers are read before the request is refused. The last error is returned, except
+    /// that a body that is too large takes precedence.
     fn apply_headers(&mut self, headers: &[httparse::Header]) -> Result<(), RequestError> {
         let mut result = Ok(());
         for header in headers {
@@ -89,14 +89,14 @@
                 self.closes = true;
             }
         }
-        if self.body_length > BODY_MAX {
+        if self.body_length > BODY_MAX_BYTES {
             return Err(RequestError::BodyTooLarge);
         }
         result
     }
 }
 
-/// A complete request to be sent.
+/// Formats a complete request.
 pub(crate) fn request_message(
     address: SocketAddr,
     method: &str,
--- a/src/net/http/response.rs
+++ b/src/net/http/response.rs
@@ -1,8 +1,8 @@
-//! Responses: the heads of those that are received, and of those that are sent.
+//! Parses the heads of received responses, and formats the heads of responses to send.
 
 use thiserror::Error;
 
-use super::{is_connection_close, parse_content_length, HEADERS_MAX, RESPONSE_HEAD_MAX};
+use super::{is_connection_close, parse_content_length, HEADERS_MAX, RESPONSE_HEAD_MAX_BYTES};
 
 /// Statuses whose responses have no body.
 const STATUSES_WITHOUT_BODY: [u16; 2] = [204, 304];
@@ -12,7 +12,7 @@
     /// Length of the head, in bytes.
     pub length: usize,
     pub status: u16,
-    /// Declared length of the body, in bytes.
+    /// Declared length of the body, in bytes; `None` if the body ends with the connection.
     pub body_length: Option<usize>,
     /// The server closes the connection after the response.
     pub closes: bool,
@@ -26,9 +26,9 @@
 /// Whether a connection is kept for further requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Persistence {
-    /// It is kept.
+    /// The connection is kept open.
     KeepAlive,
-    /// It is closed after the response.
+    /// The connection is closed after the response.
     Close,
 }
 
@@ -43,7 +43,7 @@
         let mut response = httparse::Response::new(&mut headers);
         let length = match response.parse(input) {
             Ok(httparse::Status::Complete(length)) => length,
-            Ok(httparse::Status::Partial) if input.len() > RESPONSE_HEAD_MAX => {
+            Ok(httparse::Status::Partial) if input.len() > RESPONSE_HEAD_MAX_BYTES => {
                 return Err(MalformedResponse);
             }
             Ok(httparse::Status::Partial) => return Ok(None),
@@ -66,12 +66,12 @@
     }
 
     /// Whether the status excludes a body.
-    pub(crate) fn has_no_body(&self) -> bool {
+    pub(crate) fn excludes_body(&self) -> bool {
         STATUSES_WITHOUT_BODY.contains(&self.status)
     }
 }
 
-/// The head of a response to be sent. `retry_after_s` is in seconds.
+/// Formats the head of a response.
 pub(crate) fn response_head(
     status: u16,
     retry_after_s: Option<u32>,
--- a/src/net/idle_timeouts.rs
+++ b/src/net/idle_timeouts.rs
@@ -1,4 +1,4 @@
-//! Closing of connections that have been idle for too long.
+//! Timeouts of idle connections and of slow requests.
 
 use std::time::{Duration, Instant};
 
@@ -6,31 +6,32 @@
 use super::connection_table::ConnectionTable;
 use super::interval::Interval;
 
-/// Time within which a request must be complete, and within which its answer must be sent.
-const REQUEST_MAX: Duration = Duration::from_secs(10);
+/// Time within which a request must be received completely, and its response be sent.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(10);
 /// Longest time without a request on a server connection.
-const SERVER_IDLE_MAX: Duration = Duration::from_secs(120);
-/// Longest time without a call on a client connection: agents are many and called rarely.
-const CLIENT_IDLE_MAX: Duration = Duration::from_secs(5);
-/// Interval at which all connections, which are many, are reviewed.
+const SERVER_IDLE_TIMEOUT: Duration = Duration::from_secs(120);
+/// Longest time without a call on a client connection: short, as agents are many and called
+/// rarely.
+const CLIENT_IDLE_TIMEOUT: Duration = Duration::from_secs(5);
+/// Interval between checks, which iterate over all connections.
 const REVIEW_INTERVAL: Duration = Duration::from_millis(1000);
 
-/// Finds idle connections, in intervals.
+/// Finds idle connections periodically.
 pub(super) struct IdleTimeouts {
     review: Interval,
     /// Longest time without a heartbeat on an agent's connection.
-    agent_idle_max: Duration,
+    agent_idle_timeout: Duration,
 }
 
 impl IdleTimeouts {
-    pub(super) fn new(agent_idle_max: Duration, now: Instant) -> IdleTimeouts {
+    pub(super) fn new(agent_idle_timeout: Duration, now: Instant) -> IdleTimeouts {
         IdleTimeouts {
             review: Interval::new(REVIEW_INTERVAL, now),
-            agent_idle_max,
+            agent_idle_timeout,
         }
     }
 
-    /// The connections to close, in no particular order. Empty between two reviews.
+    /// The connections to close, in no particular order. Empty until the next check is due.
     pub(super) fn expired(
         &mut self,
         connections: &ConnectionTable,
@@ -48,11 +49,13 @@
         let idle = now.duration_since(connection.last_used());
         match connection.activity() {
             Activity::InUse => false,
-            Activity::ReceivingRequest(began) => now.duration_since(began) >= REQUEST_MAX,
-            Activity::AgentIdle => idle >= self.agent_idle_max,
-            Activity::SendingAnswer => idle >= REQUEST_MAX,
-            Activity::ServerIdle => idle >= SERVER_IDLE_MAX,
-            Activity::ClientIdle => idle >= CLIENT_IDLE_MAX,
+            Activity::ReceivingRequest(started_at) => {
+                now.duration_since(started_at) >= REQUEST_TIMEOUT
+            }
+            Activity::AgentIdle => idle >= self.agent_idle_timeout,
+            Activity::SendingResponse => idle >= REQUEST_TIMEOUT,
+            Activity::ServerIdle => idle >= SERVER_IDLE_TIMEOUT,
+            Activity::ClientIdle => idle >= CLIENT_IDLE_TIMEOUT,
         }
     }
 }
--- a/src/net/interval.rs
+++ b/src/net/interval.rs
@@ -1,8 +1,8 @@
-//! Work that recurs at an interval.
+//! A timer for periodic work.
 
 use std::time::{Duration, Instant};
 
-/// Tells when recurring work is due.
+/// Tells when periodic work is due.
 pub(super) struct Interval {
     length: Duration,
     last: Instant,
--- a/src/net/limits.rs
+++ b/src/net/limits.rs
@@ -1,8 +1,8 @@
-//! How the process's sockets are divided.
+//! Division of the process's sockets among kinds of connections.
 //!
-//! Connections that others open, and calls to agents, have a share of all sockets each, so that
-//! neither can exhaust the other. The rest is for vital calls and for sockets that are being
-//! closed.
+//! Accepted connections and calls to agents have separate shares of all sockets, so that neither
+//! kind can exhaust the sockets of the other. The rest is for calls to critical addresses and for
+//! sockets that are being closed.
 
 use std::collections::HashSet;
 use std::net::SocketAddr;
@@ -11,14 +11,14 @@
 /// Limits of the event loop.
 #[derive(Debug, Clone)]
 pub struct ConnectionLimits {
-    /// Most sockets of the process.
+    /// Maximum number of open sockets of the process.
     pub fd_limit: usize,
-    /// Addresses that calls must reach however many agents are called: the store, the cloud and
-    /// the other controllers.
+    /// Addresses to which calls are urgent and not limited in number: the store, the cloud and the
+    /// other controllers.
     pub vital: HashSet<SocketAddr>,
     /// Time without a heartbeat after which an agent's connection is closed.
     pub agent_idle: Duration,
-    /// Largest reply to a call, in bytes: the store's watch has no limit of its own.
+    /// Largest reply to a call, in bytes. Needed because the store's watch replies are unbounded.
     pub reply_max: usize,
 }
 
@@ -40,38 +40,45 @@
     }
 }
 
-/// The part of all sockets for server connections.
-const SERVER_SHARE: Fraction = Fraction {
+/// The share of all sockets for server connections.
+const SERVER_SOCKET_SHARE: Fraction = Fraction {
     numerator: 12,
     denominator: 16,
 };
-/// The part of all sockets for calls to agents.
-const CLIENT_SHARE: Fraction = Fraction {
+/// The share of all sockets for calls to agents.
+const CLIENT_SOCKET_SHARE: Fraction = Fraction {
     numerator: 3,
     denominator: 16,
 };
-/// The part of the places for server connections that lasting connections of agents may take;
-/// the rest is for clients of few requests.
-const CROWDED_SHARE: Fraction = Fraction {
+/// The share of server connections that persistent connections of agents may take; the rest is
+/// for short-lived connections of other clients.
+const HIGH_AGENT_OCCUPANCY: Fraction = Fraction {
     numerator: 7,
     denominator: 8,
 };
-const SERVERS_MIN: usize = 8;
-const CLIENTS_MIN: usize = 4;
+const SERVER_CONNECTIONS_MIN: usize = 8;
+const CLIENT_CONNECTIONS_MIN: usize = 4;
 
 impl ConnectionLimits {
-    /// Most server connections.
-    pub(super) fn servers_max(&self) -> usize {
-        SERVER_SHARE.of(self.fd_limit).max(SERVERS_MIN)
+    /// Maximum number of server connections.
+    pub(super) fn server_connections_max(&self) -> usize {
+        SERVER_SOCKET_SHARE
+            .of(self.fd_limit)
+            .max(SERVER_CONNECTIONS_MIN)
     }
 
-    /// Most connections to agents that this process opens.
-    pub(super) fn clients_max(&self) -> usize {
-        CLIENT_SHARE.of(self.fd_limit).max(CLIENTS_MIN)
+    /// Maximum number of connections that this process opens to agents.
+    pub(super) fn client_connections_max(&self) -> usize {
+        CLIENT_SOCKET_SHARE
+            .of(self.fd_limit)
+            .max(CLIENT_CONNECTIONS_MIN)
     }
 }
 
-/// Whether `agents` of at most `servers_max` server connections crowd out other clients.
-pub(super) fn is_crowded(agents: usize, servers_max: usize) -> bool {
-    CROWDED_SHARE.is_exceeded(agents, servers_max)
+/// Whether `agent_connections` of at most `server_connections_max` server connections leave too few for other clients.
+pub(super) fn is_agent_occupancy_high(
+    agent_connections: usize,
+    server_connections_max: usize,
+) -> bool {
+    HIGH_AGENT_OCCUPANCY.is_exceeded(agent_connections, server_connections_max)
 }
--- a/src/net/listeners.rs
+++ b/src/net/listeners.rs
@@ -1,4 +1,4 @@
-//! The two listening sockets and whether connections wait to be accepted.
+//! The two listening sockets, and whether connections are waiting to be accepted.
 
 use std::io;
 use std::net::SocketAddr;
@@ -11,13 +11,13 @@
 /// A listening socket.
 struct ListeningSocket {
     socket: TcpListener,
-    /// More connections may wait to be accepted.
+    /// Connections may be waiting to be accepted.
     is_pending: bool,
 }
 
 impl ListeningSocket {
-    /// Listens with the short backlog of the standard library: by the time that a connection in a
-    /// long backlog is accepted, its client has given up.
+    /// Listens with the short backlog of the standard library: with a long one, clients would time
+    /// out before their connections are accepted.
     fn bind(address: SocketAddr) -> io::Result<ListeningSocket> {
         let listener = std::net::TcpListener::bind(address)?;
         listener.set_nonblocking(true)?;
@@ -42,13 +42,13 @@
 pub(super) struct Listeners {
     front: ListeningSocket,
     peers: ListeningSocket,
-    /// Accepting has failed, as without free sockets. The poll is edge-triggered and does not
-    /// report the waiting connections again.
-    has_failed: bool,
+    /// Accepting has failed, for example because no socket was free. The poll is edge-triggered
+    /// and does not report the waiting connections again.
+    accept_failed: bool,
 }
 
 impl Listeners {
-    /// Listens on both addresses.
+    /// Binds and registers both listening sockets.
     ///
     /// # Errors
     ///
@@ -66,7 +66,7 @@
         Ok(Listeners {
             front,
             peers,
-            has_failed: false,
+            accept_failed: false,
         })
     }
 
@@ -77,12 +77,12 @@
         }
     }
 
-    /// Notes that connections may wait to be accepted.
+    /// Records that connections may be waiting to be accepted.
     pub(super) fn mark_pending(&mut self, listener: Listener) {
         self.socket_mut(listener).is_pending = true;
     }
 
-    /// Whether connections may wait to be accepted.
+    /// Whether connections may be waiting to be accepted.
     pub(super) fn is_pending(&self, listener: Listener) -> bool {
         match listener {
             Listener::Front => self.front.is_pending,
@@ -90,13 +90,13 @@
         }
     }
 
-    /// Whether connections may wait to be accepted by either listener.
+    /// Whether connections may be waiting to be accepted by either listener.
     pub(super) fn is_any_pending(&self) -> bool {
         self.front.is_pending || self.peers.is_pending
     }
 
-    /// Accepts a connection. `None` if this was not possible; the listener remains pending only
-    /// if another attempt may succeed at once.
+    /// Accepts a connection. Returns `None` on failure; the listener remains pending only if
+    /// another attempt may succeed at once.
     pub(super) fn accept(&mut self, listener: Listener) -> Option<TcpStream> {
         let listening = self.socket_mut(listener);
         let error = match listening.socket.accept() {
@@ -106,18 +106,18 @@
         match error.kind() {
             io::ErrorKind::Interrupted => {}
             io::ErrorKind::WouldBlock => listening.is_pending = false,
-            // No free sockets, or an aborted connection.
+            // No socket is free, or the client has aborted the connection.
             _ => {
                 listening.is_pending = false;
-                self.has_failed = true;
+                self.accept_failed = true;
             }
         }
         None
     }
 
-    /// Lets accepting be tried again if it has failed.
-    pub(super) fn retry_failed(&mut self) {
-        if std::mem::take(&mut self.has_failed) {
+    /// Marks both listeners as pending if accepting has failed.
+    pub(super) fn retry_accepting(&mut self) {
+        if std::mem::take(&mut self.accept_failed) {
             self.front.is_pending = true;
             self.peers.is_pending = true;
         }
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -5,12 +5,12 @@
 //!
 //! | module | responsibility |
 //! | --- | --- |
-//! | `listeners` | listening sockets, and whether connections wait to be accepted |
+//! | `listeners` | listening sockets, and whether connections are waiting to be accepted |
 //! | `connection_table` | all open connections, their counts and limits |
 //! | `connection` | one connection: a `buffered_stream` in the role of a server (`server_state`) or of a client (`client_state`) |
 //! | `read_queue` | which connection is read next under overload |
 //! | `client_pool` | idle client connections, and calls in progress |
-//! | `eviction` | least recently used connections, closed when places are short |
+//! | `eviction` | least recently used connections, closed when a connection limit is reached |
 //! | `idle_timeouts` | connections that have been idle for too long |
 //! | `http` | parsing and formatting of messages, without I/O |
 
@@ -36,7 +36,7 @@
 pub use limits::ConnectionLimits;
 
 /// Largest body of a request, in bytes.
-pub const BODY_MAX: usize = 64 * 1024;
+pub const BODY_MAX_BYTES: usize = 64 * 1024;
 
 /// The listener that has accepted a connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -58,62 +58,62 @@
     pub body: Vec<u8>,
 }
 
-/// The outcome of a call.
+/// The outcome of an outgoing call.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Outcome {
-    /// The other side has answered.
+    /// The callee sent a complete response.
     Answer {
         /// The HTTP status.
         status: u16,
         /// The body.
         body: Vec<u8>,
     },
-    /// The answer is larger than allowed and was discarded.
+    /// The response exceeds [`ConnectionLimits::reply_max`] and was discarded.
     TooLarge,
-    /// There was no answer; the request may have been carried out.
+    /// No complete response was received; the callee may have carried out the request.
     NoAnswer,
     /// No connection was established; the request was not sent.
     NotSent,
 }
 
-/// An event that a turn of the event loop returns.
+/// An event returned by [`EventLoop::turn`].
 #[derive(Debug)]
 pub enum Event {
     /// A request was received.
     Request {
-        /// The connection, on which the answer has to be given.
+        /// The connection on which the response is sent.
         connection: usize,
         /// The listener that has accepted the connection.
         listener: Listener,
         /// The request.
         request: Request,
     },
-    /// A call has ended.
+    /// An outgoing call has ended, with or without a response.
     Reply {
-        /// The tag of the call.
+        /// The tag that the call was made with.
         tag: u64,
         /// The outcome.
         outcome: Outcome,
     },
 }
 
-/// An action that the controller requests.
+/// A network operation that the controller requests from the event loop.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
-    /// Answer a request.
+    /// Respond to a request.
     Answer {
         /// The connection on which the request was received.
         connection: usize,
         /// The HTTP status.
         status: u16,
-        /// When the client should retry, in seconds.
+        /// Value of the `Retry-After` header, in seconds; `None` to omit the header.
         retry_after: Option<u32>,
         /// The body.
         body: Vec<u8>,
     },
     /// Send a request.
     Call {
-        /// The tag that the outcome is returned with.
+        /// Identifies the call in [`Event::Reply`].
         tag: u64,
         /// The address to call.
         address: SocketAddr,
@@ -123,7 +123,7 @@
         path: String,
         /// The body.
         body: Vec<u8>,
-        /// The timeout, in milliseconds.
+        /// Time until the call fails without a response, in milliseconds.
         timeout_ms: u64,
     },
 }
--- a/src/net/read_queue.rs
+++ b/src/net/read_queue.rs
@@ -1,48 +1,49 @@
-//! The queue of connections with input that is not urgent, and the rules by which they are read
-//! when there are more than can be served in time.
+//! The queue of connections with input that is not urgent, and the order in which they are read
+//! under overload.
 //!
-//! - Connections that have been served before come first, so that they stay. A connection that is
-//!   opened for each request costs three times as much as one that is kept, and all agents
-//!   connecting at once exceed a small share of a processor; they move to a new leader
-//!   gradually.
-//! - The queue is first in, first out until a connection has waited for [`FAIR_MS`]. From then on
-//!   the latest is read first, and a connection that has waited for [`PATIENCE_MS`] is closed
-//!   unread. If all were served in order, each would be served too late once the queue is
-//!   that long, and would come back with another connection: none would be in time again.
+//! - Connections that have been served before come first, so that their clients keep them open. A
+//!   new connection for each request costs three times as much as a persistent one, and all
+//!   agents connecting at once would overload a process with a small share of a processor; they
+//!   move to a new leader gradually.
+//! - The queue is first in, first out until its oldest connection has waited for
+//!   [`FIFO_WAIT_MAX_MS`]. From then on the newest is read first, and a connection that has
+//!   waited for [`READ_QUEUE_TIMEOUT_MS`] is closed unread. With a queue of that length, strict
+//!   order would serve every connection after its client has timed out and reconnected, and the
+//!   queue would never recover.
 
 use std::collections::VecDeque;
 use std::time::Instant;
 
 use super::connection::ConnectionId;
 
-/// Connections that are read, or accepted, in one turn. On a small share of a processor a few
-/// hundred at once take longer than the time to live of a leader's grant, so urgent input has to
-/// be reviewed in between.
-pub(super) const TURN_BATCH: usize = 24;
-/// Newcomers that are read in one turn at least, and accepted in one turn while the queue is
-/// long.
-pub(super) const NEWCOMER_BATCH: usize = TURN_BATCH / 4;
-/// A connection that has waited longer is read after later ones, in milliseconds.
-const FAIR_MS: u64 = 1000;
-/// A connection that has waited longer is closed unread, in milliseconds: agents give up after
-/// 4 s.
-const PATIENCE_MS: u64 = 3900;
+/// Limit per turn on the queued connections that are read, which only the guaranteed number of new
+/// ones may exceed, and on the connections accepted from each listener. On a small share of a
+/// processor a few hundred at once take longer than the time to live of a leader's grant, so
+/// urgent input is handled in between.
+pub(super) const CONNECTIONS_PER_TURN_MAX: usize = 24;
+/// New connections that are read in one turn at least if they are queued, and maximum number that
+/// is accepted from users and agents in one turn while the queue is backlogged.
+pub(super) const NEW_CONNECTIONS_PER_TURN: usize = CONNECTIONS_PER_TURN_MAX / 4;
+/// Wait of the oldest connection, in milliseconds, above which the newest is read first.
+const FIFO_WAIT_MAX_MS: u64 = 1000;
+/// Wait in milliseconds above which a connection is closed unread: agents time out after 4 s.
+const READ_QUEUE_TIMEOUT_MS: u64 = 3900;
 
 /// Which of the two queues a connection waits in.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum ReadClass {
-    /// A request has been answered on the connection.
+    /// A request has been answered on the server connection.
     Served,
-    /// Any other connection.
-    Newcomer,
+    /// Any other connection, client connections to agents included.
+    New,
 }
 
-/// What to do with the next connection of the queue.
+/// How to handle the next connection of the queue.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum NextRead {
-    /// It is read. It may have been closed meanwhile.
+    /// Read the connection, which may have been closed since it was queued.
     Read(ConnectionId),
-    /// It has waited too long and is closed unread.
+    /// The connection has waited too long: close it unread.
     TimedOut(ConnectionId),
 }
 
@@ -53,35 +54,35 @@
     since: Instant,
 }
 
-/// Connections with input to be read. Those that are closed stay until their turn comes.
+/// Connections with input to be read. Closed ones stay until they are dequeued.
 #[derive(Debug, Default)]
 pub(super) struct ReadQueue {
     served: VecDeque<QueuedRead>,
-    newcomers: VecDeque<QueuedRead>,
-    /// The longest observed wait since it was last taken, in milliseconds.
+    new_connections: VecDeque<QueuedRead>,
+    /// The longest wait since the last [`ReadQueue::take_longest_wait_ms`], in milliseconds.
     longest_wait_ms: u64,
 }
 
 impl ReadQueue {
     pub(super) fn is_empty(&self) -> bool {
-        self.served.is_empty() && self.newcomers.is_empty()
+        self.served.is_empty() && self.new_connections.is_empty()
     }
 
-    /// Whether more connections wait than are read in one turn.
+    /// Whether more connections are queued than are read in one turn.
     pub(super) fn is_backlogged(&self) -> bool {
-        self.served.len() + self.newcomers.len() > TURN_BATCH
+        self.served.len() + self.new_connections.len() > CONNECTIONS_PER_TURN_MAX
     }
 
-    /// Appends a connection, which must not be in the queue.
+    /// Appends a connection, which must not be in the queue: it would be read twice.
     pub(super) fn push(&mut self, id: ConnectionId, class: ReadClass, now: Instant) {
         let queued = QueuedRead { id, since: now };
         match class {
             ReadClass::Served => self.served.push_back(queued),
-            ReadClass::Newcomer => self.newcomers.push_back(queued),
+            ReadClass::New => self.new_connections.push_back(queued),
         }
     }
 
-    /// Removes the next connection of a class. `is_open` tells which connections are still open.
+    /// Removes the next connection of a class, skipping closed ones, which `is_open` tells.
     pub(super) fn next(
         &mut self,
         class: ReadClass,
@@ -90,7 +91,7 @@
     ) -> Option<NextRead> {
         let queue = match class {
             ReadClass::Served => &mut self.served,
-            ReadClass::Newcomer => &mut self.newcomers,
+            ReadClass::New => &mut self.new_connections,
         };
         while queue.front().is_some_and(|queued| !is_open(queued.id)) {
             queue.pop_front();
@@ -98,11 +99,11 @@
         let first = *queue.front()?;
         let wait_ms = now.duration_since(first.since).as_millis() as u64;
         self.longest_wait_ms = self.longest_wait_ms.max(wait_ms);
-        if wait_ms > PATIENCE_MS {
+        if wait_ms > READ_QUEUE_TIMEOUT_MS {
             queue.pop_front();
             return Some(NextRead::TimedOut(first.id));
         }
-        let next = if wait_ms > FAIR_MS {
+        let next = if wait_ms > FIFO_WAIT_MAX_MS {
             queue.pop_back()
         } else {
             queue.pop_front()
@@ -110,7 +111,7 @@
         next.map(|queued| NextRead::Read(queued.id))
     }
 
-    /// The longest wait that was observed since the last call, in milliseconds.
+    /// Returns the longest wait since the last call, in milliseconds, and resets it.
     pub(super) fn take_longest_wait_ms(&mut self) -> u64 {
         std::mem::take(&mut self.longest_wait_ms)
     }
--- a/src/net/server_state.rs
+++ b/src/net/server_state.rs
@@ -1,4 +1,4 @@
-//! The state of a connection that another side has opened: its requests and their answers.
+//! The state of a connection that a peer has opened: its requests and their responses.
 
 use std::time::Instant;
 
@@ -6,31 +6,31 @@
 use super::{status, Listener, Request};
 use crate::wire::HEARTBEAT_PATH;
 
-/// Whether agents hold nearly all places for server connections.
+/// The share of server connections that agents hold.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Crowding {
-    /// There is room.
+pub(super) enum AgentOccupancy {
+    /// The connections of further agents are kept open.
     Normal,
-    /// New agents are served on connections of one request.
-    Crowded,
+    /// Agents hold nearly all connections: those of further agents are closed after one request.
+    High,
 }
 
 /// The server's side of a connection.
 #[expect(
     clippy::struct_excessive_bools,
-    reason = "independent facts about a connection, of which any combination occurs"
+    reason = "independent flags; any combination occurs"
 )]
 pub(super) struct ServerState {
     listener: Listener,
     /// The last request was a heartbeat.
     is_agent: bool,
-    /// A request was passed on and is not answered yet.
-    awaits_answer: bool,
-    closes_after_answer: bool,
+    /// A request was reported to the controller, which has not responded yet.
+    awaits_response: bool,
+    closes_after_response: bool,
     /// A request has been answered on this connection.
     was_served: bool,
     /// When the first byte of an incomplete request was received.
-    request_began: Option<Instant>,
+    request_started_at: Option<Instant>,
 }
 
 impl ServerState {
@@ -38,10 +38,10 @@
         ServerState {
             listener,
             is_agent: false,
-            awaits_answer: false,
-            closes_after_answer: false,
+            awaits_response: false,
+            closes_after_response: false,
             was_served: false,
-            request_began: None,
+            request_started_at: None,
         }
     }
 
@@ -54,9 +54,9 @@
         self.is_agent
     }
 
-    /// Whether a request was passed on and is not answered yet.
-    pub(super) fn awaits_answer(&self) -> bool {
-        self.awaits_answer
+    /// Whether a request was reported to the controller, which has not responded yet.
+    pub(super) fn awaits_response(&self) -> bool {
+        self.awaits_response
     }
 
     /// Whether a request has been answered on this connection.
@@ -65,17 +65,17 @@
     }
 
     /// When the first byte of an incomplete request was received.
-    pub(super) fn request_began(&self) -> Option<Instant> {
-        self.request_began
+    pub(super) fn request_started_at(&self) -> Option<Instant> {
+        self.request_started_at
     }
 
-    /// Whether the last answer of this connection has been given.
+    /// Whether the last response on this connection is in the output or sent.
     pub(super) fn is_complete(&self) -> bool {
-        self.closes_after_answer && !self.awaits_answer
+        self.closes_after_response && !self.awaits_response
     }
 
     /// Removes the next complete request from `input`. `None` if there is none, or while another
-    /// request awaits its answer.
+    /// request awaits its response.
     ///
     /// # Errors
     ///
@@ -84,10 +84,10 @@
         &mut self,
         input: &mut Vec<u8>,
     ) -> Result<Option<Request>, RequestError> {
-        if self.awaits_answer || input.is_empty() {
+        if self.awaits_response || input.is_empty() {
             return Ok(None);
         }
-        self.request_began.get_or_insert_with(Instant::now);
+        self.request_started_at.get_or_insert_with(Instant::now);
         let Some(head) = RequestHead::parse(input)? else {
             return Ok(None);
         };
@@ -98,9 +98,9 @@
         let body = input[head.length..end].to_vec();
         input.drain(..end);
         self.is_agent = head.path == HEARTBEAT_PATH;
-        self.awaits_answer = true;
-        self.closes_after_answer = head.closes;
-        self.request_began = None;
+        self.awaits_response = true;
+        self.closes_after_response = head.closes;
+        self.request_started_at = None;
         Ok(Some(Request {
             method: head.method,
             path: head.path,
@@ -108,31 +108,32 @@
         }))
     }
 
-    /// Prepares the refusal of an invalid request: its answer is the last on this connection.
+    /// Prepares the refusal of an invalid request: its response is the last on this connection.
     pub(super) fn reject_request(&mut self) {
-        self.awaits_answer = true;
-        self.closes_after_answer = true;
+        self.awaits_response = true;
+        self.closes_after_response = true;
     }
 
-    /// Marks the request as answered with `answer_status`. Returns whether the connection is kept,
-    /// or `None` if no request awaits an answer.
+    /// Marks the request as answered with `response_status`. Returns whether the connection is kept,
+    /// or `None` if no request awaits a response.
     pub(super) fn finish_request(
         &mut self,
-        answer_status: u16,
+        response_status: u16,
         is_read_closed: bool,
-        crowding: Crowding,
+        agent_occupancy: AgentOccupancy,
     ) -> Option<Persistence> {
-        if !self.awaits_answer {
+        if !self.awaits_response {
             return None;
         }
-        self.awaits_answer = false;
-        let is_newcomer = !self.was_served;
+        self.awaits_response = false;
+        let is_first_response = !self.was_served;
         self.was_served = true;
-        // A redirected agent closes the connection in any case; closing it here saves the event.
-        let is_redirected = answer_status == status::MISDIRECTED_REQUEST;
-        let is_surplus = crowding == Crowding::Crowded && self.is_agent && is_newcomer;
-        self.closes_after_answer |= is_read_closed || is_redirected || is_surplus;
-        Some(if self.closes_after_answer {
+        // A redirected agent closes the connection anyway; closing it here saves a socket event.
+        let is_redirected = response_status == status::MISDIRECTED_REQUEST;
+        let exceeds_capacity =
+            agent_occupancy == AgentOccupancy::High && self.is_agent && is_first_response;
+        self.closes_after_response |= is_read_closed || is_redirected || exceeds_capacity;
+        Some(if self.closes_after_response {
             Persistence::Close
         } else {
             Persistence::KeepAlive
--- a/src/net/status.rs
+++ b/src/net/status.rs
@@ -1,4 +1,4 @@
-//! The HTTP statuses to which the protocols or this service give a meaning.
+//! The HTTP statuses that the protocols or this service use, with their meaning there.
 
 /// The request was carried out.
 pub const OK: u16 = 200;
@@ -12,7 +12,7 @@
 pub const METHOD_NOT_ALLOWED: u16 = 405;
 /// A condition does not hold, or a fencing token is too low.
 pub const CONFLICT: u16 = 409;
-/// A watch begins before the oldest change that the store keeps.
+/// A watch begins before the oldest change that the store retains.
 pub const GONE: u16 = 410;
 /// A request body has no declared length.
 pub const LENGTH_REQUIRED: u16 = 411;
