--- a/src/settings/duties.rs
+++ b/src/settings/duties.rs
@@ -11,9 +11,9 @@
 /// Longest time to live of a duty's lease, as a share of an agent's lease: the successor of a
 /// holder must be able to terminate a machine before the machine's agent lets its own lease
 /// expire.
-const TTL_SHARE_MAX: f64 = 0.5;
+const LEASE_TTL_SHARE_MAX: f64 = 0.5;
 /// Upper bound of the time until a successor gives orders, in times to live of the lease.
-const TAKEOVER_TTLS: f64 = 2.0;
+const TAKEOVER_TTL_MULTIPLIER: f64 = 2.0;
 /// Highest rate at which records are removed, per second: each tick finds at most one.
 const CLEANING_PER_S_MAX: f64 = 10.0;
 /// Changes of the largest transaction of duties: the election of a leader under a format that
@@ -84,8 +84,8 @@
         let refuse = |problem: String| Err(SettingsError::invalid("duties.life_share", problem));
         let workers = &settings.cluster.workers;
         let share = self.life_share;
-        if !(share.is_finite() && share > 0.0 && share <= TTL_SHARE_MAX) {
-            let problem = format!("must be above 0 and at most {TTL_SHARE_MAX}, not {share}");
+        if !(share.is_finite() && share > 0.0 && share <= LEASE_TTL_SHARE_MAX) {
+            let problem = format!("must be above 0 and at most {LEASE_TTL_SHARE_MAX}, not {share}");
             return refuse(problem);
         }
         let ttl_s = workers.lease_s * share;
@@ -95,7 +95,7 @@
                 "a lease of {ttl_s:.2} s is shorter than a stall of {stall_s:.2} s with this cpu_share"
             ));
         }
-        let takeover_s = TAKEOVER_TTLS * ttl_s;
+        let takeover_s = TAKEOVER_TTL_MULTIPLIER * ttl_s;
         if takeover_s > workers.cancel_s {
             return refuse(format!(
                 "a successor may take {takeover_s:.2} s, longer than cancel_s"
--- a/src/settings/limits.rs
+++ b/src/settings/limits.rs
@@ -12,7 +12,7 @@
 const TXN_OPS_MIN: usize = 2;
 /// Processor time that may be needed without interruption, as after a takeover, in seconds of a
 /// whole core.
-const STALL_CORE_S: f64 = 0.2;
+const STALL_CPU_S: f64 = 0.2;
 /// Smallest usable limit of sockets.
 const FD_LIMIT_MIN: usize = 32;
 const BYTES_PER_MIB: f64 = 1024.0 * 1024.0;
@@ -116,7 +116,7 @@
     /// How long the process may be busy with a takeover, in seconds. Its leases have to outlast
     /// this time, as they are not renewed meanwhile.
     pub fn stall_s(&self) -> f64 {
-        STALL_CORE_S / self.cpu_share
+        STALL_CPU_S / self.cpu_share
     }
 
     /// A share (0 to 1) of the memory limit, in bytes.
--- a/src/wire/agents.rs
+++ b/src/wire/agents.rs
@@ -1,27 +1,27 @@
-//! The status that agents send, and the commands that they receive.
+//! Messages exchanged with agents: the status that they send, and the commands they receive.
 
 use serde::{Deserialize, Serialize};
 
 use super::incarnation::Incarnation;
 use super::optional_number;
-use super::words::{ExitReason, TaskState};
+use super::protocol_enums::{ExitReason, TaskState};
 use crate::epoch::Epoch;
 use crate::machine::{ExitCause, TaskPhase};
 
-/// Where controllers receive heartbeats.
+/// Path at which controllers receive heartbeats.
 pub const HEARTBEAT_PATH: &str = "/checkin";
-/// Where agents take commands.
+/// Path at which agents receive commands.
 pub const COMMANDS_PATH: &str = "/orders";
-/// Where agents are asked for their status.
+/// Path at which agents return their status.
 pub const INSPECT_PATH: &str = "/inspect";
 
-/// An agent's status, in a heartbeat or in the response to a request.
+/// An agent's status, in a heartbeat or in the response to a status request.
 #[derive(Debug, Clone, Deserialize, Serialize)]
 pub struct AgentStatus {
     /// The machine's name.
     #[serde(rename = "host")]
     pub machine: String,
-    /// The address at which the agent takes commands.
+    /// The address at which the agent receives commands.
     pub endpoint: String,
     /// The name of the machine's type.
     #[serde(rename = "flavor")]
@@ -35,16 +35,16 @@
     /// The agent's incarnation, which increases each time its lease expires.
     #[serde(rename = "tenure")]
     pub incarnation: Incarnation,
-    /// Increases with every status of an incarnation: the one with the larger pair of
-    /// incarnation and serial is newer.
+    /// Sequence number of the status in its incarnation. Of two statuses, the one with the larger
+    /// pair of incarnation and serial is newer.
     pub serial: u64,
     /// The highest epoch that the agent has seen.
     #[serde(default)]
     pub epoch: Epoch,
-    /// Seconds until the cloud takes the spot machine back, if it gave notice.
+    /// Seconds until the cloud reclaims the spot machine, if it gave an interruption notice.
     #[serde(default, rename = "reclaimInS", deserialize_with = "optional_number")]
     pub interruption_in_s: Option<f64>,
-    /// All tasks on the machine, exited ones included until they are cleared.
+    /// All tasks on the machine, including exited ones that are not cleared yet.
     #[serde(rename = "pieces", default)]
     pub tasks: Vec<TaskStatus>,
 }
@@ -55,20 +55,20 @@
     /// The task's name, see [`crate::job::task_name`].
     #[serde(rename = "piece")]
     pub task: String,
-    /// The attempt under which it was started.
+    /// The attempt that it was started with.
     #[serde(rename = "try")]
     pub attempt: u64,
-    /// Its state.
+    /// The state of the task.
     pub status: TaskState,
-    /// Why it exited.
+    /// Why the task exited; only for exited tasks.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub cause: Option<ExitReason>,
-    /// Whether it saved a checkpoint when it was stopped.
+    /// Whether the task saved a checkpoint when it was stopped; only for stopped tasks.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub kept: Option<bool>,
 }
 
-/// What a command asks an agent to do.
+/// The operation that a command requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum CommandVerb {
@@ -83,7 +83,7 @@
 /// A command to an agent.
 #[derive(Debug, Clone, Serialize, Deserialize, PartialEq)]
 pub struct Command {
-    /// What is to be done.
+    /// The requested operation.
     pub verb: CommandVerb,
     /// The task's name.
     #[serde(rename = "piece")]
@@ -91,7 +91,8 @@
     /// The task's attempt.
     #[serde(rename = "try")]
     pub attempt: u64,
-    /// How long a stopped task may take to save a checkpoint, in seconds.
+    /// Grace period in which a stopped task may save a checkpoint, in seconds; only in stop
+    /// commands.
     #[serde(
         rename = "windDownS",
         default,
@@ -101,15 +102,15 @@
     pub grace_s: Option<f64>,
 }
 
-/// Commands that go together, in a direct request or in the response to a heartbeat.
+/// Commands that are sent together, in a direct request or in the response to a heartbeat.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct CommandBatch {
     /// The leader's fencing token.
     pub epoch: Epoch,
-    /// The incarnation that the commands are for; only in direct requests.
+    /// The agent's incarnation that the commands are addressed to; only in direct requests.
     #[serde(rename = "tenure", skip_serializing_if = "Option::is_none", default)]
     pub incarnation: Option<Incarnation>,
-    /// To be executed in this order.
+    /// The commands, which the agent executes in this order.
     #[serde(rename = "orders")]
     pub commands: Vec<Command>,
 }
@@ -123,7 +124,7 @@
 }
 
 impl TaskStatus {
-    /// The state of the task with the reason of its exit.
+    /// The phase of the task, including the reason of its exit.
     pub fn phase(&self) -> TaskPhase {
         match self.status {
             TaskState::PullingImage => TaskPhase::PullingImage,
@@ -150,7 +151,7 @@
     }
 }
 
-/// Starts a task.
+/// A command that starts a task.
 pub fn start_command(task: String, attempt: u64) -> Command {
     Command {
         verb: CommandVerb::Start,
@@ -160,7 +161,7 @@
     }
 }
 
-/// Stops a task, which may save a checkpoint if the grace period is long enough for it.
+/// A command that stops a task, which may save a checkpoint if the grace period suffices.
 pub fn stop_command(task: String, attempt: u64, grace_s: f64) -> Command {
     Command {
         verb: CommandVerb::Stop,
@@ -170,7 +171,7 @@
     }
 }
 
-/// Removes an exited task from the agent's status.
+/// A command that removes an exited task from the agent's status.
 pub fn clear_command(task: String, attempt: u64) -> Command {
     Command {
         verb: CommandVerb::Clear,
--- a/src/wire/cloud.rs
+++ b/src/wire/cloud.rs
@@ -1,20 +1,20 @@
-//! What the cloud offers, rents and lists.
+//! Messages of the cloud: machine types, provisioning, termination and the machine list.
 
 use serde::{Deserialize, Serialize};
 
-use super::words::ListedState;
+use super::protocol_enums::ListedState;
 use super::{number, optional_number};
 use crate::machine::CloudStatus;
 
-/// Where provisioning requests go.
+/// Path of provisioning requests.
 pub const PROVISION_PATH: &str = "/machines";
-/// Where requests to terminate machines go.
+/// Path of requests to terminate machines.
 pub const TERMINATE_PATH: &str = "/machines/delete";
 
-/// All machine types of the cloud.
+/// The response that lists all machine types of the cloud.
 #[derive(Debug, Deserialize, Serialize)]
 pub struct MachineTypes {
-    /// In no particular order.
+    /// The machine types, in no particular order.
     #[serde(rename = "flavors")]
     pub types: Vec<MachineType>,
 }
@@ -43,13 +43,13 @@
     /// Price of an on-demand machine for an hour.
     #[serde(rename = "hourly", deserialize_with = "number")]
     pub hourly_price: f64,
-    /// Present price of a spot machine for an hour.
+    /// Current price of a spot machine for an hour.
     #[serde(rename = "spotPrice", deserialize_with = "number")]
     pub spot_price: f64,
-    /// How long a machine usually takes to boot, in seconds.
+    /// Usual boot time of a machine, in seconds.
     #[serde(rename = "bootS", deserialize_with = "number")]
     pub boot_s: f64,
-    /// Zones in which it is offered.
+    /// Zones in which the type is offered.
     #[serde(rename = "halls")]
     pub zones: Vec<String>,
 }
@@ -57,21 +57,21 @@
 /// A request to provision machines.
 #[derive(Serialize)]
 pub struct ProvisionRequest<'a> {
-    /// The idempotency key: a repeated request with the same key provisions nothing.
+    /// The idempotency key: a repeated request with the same key provisions no further machines.
     pub booking: &'a str,
     /// The machine type's name.
     #[serde(rename = "flavor")]
     pub machine_type: &'a str,
-    /// Where the machines are to be.
+    /// The zone of the machines.
     #[serde(rename = "hall")]
     pub zone: &'a str,
-    /// Whether spot machines are asked for.
+    /// Whether spot machines are requested.
     #[serde(rename = "loaner")]
     pub spot: bool,
-    /// How many machines at most.
+    /// Maximum number of machines.
     #[serde(rename = "howMany")]
     pub count: u64,
-    /// For a provider that refuses lower tokens.
+    /// The fencing token; absent unless the provider supports fencing.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub fencing: Option<FencingToken>,
 }
@@ -79,28 +79,28 @@
 /// A request to terminate machines.
 #[derive(Serialize)]
 pub struct TerminateRequest<'a> {
-    /// Their names.
+    /// Names of the machines to terminate.
     #[serde(rename = "hosts")]
     pub names: &'a [String],
-    /// For a provider that refuses lower tokens.
+    /// The fencing token; absent unless the provider supports fencing.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub fencing: Option<FencingToken>,
 }
 
-/// The token under which an order is given, which the published protocol does not have: a
-/// provider that knows it refuses an order of the same duty with a lower one (409).
+/// The fencing token of a request, an extension of the published protocol: a provider that
+/// supports it refuses a request for the same duty with a lower token (409).
 #[derive(Debug, Clone, Copy, Serialize)]
 pub struct FencingToken {
-    /// The duty.
+    /// Name of the duty that the request belongs to.
     pub duty: &'static str,
-    /// Its holder's token.
+    /// The token under which the sender holds the duty.
     pub token: u64,
 }
 
-/// Machines that were provisioned.
+/// The response to a provisioning request.
 #[derive(Serialize, Deserialize)]
 pub struct MachineNames {
-    /// Their names.
+    /// Names of the provisioned machines.
     #[serde(rename = "hosts")]
     pub names: Vec<String>,
 }
@@ -108,7 +108,7 @@
 /// A page of the machine list.
 #[derive(Debug, Deserialize)]
 pub struct MachineList {
-    /// In the order of their names.
+    /// The machines, ordered by name.
     #[serde(rename = "hosts")]
     pub machines: Vec<ListedMachine>,
     /// Whether there are further pages.
@@ -116,13 +116,13 @@
     pub truncated: bool,
 }
 
-/// A machine in the list.
+/// A machine in the machine list.
 #[derive(Debug, Clone, Deserialize)]
 pub struct ListedMachine {
     /// The machine's name.
     #[serde(rename = "nameId")]
     pub name: String,
-    /// The address at which its agent takes commands.
+    /// The address at which its agent receives commands; absent until the cloud knows it.
     #[serde(default)]
     pub endpoint: Option<String>,
     /// The name of its type.
@@ -134,9 +134,9 @@
     /// Whether it is a spot machine.
     #[serde(rename = "loaner", default)]
     pub spot: bool,
-    /// Its state.
+    /// The machine's state.
     pub status: ListedState,
-    /// Age since the provisioning request, in seconds.
+    /// Time since the provisioning request, in seconds.
     #[serde(rename = "heldS", default, deserialize_with = "optional_number")]
     pub age_s: Option<f64>,
 }
@@ -151,7 +151,7 @@
     }
 }
 
-/// Whether a refusal says that the kind of machine is sold out.
+/// Whether the body of a refusal reports that the cloud has no capacity of the requested kind.
 pub fn is_no_capacity(body: &[u8]) -> bool {
     const NO_CAPACITY: &[u8] = b"no capacity";
     body.windows(NO_CAPACITY.len())
--- a/src/wire/incarnation.rs
+++ b/src/wire/incarnation.rs
@@ -1,10 +1,10 @@
-//! The incarnation of an agent.
+//! Incarnation numbers of agents.
 
 use serde::{Deserialize, Serialize};
 
-/// The number of an agent's incarnation. It increases each time the agent's lease expires: its
-/// tasks have ended then, and commands for an earlier incarnation are dropped. In messages it is
-/// the bare number.
+/// The number of an agent's incarnation, which increases each time the agent's lease expires. The
+/// agent has ended its tasks by then and ignores commands for an earlier incarnation. Serialized
+/// as a plain number.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -12,7 +12,7 @@
 pub struct Incarnation(u64);
 
 impl Incarnation {
-    /// Nothing was heard of the agent yet.
+    /// No status of the agent has been received yet.
     pub const NONE: Incarnation = Incarnation(0);
 
     /// The incarnation with this number.
--- a/src/wire/mod.rs
+++ b/src/wire/mod.rs
@@ -1,17 +1,16 @@
-//! The edge of the program: messages of users, agents, the cloud and the store, and the paths
-//! of requests to them.
+//! Messages exchanged with users, agents, the cloud and the store, and the paths of requests.
 //!
-//! PROTOCOL's words appear here and nowhere else in the sources. Each type maps them to the
-//! terms of the rest of the program, which `docs/architecture.md` lists side by side.
+//! The field names and values of the published protocol appear only here. Each type maps them to
+//! the terms of the rest of the program; `docs/architecture.md` has a table of both.
 
 mod agents;
 mod cloud;
 mod incarnation;
 mod paths;
+mod protocol_enums;
 mod store;
 mod submission;
 mod users;
-mod words;
 
 pub use agents::{
     clear_command, start_command, stop_command, AgentStatus, Command, CommandBatch, CommandVerb,
@@ -26,6 +25,7 @@
     cancellation_path, grant_path, grants_path, job_path, key_path, keys_path, machine_list_path,
     machine_types_path, renewal_path, transaction_path, watch_path, CANCELLATION_SUFFIX,
 };
+pub use protocol_enums::{ExitReason, ListedState, TaskState};
 pub use store::{
     final_state_reply, Condition, FinalStateError, Grant, GrantRequest, KeyChange, KeyValue, Page,
     Transaction, TransactionReply, WatchReply, Write,
@@ -35,7 +35,6 @@
     is_cancelled_reply, ErrorReply, JobStatusReply, DONE, HEALTH_PATH, JOBS_PATH, PENDING, RUNNING,
     WITHDRAWN,
 };
-pub use words::{ExitReason, ListedState, TaskState};
 
 use std::io;
 
@@ -44,19 +43,19 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// Longest text that [`readable`] returns, in characters.
-const READABLE_MAX: usize = 2000;
+/// Maximum length of a text returned by [`readable`], in characters.
+const LOG_TEXT_MAX_CHARS: usize = 2000;
 
-/// Encodes a message as CBOR.
+/// Encodes a message as CBOR. On failure, logs an error and returns the incomplete encoding.
 pub fn encode<T: Serialize>(message: &T) -> Vec<u8> {
     let mut out = Vec::with_capacity(128);
     if let Err(e) = ciborium::into_writer(message, &mut out) {
-        tracing::error!(error = %e, "message not encoded");
+        tracing::error!(error = %e, "cannot encode message as CBOR; its body is incomplete");
     }
     out
 }
 
-/// Why a message can't be read.
+/// A message that cannot be decoded, with the name of its type.
 #[derive(Debug, Error)]
 #[error("not a valid {message}: {source}")]
 pub struct DecodeError {
@@ -83,10 +82,13 @@
     ciborium::from_reader(body).map_err(DecodeError::new::<T>)
 }
 
-/// A body in a form that people can read, for the log.
+/// Formats a body for the log: the decoded CBOR value, truncated, or the length of other data.
 pub fn readable(body: &[u8]) -> String {
     match ciborium::from_reader::<Value, _>(body) {
-        Ok(value) => format!("{value:?}").chars().take(READABLE_MAX).collect(),
+        Ok(value) => format!("{value:?}")
+            .chars()
+            .take(LOG_TEXT_MAX_CHARS)
+            .collect(),
         Err(_) => format!("{} bytes, not CBOR", body.len()),
     }
 }
@@ -113,7 +115,7 @@
     }
 }
 
-/// Reads a decimal number that the sender may have written as a whole one.
+/// Deserializes a decimal number, which senders may encode as an integer.
 ///
 /// # Errors
 ///
@@ -122,7 +124,7 @@
     deserializer.deserialize_any(NumberVisitor)
 }
 
-/// Like [`number`], for a field that may be null or missing.
+/// Like [`number`], for a field that may be null, or missing if it also has `default`.
 fn optional_number<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Option<f64>, D::Error> {
     #[derive(Deserialize)]
     struct Number(#[serde(deserialize_with = "number")] f64);
--- a/src/wire/protocol_enums.rs
+++ b/src/wire/protocol_enums.rs
@@ -1,119 +1,119 @@
-//! Enumerations whose values are words of the protocol.
+//! Enumerations that are strings in the protocol.
 //!
-//! A word that this version does not know reads as the variant that stands for it, since a
-//! later version of the other side may send one.
+//! A string that this version does not know is deserialized as the enumeration's fallback variant,
+//! since a later version of an agent or of the cloud may send one.
 
 use std::fmt;
 
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 
-/// Defines an enumeration with the word of each variant. The last variant also stands for
-/// words that are not known.
-macro_rules! protocol_words {
+/// Defines an enumeration with the protocol string of each variant. The last variant is the
+/// fallback for unknown strings.
+macro_rules! protocol_enum {
     (
         $(#[$meta:meta])*
         $name:ident {
-            $($(#[$variant_meta:meta])* $variant:ident = $word:literal,)*
-            _ => $(#[$unknown_meta:meta])* $unknown:ident = $unknown_word:literal,
+            $($(#[$variant_meta:meta])* $variant:ident = $text:literal,)*
+            _ => $(#[$fallback_meta:meta])* $fallback:ident = $fallback_text:literal,
         }
     ) => {
         $(#[$meta])*
         #[derive(Debug, Clone, Copy, PartialEq, Eq)]
         pub enum $name {
             $($(#[$variant_meta])* $variant,)*
-            $(#[$unknown_meta])* $unknown,
+            $(#[$fallback_meta])* $fallback,
         }
 
         impl $name {
-            /// Its word in the protocol.
-            pub fn word(self) -> &'static str {
+            /// The string that stands for the variant in the protocol.
+            pub fn as_str(self) -> &'static str {
                 match self {
-                    $($name::$variant => $word,)*
-                    $name::$unknown => $unknown_word,
+                    $($name::$variant => $text,)*
+                    $name::$fallback => $fallback_text,
                 }
             }
         }
 
         impl From<&str> for $name {
-            fn from(word: &str) -> $name {
-                match word {
-                    $($word => $name::$variant,)*
-                    _ => $name::$unknown,
+            fn from(text: &str) -> $name {
+                match text {
+                    $($text => $name::$variant,)*
+                    _ => $name::$fallback,
                 }
             }
         }
 
         impl fmt::Display for $name {
             fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-                f.write_str(self.word())
+                f.write_str(self.as_str())
             }
         }
 
         impl Serialize for $name {
             fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
-                serializer.serialize_str(self.word())
+                serializer.serialize_str(self.as_str())
             }
         }
 
         impl<'de> Deserialize<'de> for $name {
             fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<$name, D::Error> {
-                let word = String::deserialize(deserializer)?;
-                Ok($name::from(word.as_str()))
+                let text = String::deserialize(deserializer)?;
+                Ok($name::from(text.as_str()))
             }
         }
     };
 }
 
-protocol_words! {
-    /// The state of a task in an agent's status. One that is not known counts as running: the
-    /// task keeps its placement until a status shows otherwise.
+protocol_enum! {
+    /// The state of a task in an agent's status. An unknown one counts as running: the task keeps
+    /// its placement until a later status shows otherwise.
     TaskState {
-        /// Waits for its image.
+        /// The machine is pulling the task's image.
         PullingImage = "pulling",
-        /// Waits for the other tasks of its gang.
+        /// The task waits for the other tasks of its gang.
         AwaitingGang = "gathering",
-        /// Was told to stop and saves a checkpoint.
+        /// The task is being stopped and saves a checkpoint.
         Checkpointing = "flushing",
-        /// Has exited.
+        /// The task has exited.
         Exited = "ended",
         _ =>
-        /// Runs.
+        /// The task is running.
         Running = "running",
     }
 }
 
-protocol_words! {
-    /// Why a task exited or was refused. A reason that is not known counts as a failure.
+protocol_enum! {
+    /// Why a task exited or was refused. An unknown reason counts as a failure.
     ExitReason {
-        /// Completed.
+        /// The task completed.
         Done = "done",
-        /// Stopped by a command.
+        /// The task was stopped by a command.
         Stopped = "stopped",
-        /// Another task of its gang is gone.
+        /// Another task of its gang was lost.
         GangMemberLost = "mates_gone",
-        /// Its gang was not complete in time.
+        /// Its gang was not complete before the timeout.
         GangTimeout = "alone",
-        /// Refused: not enough free resources.
+        /// Refused: the machine has too few free resources.
         InsufficientCapacity = "full",
-        /// Refused: the task is there with another attempt.
+        /// Refused: the machine still has the task under another attempt.
         InUse = "in_use",
-        /// Refused: the agent knows no such task.
+        /// Refused: the agent does not know the task.
         UnknownTask = "no_such",
         _ =>
-        /// Failed.
+        /// The task failed.
         Error = "error",
     }
 }
 
-protocol_words! {
-    /// The state of a machine in the provider's list. One that is not known counts as running.
+protocol_enum! {
+    /// The state of a machine in the cloud's machine list. An unknown one counts as running.
     ListedState {
-        /// Boots.
+        /// The machine is booting.
         Starting = "starting",
-        /// Has stopped on its own.
+        /// The machine has failed and stopped.
         Failed = "failed",
         _ =>
-        /// Is up.
+        /// The machine is running.
         Running = "running",
     }
 }
--- a/src/wire/store.rs
+++ b/src/wire/store.rs
@@ -1,4 +1,4 @@
-//! Requests to the store and its replies.
+//! Messages of the store: transactions, grants, pages of keys and watches.
 
 use ciborium::Value;
 use serde::{Deserialize, Serialize};
@@ -13,10 +13,10 @@
 pub struct KeyValue {
     /// The key.
     pub key: String,
-    /// Its value.
+    /// The value of the key.
     #[serde(rename = "data")]
     pub value: Value,
-    /// The revision of its last change.
+    /// The revision of the key's last change.
     #[serde(rename = "stamp")]
     pub version: u64,
 }
@@ -24,7 +24,7 @@
 /// A page of keys with a common prefix.
 #[derive(Debug, Deserialize)]
 pub struct Page {
-    /// In the order of their keys.
+    /// The pairs, ordered by key.
     pub pairs: Vec<KeyValue>,
     /// Whether there are further pages.
     #[serde(default)]
@@ -39,13 +39,13 @@
 pub struct Condition {
     /// The key.
     pub key: String,
-    /// The version that it must have; 0 if it must not exist.
+    /// The version that the key must have; 0 if it must not exist.
     #[serde(rename = "stamp")]
     pub version: u64,
 }
 
 impl Condition {
-    /// The key must have this version; 0 if it must not exist.
+    /// Requires the key to have this version; 0 if it must not exist.
     pub fn new(key: impl Into<String>, version: u64) -> Condition {
         Condition {
             key: key.into(),
@@ -57,22 +57,22 @@
 /// A change of one key.
 #[derive(Debug, Clone, Serialize, Deserialize, Default)]
 pub struct Write {
-    /// The key that is set.
+    /// The key to set; absent in a deletion.
     #[serde(skip_serializing_if = "Option::is_none", default)]
     pub set: Option<String>,
-    /// Its value.
+    /// The value to set.
     #[serde(rename = "data", skip_serializing_if = "Option::is_none", default)]
     pub value: Option<Value>,
-    /// The grant that the key is attached to: it is removed when the grant ends.
+    /// The grant to attach the key to: the store deletes the key when the grant ends.
     #[serde(rename = "permit", skip_serializing_if = "Option::is_none", default)]
     pub grant: Option<u64>,
-    /// The key that is deleted.
+    /// The key to delete.
     #[serde(rename = "drop", skip_serializing_if = "Option::is_none", default)]
     pub delete: Option<String>,
 }
 
 impl Write {
-    /// Sets a key.
+    /// A write that sets a key.
     pub fn set(key: String, value: Value) -> Write {
         Write {
             set: Some(key),
@@ -81,7 +81,7 @@
         }
     }
 
-    /// Sets a key to a record.
+    /// A write that sets a key to a serialized record.
     pub fn serialized<T: Serialize>(key: String, record: &T) -> Write {
         Write::set(key, Value::serialized(record).unwrap_or(Value::Null))
     }
@@ -94,7 +94,7 @@
         }
     }
 
-    /// Records who leads, attached to a grant if there is one.
+    /// A write that records the leader, attached to a grant if one is given.
     pub fn leader(key: &str, leader: &LeaderKey, grant: Option<u64>) -> Write {
         Write {
             grant,
@@ -102,7 +102,7 @@
         }
     }
 
-    /// Deletes a key.
+    /// A write that deletes a key.
     pub fn delete(key: String) -> Write {
         Write {
             delete: Some(key),
@@ -110,30 +110,30 @@
         }
     }
 
-    /// The key that it changes.
+    /// The key that the write changes.
     pub fn key(&self) -> &str {
         let key = self.set.as_ref().or(self.delete.as_ref());
         key.map_or("", String::as_str)
     }
 }
 
-/// A compare-and-swap of several keys: all writes are carried out if all conditions hold, else none.
+/// A compare-and-swap of several keys: applies all writes if all conditions hold, else none.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Transaction {
-    /// All have to hold.
+    /// The conditions, all of which have to hold.
     #[serde(rename = "if")]
     pub conditions: Vec<Condition>,
-    /// The changes.
+    /// The writes to apply.
     pub writes: Vec<Write>,
 }
 
 /// The result of a transaction.
 #[derive(Debug, Deserialize, Serialize)]
 pub struct TransactionReply {
-    /// Keys whose conditions did not hold.
+    /// Keys whose conditions did not hold; empty if the transaction was committed.
     #[serde(default)]
     pub failed: Vec<String>,
-    /// The revision of the changes, or the present one.
+    /// The revision of the writes, or the current one if the transaction was not committed.
     #[serde(rename = "ledgerRev", default)]
     pub revision: u64,
 }
@@ -141,7 +141,7 @@
 /// A request for a grant.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct GrantRequest {
-    /// Its time to live without a renewal, in milliseconds.
+    /// The grant's time to live without a renewal, in milliseconds.
     #[serde(rename = "lifeMs")]
     pub ttl_ms: u64,
 }
@@ -149,7 +149,7 @@
 /// A grant to which keys may be attached.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct Grant {
-    /// Its id.
+    /// The id of the grant.
     #[serde(rename = "permit")]
     pub grant: u64,
 }
@@ -157,21 +157,21 @@
 /// The response to a watch.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct WatchReply {
-    /// Complete up to this revision.
+    /// The revision up to which the changes are complete.
     #[serde(rename = "ledgerRev")]
     pub revision: u64,
-    /// In the order in which they were made.
+    /// The changes, in the order of their revisions.
     #[serde(rename = "news", default)]
     pub changes: Vec<KeyChange>,
 }
 
-/// A change that was made.
+/// A change that a watch reports.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct KeyChange {
     /// The key that was set.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub set: Option<String>,
-    /// Its value.
+    /// The value that was set.
     #[serde(rename = "data", default, skip_serializing_if = "Option::is_none")]
     pub value: Option<Value>,
     /// The key that was deleted.
@@ -182,18 +182,18 @@
     pub version: u64,
 }
 
-/// Why a final state can't be read.
+/// A final state that cannot be read.
 #[derive(Debug, Error)]
 pub enum FinalStateError {
     /// The reply is malformed.
     #[error(transparent)]
     Decode(#[from] DecodeError),
-    /// The value is no final state that this version knows.
+    /// This version does not know the value.
     #[error("unknown final state: {0:?}")]
     Unknown(Value),
 }
 
-/// How a job ended, from the reply to a read of its final key.
+/// Parses a job's final state from the reply to a read of its key.
 ///
 /// # Errors
 ///
--- a/src/wire/submission.rs
+++ b/src/wire/submission.rs
@@ -1,4 +1,4 @@
-//! A submission, checked field by field.
+//! Parsing and validation of job submissions.
 
 use std::collections::HashSet;
 
@@ -7,20 +7,19 @@
 
 use crate::job::{JobSpec, Priority, Shape};
 
-/// Most tasks that a job may have.
+/// Maximum number of tasks of a job.
 const TASKS_MAX: u32 = 100_000;
 const JOB_ID_PREFIX: &str = "run-";
 const JOB_ID_DIGITS_MAX: usize = 24;
-/// Longest texts, in bytes.
-const ID_MAX: usize = 64;
-const KEYWORD_MAX: usize = 16;
-const NAME_MAX: usize = 256;
-const IMAGE_MAX: usize = 512;
+const ID_MAX_BYTES: usize = 64;
+const KEYWORD_MAX_BYTES: usize = 16;
+const NAME_MAX_BYTES: usize = 256;
+const IMAGE_MAX_BYTES: usize = 512;
 
-/// Why a submission can't be read.
+/// An invalid submission.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum MalformedSubmission {
-    /// The body is no CBOR map.
+    /// The body is not a CBOR map.
     #[error("malformed submission: not a CBOR map")]
     NotAMap,
     /// A field is missing, or its value is invalid.
@@ -30,7 +29,7 @@
 
 use MalformedSubmission::Field;
 
-/// Whether a text is a job id. They have one form only.
+/// Whether a text is a valid job id: a prefix and decimal digits.
 pub fn is_job_id(id: &str) -> bool {
     let digits = id.strip_prefix(JOB_ID_PREFIX).unwrap_or("");
     !digits.is_empty()
@@ -38,21 +37,21 @@
         && digits.bytes().all(|b| b.is_ascii_digit())
 }
 
-/// Reads a submission: the job's id and its specification.
+/// Parses a submission into the job's id and its specification.
 ///
 /// # Errors
 ///
 /// If the body is not a CBOR map, or a field is missing or invalid.
 pub fn parse_submission(body: &[u8]) -> Result<(String, JobSpec), MalformedSubmission> {
     let value: Value = ciborium::from_reader(body).map_err(|_| MalformedSubmission::NotAMap)?;
-    let fields = Fields(value.as_map().ok_or(MalformedSubmission::NotAMap)?);
-    let id = fields.text("nameId", ID_MAX)?;
+    let fields = SubmissionFields(value.as_map().ok_or(MalformedSubmission::NotAMap)?);
+    let id = fields.text("nameId", ID_MAX_BYTES)?;
     if !is_job_id(&id) {
         return Err(Field("nameId"));
     }
     let spec = JobSpec {
-        class: fields.text("jobclass", NAME_MAX)?,
-        team: fields.text("owner", NAME_MAX)?,
+        class: fields.text("jobclass", NAME_MAX_BYTES)?,
+        team: fields.text("owner", NAME_MAX_BYTES)?,
         shape: fields.shape()?,
         priority: fields.priority()?,
         tasks: fields.tasks()?,
@@ -64,7 +63,7 @@
         single_zone: fields.flag("samePlace")?,
         spread: fields.flag("scatter")?,
         spot: fields.flag("loaner")?,
-        image: fields.text("bundle", IMAGE_MAX)?,
+        image: fields.text("bundle", IMAGE_MAX_BYTES)?,
         image_gb: fields.amount("imageGb")?,
         expected_s: fields.amount("expectedS")?,
         checkpoint_interval_s: fields.amount("snapshotEveryS")?,
@@ -76,9 +75,9 @@
 }
 
 /// The fields of a submission; null counts as missing.
-struct Fields<'a>(&'a [(Value, Value)]);
+struct SubmissionFields<'a>(&'a [(Value, Value)]);
 
-impl<'a> Fields<'a> {
+impl<'a> SubmissionFields<'a> {
     fn get(&self, name: &str) -> Option<&'a Value> {
         self.0
             .iter()
@@ -118,7 +117,7 @@
     }
 
     fn shape(&self) -> Result<Shape, MalformedSubmission> {
-        match self.text("shape", KEYWORD_MAX)?.as_str() {
+        match self.text("shape", KEYWORD_MAX_BYTES)?.as_str() {
             "sweep" => Ok(Shape::Array),
             "group" => Ok(Shape::Gang),
             "service" => Ok(Shape::Service),
@@ -127,7 +126,7 @@
     }
 
     fn priority(&self) -> Result<Priority, MalformedSubmission> {
-        match self.text("urgency", KEYWORD_MAX)?.as_str() {
+        match self.text("urgency", KEYWORD_MAX_BYTES)?.as_str() {
             "prod" => Ok(Priority::Production),
             "high" => Ok(Priority::High),
             "normal" => Ok(Priority::Normal),
@@ -166,18 +165,18 @@
         Ok(Some(zone.to_string()))
     }
 
-    /// Names given twice count once.
+    /// The ids of the jobs that the job depends on, without duplicates.
     fn dependencies(&self) -> Result<Vec<String>, MalformedSubmission> {
         let Some(value) = self.get("waitsOn") else {
             return Ok(vec![]);
         };
         let list = value.as_array().ok_or(Field("waitsOn"))?;
-        let mut known = HashSet::new();
+        let mut seen = HashSet::new();
         let mut names = Vec::new();
         for name in list {
             let name = name.as_text().filter(|id| is_job_id(id));
             let name = name.ok_or(Field("waitsOn"))?;
-            if known.insert(name) {
+            if seen.insert(name) {
                 names.push(name.to_string());
             }
         }
--- a/src/wire/users.rs
+++ b/src/wire/users.rs
@@ -1,21 +1,21 @@
-//! What users are answered.
+//! Responses to users.
 
 use serde::{Deserialize, Serialize};
 
 use super::decode;
 
-/// Where jobs are submitted; below it each job has its own path.
+/// Path at which jobs are submitted; the path of each job is below it.
 pub const JOBS_PATH: &str = "/work";
-/// Where the load balancer asks whether the controller can take requests.
+/// Path at which the load balancer checks whether the controller can serve requests.
 pub const HEALTH_PATH: &str = "/up";
 
-/// No task of the job runs.
+/// Status of a job of which no task is running.
 pub const PENDING: &str = "pending";
-/// Some tasks of the job run.
+/// Status of a job of which some tasks are running.
 pub const RUNNING: &str = "running";
-/// All tasks of the job are done.
+/// Status of a job whose tasks are all done.
 pub const DONE: &str = "done";
-/// The job is cancelled.
+/// Status of a cancelled job.
 pub const WITHDRAWN: &str = "withdrawn";
 
 /// The state of a job.
@@ -26,22 +26,22 @@
     pub id: &'a str,
     /// One of [`PENDING`], [`RUNNING`], [`DONE`] and [`WITHDRAWN`].
     pub status: &'a str,
-    /// Tasks that are done, for display.
+    /// Number of tasks that are done, for display.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub done: Option<u64>,
-    /// Tasks that run, for display.
+    /// Number of running tasks, for display.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub running: Option<u64>,
 }
 
-/// Why a request was not carried out.
+/// The response to a request that failed or was refused.
 #[derive(Serialize)]
 pub struct ErrorReply<'a> {
-    /// The reason, for people.
+    /// The reason, as a human-readable text.
     pub error: &'a str,
 }
 
-/// Whether an answer to a user calls the job cancelled.
+/// Whether a response to a user reports the job as cancelled.
 pub fn is_cancelled_reply(body: &[u8]) -> bool {
     #[derive(Deserialize)]
     struct StatusOnly {
