--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,12 +1,12 @@
 //! The two settings files of a controller.
 //!
 //! - [`Settings`]: what the platform provides (JSON). Unknown fields are ignored, as later
-//!   versions of the platform may add some.
+//!   versions of the platform may add fields.
 //! - [`OperatorSettings`]: what operators may choose (TOML). Unknown keys are refused, as they
-//!   are most likely typing errors.
+//!   are most likely misspelled.
 //!
-//! Both are checked when they are loaded, so the rest of the program relies on their values. The
-//! names of the fields are the keys in the files.
+//! Both are validated when they are loaded, so that the rest of the program can rely on their
+//! values. Field names are the keys in the files, unless an attribute gives another key.
 
 mod checks;
 mod duties;
--- a/src/settings/checks.rs
+++ b/src/settings/checks.rs
@@ -1,4 +1,4 @@
-//! Checks of single values that several settings share.
+//! Validation of single values, shared by several settings.
 
 use super::SettingsError;
 
--- a/src/settings/duties.rs
+++ b/src/settings/duties.rs
@@ -12,20 +12,22 @@
 /// holder must be able to terminate a machine before the machine's agent lets its own lease
 /// expire.
 const LEASE_TTL_SHARE_MAX: f64 = 0.5;
-/// Upper bound of the time until a successor gives orders, in times to live of the lease.
+/// Upper bound of the time until a successor can issue orders, as a multiple of the lease's time
+/// to live.
 const TAKEOVER_TTL_MULTIPLIER: f64 = 2.0;
 /// Highest rate at which records are removed, per second: each tick finds at most one.
 const CLEANING_PER_S_MAX: f64 = 10.0;
-/// Changes of the largest transaction of duties: the election of a leader under a format that
-/// versions without duties cannot read.
+/// Number of changes in the largest transaction that duties need: the election of a leader under
+/// a storage format that versions without duties cannot read.
 const TXN_OPS_MIN: usize = 3;
 
-/// What prevents late orders of a replaced holder from taking effect at the cloud.
+/// The mechanism that prevents late orders of a replaced holder from taking effect at the cloud.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum DutyFence {
     /// The published protocol: the cloud carries out a provisioning request once per idempotency
     /// key, and a machine with a recorded termination never receives work again.
+    #[serde(rename = "booking")]
     Booking,
     /// Each order carries the fencing token, and the provider refuses lower tokens.
     ProviderToken,
@@ -37,13 +39,13 @@
 pub struct DutySettings {
     /// Time to live of a duty's lease, as a share of an agent's lease.
     pub life_share: f64,
-    /// What prevents late orders of a replaced holder from taking effect.
+    /// The mechanism that prevents late orders of a replaced holder from taking effect.
     pub fence: DutyFence,
     /// Preferred holder of a duty while that controller is live, by duty.
     pub holders: BTreeMap<Duty, String>,
     /// Rate at which records without an owner are removed, per second.
     pub cleaning_per_s: f64,
-    /// Only log the records that would be removed.
+    /// Whether records without an owner are only logged and not removed.
     pub cleaning_dry_run: bool,
 }
 
@@ -81,29 +83,29 @@
     }
 
     fn check_ttl(&self, settings: &Settings) -> Result<(), SettingsError> {
-        let refuse = |problem: String| Err(SettingsError::invalid("duties.life_share", problem));
+        let invalid = |problem: String| Err(SettingsError::invalid("duties.life_share", problem));
         let workers = &settings.cluster.workers;
         let share = self.life_share;
         if !(share.is_finite() && share > 0.0 && share <= LEASE_TTL_SHARE_MAX) {
             let problem = format!("must be above 0 and at most {LEASE_TTL_SHARE_MAX}, not {share}");
-            return refuse(problem);
+            return invalid(problem);
         }
         let ttl_s = workers.lease_s * share;
         let stall_s = settings.cluster.limits.stall_s();
         if ttl_s < stall_s {
-            return refuse(format!(
+            return invalid(format!(
                 "a lease of {ttl_s:.2} s is shorter than a stall of {stall_s:.2} s with this cpu_share"
             ));
         }
         let takeover_s = TAKEOVER_TTL_MULTIPLIER * ttl_s;
         if takeover_s > workers.cancel_s {
-            return refuse(format!(
+            return invalid(format!(
                 "a successor may take {takeover_s:.2} s, longer than cancel_s"
             ));
         }
         match self.timing(workers.lease_s).check() {
             Ok(()) => Ok(()),
-            Err(error) => refuse(error.to_string()),
+            Err(error) => invalid(error.to_string()),
         }
     }
 
--- a/src/settings/error.rs
+++ b/src/settings/error.rs
@@ -1,10 +1,10 @@
-//! Why settings cannot be used.
+//! Errors of reading and validating settings.
 
 use thiserror::Error;
 
 /// An error in one of the settings files.
 ///
-/// The message is one line; it names the file or the field at fault.
+/// The message is one line that names the file or the invalid field.
 #[derive(Debug, Error)]
 pub enum SettingsError {
     /// A file cannot be read.
@@ -39,7 +39,7 @@
     Invalid {
         /// Path of the field, with dots between its parts.
         field: &'static str,
-        /// What is wrong with the value.
+        /// The requirement that the value does not meet.
         problem: String,
     },
 }
--- a/src/settings/files.rs
+++ b/src/settings/files.rs
@@ -40,7 +40,7 @@
     })
 }
 
-/// The line that an error refers to: the message of the parser alone does not name the field.
+/// Formats the line that an error refers to, as the parser's message does not name the field.
 fn faulty_line(text: &str, error: &toml::de::Error) -> String {
     let before = error.span().and_then(|span| text.get(..span.start));
     let Some(before) = before else {
--- a/src/settings/limits.rs
+++ b/src/settings/limits.rs
@@ -5,51 +5,50 @@
 use super::checks::check_positive;
 use super::SettingsError;
 
-/// Smallest usable limit of a value's size once announced limits apply, in KiB: it must hold a
-/// record's fields and the placements of a few dozen tasks.
+/// Smallest usable limit of a value's size once announced limits apply, in KiB: a value must hold
+/// a record's fields and the placements of a few dozen tasks.
 const VALUE_KB_MIN: f64 = 1.0;
-/// Changes of the largest transaction that cannot be divided: the one that ends a job.
+/// Number of changes in the largest transaction that cannot be split: the one that ends a job.
 const TXN_OPS_MIN: usize = 2;
-/// Processor time that may be needed without interruption, as after a takeover, in seconds of a
-/// whole core.
+/// Longest uninterrupted processor time, as after a takeover, in seconds of a whole core.
 const STALL_CPU_S: f64 = 0.2;
-/// Smallest usable limit of sockets.
+/// Smallest usable limit on the number of sockets.
 const FD_LIMIT_MIN: usize = 32;
 const BYTES_PER_MIB: f64 = 1024.0 * 1024.0;
 
 /// Limits of the store.
 #[derive(Debug, Clone, Deserialize)]
 pub struct StoreLimits {
-    /// Requests per second.
+    /// Maximum requests per second.
     pub rps: f64,
-    /// Changes (puts and deletes) per second.
+    /// Maximum changes (puts and deletes) per second.
     pub write_rps: f64,
-    /// Size of a value, in KiB.
+    /// Maximum size of a value, in KiB.
     pub value_kb: f64,
-    /// Changes per transaction.
+    /// Maximum changes per transaction.
     pub txn_ops: usize,
-    /// Limits that apply from some time after all controllers run this version.
+    /// Announced limits, which apply from some time after all controllers run this version.
     #[serde(default)]
     pub next: Option<NextLimits>,
 }
 
-/// Announced limits of the store, which will apply without further notice. Limits that are not
-/// given stay as they are.
+/// Announced limits of the store, which will apply without further notice. Absent ones do not
+/// change.
 #[derive(Debug, Clone, Default, Deserialize)]
 pub struct NextLimits {
-    /// Changes (puts and deletes) per second.
+    /// Maximum changes (puts and deletes) per second.
     #[serde(default)]
     pub write_rps: Option<f64>,
-    /// Size of a value, in KiB.
+    /// Maximum size of a value, in KiB.
     #[serde(default)]
     pub value_kb: Option<f64>,
-    /// Changes per transaction.
+    /// Maximum changes per transaction.
     #[serde(default)]
     pub txn_ops: Option<usize>,
 }
 
 impl StoreLimits {
-    /// The lower of the present and the announced value of each limit.
+    /// The lower of the current and the announced value of each limit.
     pub fn lowered(&self) -> StoreLimits {
         let mut lowered = self.clone();
         let Some(next) = &self.next else {
@@ -95,9 +94,9 @@
 /// Limits of the cloud.
 #[derive(Debug, Clone, Deserialize)]
 pub struct CloudLimits {
-    /// Requests per second.
+    /// Maximum requests per second.
     pub rps: f64,
-    /// Usual lag of the machine list behind the actual state, in seconds.
+    /// Usual delay until the machine list reflects a change, in seconds.
     pub list_lag_s: f64,
 }
 
@@ -106,15 +105,15 @@
 pub struct ProcessLimits {
     /// Share of a processor core, 1 being a whole core.
     pub cpu_share: f64,
-    /// Memory, in MiB.
+    /// Memory limit, in MiB.
     pub ram_mb: f64,
-    /// Sockets.
+    /// Maximum number of sockets.
     pub fd_limit: usize,
 }
 
 impl ProcessLimits {
-    /// How long the process may be busy with a takeover, in seconds. Its leases have to outlast
-    /// this time, as they are not renewed meanwhile.
+    /// How long the process may be busy with a takeover, in seconds. Its leases are not renewed
+    /// in this time, so shorter ones would expire.
     pub fn stall_s(&self) -> f64 {
         STALL_CPU_S / self.cpu_share
     }
--- a/src/settings/objectives.rs
+++ b/src/settings/objectives.rs
@@ -1,4 +1,4 @@
-//! Service-level objectives: how soon the jobs of a class should start and finish.
+//! Service-level objectives: bounds on the time until the jobs of a class start or finish.
 
 use serde::Deserialize;
 
@@ -8,11 +8,11 @@
 pub enum ObjectiveKind {
     /// Time from submission until a job's tasks have started.
     Wait,
-    /// Time from submission until a job is done.
+    /// Time from submission until all tasks of a job are done.
     Finished,
     /// Completion relative to the deadline that the job's owner has set.
     Deadline,
-    /// Any other kind: it does not affect the order of the queue.
+    /// Any other kind; ignored, as it does not affect the order of the queue.
     Other,
 }
 
--- a/src/settings/operator.rs
+++ b/src/settings/operator.rs
@@ -1,4 +1,4 @@
-//! The operator settings, a TOML file. Every key has a default; unknown keys are refused.
+//! The operator settings, a TOML file. Every key has a default; unknown keys are errors.
 
 use std::path::Path;
 
@@ -8,7 +8,7 @@
 use super::files::read_toml;
 use super::{DutySettings, Settings, SettingsError};
 
-/// The settings that operators may choose themselves.
+/// The settings that operators may choose.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct OperatorSettings {
@@ -19,23 +19,25 @@
     /// Time without a heartbeat after which a machine is terminated, as a share of an agent's
     /// lease.
     pub lost_lease_share: f64,
-    /// Time that an on-demand machine may be idle before it is terminated, in boot times.
+    /// Time that an on-demand machine may be idle before it is terminated, as a multiple of its
+    /// boot time.
     pub idle_boots: f64,
     /// The same for a spot machine.
     pub idle_boots_spot: f64,
-    /// Standby capacity for work that cannot use spot machines, as a share of the work that
+    /// Standby capacity for work that cannot use spot machines, as a multiple of the work that
     /// arrives in one boot time.
     pub reserve_boots: f64,
-    /// Time in boot times: spot work that would wait longer may use on-demand machines.
+    /// Expected wait, as a multiple of the boot time, above which spot work may use on-demand
+    /// machines.
     #[serde(alias = "dear_wait_boots")]
     pub ordinary_wait_boots: f64,
-    /// Highest price per task of such an on-demand machine, as a multiple of the price on the
+    /// Highest price per task on such an on-demand machine, as a multiple of the price on the
     /// cheapest spot machine.
     #[serde(alias = "dear_times")]
     pub ordinary_price_ratio: f64,
-    /// Longest backoff of a gang for which no capacity was found, in seconds.
+    /// Maximum backoff of a gang for which no capacity was found, in seconds.
     pub backoff_max_s: f64,
-    /// Duties that this controller may hold; `None`: it holds none.
+    /// Settings for duties; without them this controller holds none.
     pub duties: Option<DutySettings>,
 }
 
@@ -68,7 +70,7 @@
         Ok(settings)
     }
 
-    /// Checks what depends on the platform settings.
+    /// Checks the values that depend on the platform settings.
     ///
     /// # Errors
     ///
--- a/src/settings/platform.rs
+++ b/src/settings/platform.rs
@@ -62,7 +62,7 @@
     /// Service-level objectives on starting and finishing.
     #[serde(default)]
     pub objectives: Vec<ServiceLevelObjective>,
-    /// Intervals and timeouts of agents.
+    /// Heartbeat interval, lease and timeouts of agents.
     pub workers: AgentTimings,
     /// Limits of the store.
     pub state: StoreLimits,
@@ -70,7 +70,7 @@
     pub cloud: CloudLimits,
     /// Limits of a controller's process.
     pub limits: ProcessLimits,
-    /// Largest deviation of the time of day from true time, in milliseconds.
+    /// Maximum deviation of the time of day from true time, in milliseconds.
     #[serde(default)]
     pub clock_off_ms: f64,
 }
@@ -103,9 +103,9 @@
     pub lease_s: f64,
     /// Time that a gang's tasks wait for the gang to be complete.
     pub gang_wait_s: f64,
-    /// Time within which the tasks of a gang notice that one of them is gone.
+    /// Time within which the tasks of a gang detect the loss of another one.
     pub gang_peer_s: f64,
-    /// Time within which all tasks of a cancelled job must be gone.
+    /// Time within which all tasks of a cancelled job must have ended.
     pub cancel_s: f64,
 }
 
@@ -121,7 +121,7 @@
         Ok(settings)
     }
 
-    /// Checks what the types alone do not guarantee.
+    /// Checks the constraints that the types do not express.
     ///
     /// # Errors
     ///
@@ -137,7 +137,7 @@
         self.cluster.check()
     }
 
-    /// Whether a controller of this id is in the cluster.
+    /// Whether a controller with this id is in the cluster.
     pub(super) fn has_member(&self, member: &str) -> bool {
         self.member == member || self.peers.iter().any(|peer| peer.member == member)
     }
@@ -166,7 +166,8 @@
         check_positive("cluster.workers.cancel_s", self.cancel_s)
     }
 
-    /// An agent that cannot be reached ends its tasks only when its lease expires.
+    /// Requires that cancellation may take longer than an agent's lease: an agent that cannot be
+    /// reached ends its tasks only when its lease expires.
     fn check_cancellation(&self) -> Result<(), SettingsError> {
         if self.cancel_s > self.lease_s {
             return Ok(());
