--- a/src/net/event_loop/requests.rs
+++ b/src/net/event_loop/requests.rs
@@ -10,16 +10,16 @@
 use crate::net::{Event, Listener};
 
 impl EventLoop {
-    /// Responds to a request on the connection `id`. `retry_after` is in seconds. Has no effect if
+    /// Responds to a request on the connection `id`. `retry_after_s` is in seconds. Has no effect if
     /// the connection is closed.
-    pub fn answer(&mut self, id: usize, status: u16, retry_after: Option<u32>, body: &[u8]) {
+    pub fn answer(&mut self, id: usize, status: u16, retry_after_s: Option<u32>, body: &[u8]) {
         let agent_occupancy = self.connections.agent_occupancy();
         let Some(connection) = self.connections.get_mut(id) else {
             return;
         };
         let response = Response {
             status,
-            retry_after_s: retry_after,
+            retry_after_s,
             body,
         };
         if !connection.push_response(&response, agent_occupancy, self.now) {
