--- a/src/net/event_loop/requests.rs
+++ b/src/net/event_loop/requests.rs
@@ -10,8 +10,8 @@
 use crate::net::{Event, Listener};
 
 impl EventLoop {
-    /// Responds to a request on the connection `id`. `retry_after_s` is in seconds. Has no effect if
-    /// the connection is closed.
+    /// Responds to a request on the connection `id`. `retry_after_s` is in seconds. Has no effect
+    /// if the connection is closed.
     pub fn answer(&mut self, id: usize, status: u16, retry_after_s: Option<u32>, body: &[u8]) {
         let agent_occupancy = self.connections.agent_occupancy();
         let Some(connection) = self.connections.get_mut(id) else {
--- a/src/net/limits.rs
+++ b/src/net/limits.rs
@@ -75,7 +75,8 @@
     }
 }
 
-/// Whether `agent_connections` of at most `server_connections_max` server connections leave too few for other clients.
+/// Whether `agent_connections` of at most `server_connections_max` server connections leave too
+/// few for other clients.
 pub(super) fn is_agent_occupancy_high(
     agent_connections: usize,
     server_connections_max: usize,
--- a/src/net/server_state.rs
+++ b/src/net/server_state.rs
@@ -114,8 +114,8 @@
         self.closes_after_response = true;
     }
 
-    /// Marks the request as answered with `response_status`. Returns whether the connection is kept,
-    /// or `None` if no request awaits a response.
+    /// Marks the request as answered with `response_status`. Returns whether the connection is
+    /// kept, or `None` if no request awaits a response.
     pub(super) fn finish_request(
         &mut self,
         response_status: u16,
