--- a/examples/duty_overhead.rs
+++ b/examples/duty_overhead.rs
@@ -14,7 +14,7 @@
 use std::collections::HashSet;
 
 use common::{submission, DutyEvent, Sim};
-use gaugesill::settings::DutyFence;
+use gaugesill::settings::FencingMode;
 use hdrhistogram::Histogram;
 
 /// Time to live of a duty's lease with the settings of the tests.
@@ -57,7 +57,7 @@
 /// Controllers whose duties have settled.
 fn started(renter: Renter, run: u64) -> Sim {
     let mut sim = match renter {
-        Renter::Holder => Sim::with_duties(DutyFence::ProviderToken),
+        Renter::Holder => Sim::with_duties(FencingMode::ProviderToken),
         Renter::Leader => Sim::new(),
     };
     sim.run(30_000 + run * RUN_OFFSET_MS);
--- a/src/controller/dependencies.rs
+++ b/src/controller/dependencies.rs
@@ -185,7 +185,7 @@
 
     /// Decodes and records a job's final state. `None` if the response cannot be decoded.
     pub(super) fn record_final_reply(&mut self, id: &str, body: &[u8]) -> Option<FinalState> {
-        let state = match wire::final_state_reply(body) {
+        let state = match wire::parse_final_state_reply(body) {
             Ok(state) => state,
             Err(error) => {
                 warn!(job = id, %error, "cannot decode the final state of a job; ignoring it");
--- a/src/controller/duties/orders.rs
+++ b/src/controller/duties/orders.rs
@@ -17,7 +17,7 @@
 use crate::controller::responses::{self, ProviderError};
 use crate::duties::{refusal_key, OrderKey, OrderPhase, RefusalRecord};
 use crate::net::Outcome;
-use crate::settings::DutyFence;
+use crate::settings::FencingMode;
 use crate::termination_check::{TerminationCheck, TerminationVerdict};
 use crate::wire::{FencingToken, Write};
 use crate::write_queue::{CommitResult, WriteClass, WriteRequest};
@@ -133,7 +133,7 @@
             return self.on_order_outcome(id, OrderOutcome::Unknown);
         }
         let fence = self.operator.duties.as_ref().map(|duties| duties.fence);
-        let fencing = (fence == Some(DutyFence::ProviderToken)).then_some(FencingToken {
+        let fencing = (fence == Some(FencingMode::ProviderToken)).then_some(FencingToken {
             duty: id.duty.name(),
             token,
         });
--- a/src/controller/duties/scaling_requests.rs
+++ b/src/controller/duties/scaling_requests.rs
@@ -94,7 +94,7 @@
 
     /// Maximum number of machines that a request may name within the store's limits.
     fn terminations_per_request_max(&self, machines: &[String]) -> usize {
-        let value_bytes = (self.store_limits().lowered().value_kb * BYTES_PER_KB) as usize;
+        let value_bytes = (self.store_limits().strictest().value_kb * BYTES_PER_KB) as usize;
         let longest = machines.iter().map(String::len).max().unwrap_or(0);
         let fitting = value_bytes / NAMES_VALUE_DIVISOR / (longest + NAME_OVERHEAD_BYTES);
         fitting.clamp(1, MACHINES_PER_REQUEST_MAX)
--- a/src/controller/format_version.rs
+++ b/src/controller/format_version.rs
@@ -109,11 +109,11 @@
     pub(super) fn store_limits(&self) -> StoreLimits {
         let state = &self.settings.cluster.state;
         if self.format() >= PACKED_FORMAT {
-            return state.lowered();
+            return state.strictest();
         }
         let mut limits = state.clone();
         if self.format_state.is_throttled(self.clock.steady_ms()) {
-            limits.write_rps = limits.lowered().write_rps;
+            limits.write_rps = limits.strictest().write_rps;
         }
         limits
     }
@@ -242,7 +242,7 @@
     /// Handles the outcome of a transaction that the store may have refused under its lower
     /// limits.
     pub(super) fn on_store_refusal(&mut self, outcome: &Outcome) {
-        let Outcome::Answer { status: code, body } = outcome else {
+        let Outcome::Response { status: code, body } = outcome else {
             return;
         };
         if self.settings.cluster.state.next.is_none() {
@@ -253,7 +253,7 @@
             // so it can only be too large for the lower limits.
             status::BAD_REQUEST => {
                 debug!(
-                    body = wire::readable(body),
+                    body = wire::format_for_log(body),
                     "store refused a transaction as too large; lower limits are in force"
                 );
                 self.confirm_packed_format(FormatProof::LoweredLimits);
--- a/src/controller/job_validation.rs
+++ b/src/controller/job_validation.rs
@@ -61,7 +61,7 @@
     limits: &StoreLimits,
     wall_ms: u64,
 ) -> Result<(), RejectionReason> {
-    let value_bytes = limits.lowered().value_kb * BYTES_PER_KB;
+    let value_bytes = limits.strictest().value_kb * BYTES_PER_KB;
     let record = JobRecord::new(spec.clone(), wall_ms).to_value(0);
     let record_bytes = json_length(&record) as f64;
     if record_bytes > value_bytes * SPEC_VALUE_RATIO {
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -117,7 +117,7 @@
         let cluster = &settings.cluster;
         let ttl_ms = leader_lease_ttl_ms(cluster, &operator);
         let state = &cluster.state;
-        let writes_max = state.lowered().txn_ops;
+        let writes_max = state.strictest().txn_ops;
         Controller {
             clock: EventClock::new(),
             outbox: Outbox::new(settings.endpoints.clone()),
@@ -179,7 +179,7 @@
                 listener,
                 request,
             } => self.on_request(connection, listener, request),
-            Event::Reply { tag, outcome } => {
+            Event::CallFinished { tag, outcome } => {
                 if let Some(call) = self.outbox.complete(tag) {
                     self.on_reply(tag, call, outcome);
                 }
--- a/src/controller/outbox.rs
+++ b/src/controller/outbox.rs
@@ -73,10 +73,10 @@
 
     /// Responds to a request that was received on a connection.
     pub(super) fn respond(&mut self, connection: usize, response: HttpResponse) {
-        self.actions.push(Action::Answer {
+        self.actions.push(Action::Response {
             connection,
             status: response.status,
-            retry_after: response.retry_after_s,
+            retry_after_s: response.retry_after_s,
             body: response.body,
         });
     }
--- a/src/controller/provider_client.rs
+++ b/src/controller/provider_client.rs
@@ -90,7 +90,7 @@
 impl ProviderClient {
     pub(super) fn new(cluster: &ClusterSettings) -> ProviderClient {
         let lag_ms = to_ms(cluster.cloud.list_lag_s);
-        let list_bytes = cluster.limits.memory_part(LIST_MEMORY_RATIO);
+        let list_bytes = cluster.limits.memory_share_bytes(LIST_MEMORY_RATIO);
         ProviderClient {
             calls_per_s: cluster.cloud.rps,
             limit: TokenBucket::new(cluster.cloud.rps * USED_LIMIT_RATIO),
--- a/src/controller/responses.rs
+++ b/src/controller/responses.rs
@@ -32,13 +32,13 @@
 /// The body of a successful response.
 pub(super) fn success(outcome: &Outcome) -> Result<&[u8], CallError> {
     match outcome {
-        Outcome::Answer {
+        Outcome::Response {
             status: status::OK,
             body,
         } => Ok(body),
-        Outcome::Answer { status, .. } => Err(CallError::Status(*status)),
+        Outcome::Response { status, .. } => Err(CallError::Status(*status)),
         Outcome::TooLarge => Err(CallError::TooLarge),
-        Outcome::NoAnswer => Err(CallError::NoResponse),
+        Outcome::NoResponse => Err(CallError::NoResponse),
         Outcome::NotSent => Err(CallError::NotSent),
     }
 }
@@ -89,14 +89,14 @@
 
 impl ProviderError {
     fn of(outcome: &Outcome) -> ProviderError {
-        let Outcome::Answer { status, body } = outcome else {
+        let Outcome::Response { status, body } = outcome else {
             return ProviderError::Unknown;
         };
         match *status {
             status::BAD_REQUEST => ProviderError::Malformed,
             status::CONFLICT => ProviderError::Fenced,
             status::TOO_MANY_REQUESTS => ProviderError::Throttled,
-            status::UNAVAILABLE if wire::is_no_capacity(body) => ProviderError::NoCapacity,
+            status::UNAVAILABLE if wire::reports_no_capacity(body) => ProviderError::NoCapacity,
             _ => ProviderError::Unknown,
         }
     }
@@ -131,14 +131,14 @@
     pub(super) fn new(outcome: &Outcome, machine: &str) -> AgentResponse {
         let failure = match outcome {
             Outcome::NotSent => Some(StartFailure::NotSent),
-            Outcome::Answer {
+            Outcome::Response {
                 status: status::BAD_REQUEST | status::CONFLICT,
                 ..
             } => Some(StartFailure::Rejected),
             _ => None,
         };
         let body = match outcome {
-            Outcome::Answer {
+            Outcome::Response {
                 status: status::OK | status::CONFLICT,
                 body,
             } => Some(body),
--- a/src/controller/store_client.rs
+++ b/src/controller/store_client.rs
@@ -101,11 +101,11 @@
     /// Updates the rate limit and the reachability from the outcome of any call to the store.
     pub(super) fn record_outcome(&mut self, outcome: &Outcome, now: u64) {
         match outcome {
-            Outcome::Answer {
+            Outcome::Response {
                 status: status::TOO_MANY_REQUESTS,
                 ..
             } => self.request_limit.drain(),
-            Outcome::Answer { status, .. } if *status < SERVER_ERROR_STATUS_MIN => {
+            Outcome::Response { status, .. } if *status < SERVER_ERROR_STATUS_MIN => {
                 self.answered_at = Some(now);
             }
             _ => {}
--- a/src/controller/user_replies.rs
+++ b/src/controller/user_replies.rs
@@ -28,7 +28,7 @@
         status: u16,
         job: JobStatus,
     ) {
-        if job.status == wire::WITHDRAWN {
+        if job.status == wire::CANCELLED {
             self.acknowledge_cancellation(job_id);
         }
         let body = wire::encode(&wire::JobStatusReply {
--- a/src/controller/user_requests.rs
+++ b/src/controller/user_requests.rs
@@ -47,7 +47,7 @@
         let ParsedRequest { job, request } = match parse_request(method, path, &body) {
             Ok(parsed) => parsed,
             Err(error) => {
-                debug!(%error, body = wire::readable(&body), "rejecting a malformed user request");
+                debug!(%error, body = wire::format_for_log(&body), "rejecting a malformed user request");
                 return self.respond_to_caller(caller, error.response());
             }
         };
@@ -153,7 +153,7 @@
             return self.finish_with_status(
                 request_id,
                 status::OK,
-                JobStatus::new(wire::WITHDRAWN),
+                JobStatus::new(wire::CANCELLED),
             );
         }
         if is_cancel {
@@ -219,7 +219,7 @@
                         self.finish_with_status(
                             request_id,
                             status::OK,
-                            JobStatus::new(wire::WITHDRAWN),
+                            JobStatus::new(wire::CANCELLED),
                         );
                     }
                     _ => self.finish_with_status(
--- a/src/duties/query.rs
+++ b/src/duties/query.rs
@@ -91,9 +91,9 @@
         let any_port = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
         let limits = ConnectionLimits {
             fd_limit: SOCKETS_MAX,
-            vital: HashSet::from([address]),
-            agent_idle: QUERY_TIMEOUT,
-            reply_max: RESPONSE_MAX_BYTES,
+            critical: HashSet::from([address]),
+            agent_idle_timeout: QUERY_TIMEOUT,
+            reply_max_bytes: RESPONSE_MAX_BYTES,
         };
         Ok(Query {
             event_loop: EventLoop::new(any_port, any_port, limits)?,
@@ -173,9 +173,9 @@
 
     fn response_from(&self, outcome: Outcome) -> Result<Response, QueryError> {
         match outcome {
-            Outcome::Answer { status, body } => Ok(Response { status, body }),
+            Outcome::Response { status, body } => Ok(Response { status, body }),
             Outcome::TooLarge => Err(QueryError::Unreadable(self.address)),
-            Outcome::NoAnswer | Outcome::NotSent => Err(QueryError::NoResponse(self.address)),
+            Outcome::NoResponse | Outcome::NotSent => Err(QueryError::NoResponse(self.address)),
         }
     }
 }
@@ -183,7 +183,7 @@
 /// The outcome of the call with this tag, if the event is its response.
 fn outcome_of(event: Event, call_tag: u64) -> Option<Outcome> {
     match event {
-        Event::Reply { tag, outcome } if tag == call_tag => Some(outcome),
+        Event::CallFinished { tag, outcome } if tag == call_tag => Some(outcome),
         _ => None,
     }
 }
--- a/src/fleet_capacity.rs
+++ b/src/fleet_capacity.rs
@@ -112,7 +112,7 @@
 
 /// Returns how many machines' state fits into the memory.
 fn memory_machines(cluster: &ClusterSettings) -> f64 {
-    let memory_bytes = cluster.limits.memory_part(MACHINES_MEMORY_RATIO) as f64;
+    let memory_bytes = cluster.limits.memory_share_bytes(MACHINES_MEMORY_RATIO) as f64;
     memory_bytes / MACHINE_STATE_BYTES
 }
 
--- a/src/job/final_state.rs
+++ b/src/job/final_state.rs
@@ -39,7 +39,7 @@
     pub fn status(self) -> &'static str {
         match self {
             FinalState::Done => wire::DONE,
-            FinalState::Cancelled => wire::WITHDRAWN,
+            FinalState::Cancelled => wire::CANCELLED,
         }
     }
 }
--- a/src/net/client_state.rs
+++ b/src/net/client_state.rs
@@ -83,12 +83,12 @@
         self.call_tag = Some(tag);
     }
 
-    /// Removes a complete reply of at most `reply_max` bytes from `input`.
+    /// Removes a complete reply of at most `reply_max_bytes` bytes from `input`.
     pub(super) fn next_reply(
         &mut self,
         input: &mut Vec<u8>,
         is_read_closed: bool,
-        reply_max: usize,
+        reply_max_bytes: usize,
     ) -> ParsedReply {
         let Some(tag) = self.call_tag else {
             let is_idle = !is_read_closed && input.is_empty();
@@ -103,7 +103,7 @@
             Ok(None) => return ParsedReply::Incomplete,
             Err(_) => return ParsedReply::Invalid,
         };
-        match reply_extent(&head, input.len(), is_read_closed, reply_max) {
+        match reply_extent(&head, input.len(), is_read_closed, reply_max_bytes) {
             Extent::Incomplete => ParsedReply::Incomplete,
             Extent::TooLarge => {
                 self.call_tag = None;
@@ -130,7 +130,7 @@
             !head.closes && !is_read_closed && input.is_empty() && head.body_length.is_some();
         Reply {
             tag,
-            outcome: Outcome::Answer {
+            outcome: Outcome::Response {
                 status: head.status,
                 body,
             },
@@ -143,14 +143,14 @@
     head: &ResponseHead,
     received: usize,
     is_read_closed: bool,
-    reply_max: usize,
+    reply_max_bytes: usize,
 ) -> Extent {
     let end = match head.body_length {
-        Some(length) if length > reply_max => return Extent::TooLarge,
+        Some(length) if length > reply_max_bytes => return Extent::TooLarge,
         Some(length) => head.length + length,
         None if head.excludes_body() => head.length,
         // Without a declared length the body extends to the end of the connection.
-        None if received > reply_max => return Extent::TooLarge,
+        None if received > reply_max_bytes => return Extent::TooLarge,
         None if is_read_closed => received,
         None => return Extent::Incomplete,
     };
--- a/src/net/connection.rs
+++ b/src/net/connection.rs
@@ -141,7 +141,7 @@
     }
 
     /// Reads the received bytes into the input. `buffer` is scratch space; replies have at most
-    /// `reply_max` bytes.
+    /// `reply_max_bytes` bytes.
     ///
     /// # Errors
     ///
@@ -149,12 +149,12 @@
     pub(super) fn read_available(
         &mut self,
         buffer: &mut [u8],
-        reply_max: usize,
+        reply_max_bytes: usize,
         now: Instant,
     ) -> io::Result<()> {
         let input_max = match self.role {
             Role::Server(_) => BODY_MAX_BYTES + REQUEST_HEAD_MAX_BYTES,
-            Role::Client(_) => reply_max + RESPONSE_HEAD_MAX_BYTES,
+            Role::Client(_) => reply_max_bytes + RESPONSE_HEAD_MAX_BYTES,
         };
         if self.stream.read_available(buffer, input_max)? > 0 {
             self.last_used = now;
@@ -267,12 +267,12 @@
     }
 
     /// Removes the reply to the call in progress from the input.
-    pub(super) fn next_reply(&mut self, reply_max: usize, now: Instant) -> ParsedReply {
+    pub(super) fn next_reply(&mut self, reply_max_bytes: usize, now: Instant) -> ParsedReply {
         let Role::Client(state) = &mut self.role else {
             return ParsedReply::Incomplete;
         };
         let is_read_closed = self.stream.is_read_closed();
-        let reply = state.next_reply(self.stream.input_mut(), is_read_closed, reply_max);
+        let reply = state.next_reply(self.stream.input_mut(), is_read_closed, reply_max_bytes);
         if matches!(reply, ParsedReply::Complete(_)) {
             self.last_used = now;
         }
@@ -282,7 +282,7 @@
     /// The outcome of a call whose connection is closed before the reply is received.
     pub(super) fn outcome_on_close(&self) -> Outcome {
         if self.stream.is_established() {
-            Outcome::NoAnswer
+            Outcome::NoResponse
         } else {
             Outcome::NotSent
         }
--- a/src/net/event_loop.rs
+++ b/src/net/event_loop.rs
@@ -88,7 +88,7 @@
             read_buffer: vec![0; READ_BUFFER_BYTES].into_boxed_slice(),
             client_pool: ClientPool::default(),
             evictions: Evictions::default(),
-            idle_timeouts: IdleTimeouts::new(limits.agent_idle, now),
+            idle_timeouts: IdleTimeouts::new(limits.agent_idle_timeout, now),
             sweep: Interval::new(SWEEP_INTERVAL, now),
             ready: Vec::new(),
             limits,
@@ -224,8 +224,8 @@
         let Some(connection) = self.connections.get_mut(id) else {
             return;
         };
-        let reply_max = self.limits.reply_max;
-        let result = connection.read_available(&mut self.read_buffer, reply_max, self.now);
+        let reply_max_bytes = self.limits.reply_max_bytes;
+        let result = connection.read_available(&mut self.read_buffer, reply_max_bytes, self.now);
         if result.is_err() {
             return self.close(id);
         }
@@ -264,7 +264,7 @@
         self.client_pool.remove(state.address(), id);
         if let Some(tag) = state.call_tag() {
             let outcome = connection.outcome_on_close();
-            self.ready.push(Event::Reply { tag, outcome });
+            self.ready.push(Event::CallFinished { tag, outcome });
         }
     }
 
--- a/src/net/event_loop/calls.rs
+++ b/src/net/event_loop/calls.rs
@@ -23,7 +23,7 @@
 }
 
 impl EventLoop {
-    /// Sends a request. Its outcome is returned as an [`Event::Reply`] with the same tag.
+    /// Sends a request. Its outcome is returned as an [`Event::CallFinished`] with the same tag.
     pub fn call(
         &mut self,
         tag: u64,
@@ -59,7 +59,7 @@
 
     fn call_on_new(&mut self, call: OutboundCall) {
         let tag = call.tag;
-        let callee = if self.limits.vital.contains(&call.address) {
+        let callee = if self.limits.critical.contains(&call.address) {
             Callee::Critical
         } else {
             Callee::Agent
@@ -67,7 +67,7 @@
         let has_room = callee == Callee::Critical || self.make_room_for_client();
         if !has_room || self.open(call, callee).is_err() {
             let outcome = Outcome::NotSent;
-            self.ready.push(Event::Reply { tag, outcome });
+            self.ready.push(Event::CallFinished { tag, outcome });
         }
     }
 
@@ -105,12 +105,12 @@
         let Some(connection) = self.connections.get_mut(id) else {
             return;
         };
-        match connection.next_reply(self.limits.reply_max, self.now) {
+        match connection.next_reply(self.limits.reply_max_bytes, self.now) {
             ParsedReply::Incomplete => {}
             ParsedReply::Invalid => self.close(id),
             ParsedReply::TooLarge { tag } => {
                 let outcome = Outcome::TooLarge;
-                self.ready.push(Event::Reply { tag, outcome });
+                self.ready.push(Event::CallFinished { tag, outcome });
                 self.close(id);
             }
             ParsedReply::Complete(reply) => self.finish_call(id, reply),
@@ -119,7 +119,7 @@
 
     fn finish_call(&mut self, id: ConnectionId, reply: Reply) {
         self.client_pool.end_call(id);
-        self.ready.push(Event::Reply {
+        self.ready.push(Event::CallFinished {
             tag: reply.tag,
             outcome: reply.outcome,
         });
--- a/src/net/event_loop/requests.rs
+++ b/src/net/event_loop/requests.rs
@@ -12,7 +12,7 @@
 impl EventLoop {
     /// Responds to a request on the connection `id`. `retry_after_s` is in seconds. Has no effect
     /// if the connection is closed.
-    pub fn answer(&mut self, id: usize, status: u16, retry_after_s: Option<u32>, body: &[u8]) {
+    pub fn respond(&mut self, id: usize, status: u16, retry_after_s: Option<u32>, body: &[u8]) {
         let agent_occupancy = self.connections.agent_occupancy();
         let Some(connection) = self.connections.get_mut(id) else {
             return;
@@ -99,6 +99,6 @@
         if let Some(connection) = self.connections.get_mut(id) {
             connection.reject_request();
         }
-        self.answer(id, error.status(), None, &[]);
+        self.respond(id, error.status(), None, &[]);
     }
 }
--- a/src/net/limits.rs
+++ b/src/net/limits.rs
@@ -15,11 +15,11 @@
     pub fd_limit: usize,
     /// Addresses to which calls are urgent and not limited in number: the store, the cloud and the
     /// other controllers.
-    pub vital: HashSet<SocketAddr>,
+    pub critical: HashSet<SocketAddr>,
     /// Time without a heartbeat after which an agent's connection is closed.
-    pub agent_idle: Duration,
+    pub agent_idle_timeout: Duration,
     /// Largest reply to a call, in bytes. Needed because the store's watch replies are unbounded.
-    pub reply_max: usize,
+    pub reply_max_bytes: usize,
 }
 
 /// A fraction of a number of sockets.
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -62,16 +62,16 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum Outcome {
     /// The callee sent a complete response.
-    Answer {
+    Response {
         /// The HTTP status.
         status: u16,
         /// The body.
         body: Vec<u8>,
     },
-    /// The response exceeds [`ConnectionLimits::reply_max`] and was discarded.
+    /// The response exceeds [`ConnectionLimits::reply_max_bytes`] and was discarded.
     TooLarge,
     /// No complete response was received; the callee may have carried out the request.
-    NoAnswer,
+    NoResponse,
     /// No connection was established; the request was not sent.
     NotSent,
 }
@@ -89,7 +89,7 @@
         request: Request,
     },
     /// An outgoing call has ended, with or without a response.
-    Reply {
+    CallFinished {
         /// The tag that the call was made with.
         tag: u64,
         /// The outcome.
@@ -101,19 +101,19 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
     /// Respond to a request.
-    Answer {
+    Response {
         /// The connection on which the request was received.
         connection: usize,
         /// The HTTP status.
         status: u16,
         /// Value of the `Retry-After` header, in seconds; `None` to omit the header.
-        retry_after: Option<u32>,
+        retry_after_s: Option<u32>,
         /// The body.
         body: Vec<u8>,
     },
     /// Send a request.
     Call {
-        /// Identifies the call in [`Event::Reply`].
+        /// Identifies the call in [`Event::CallFinished`].
         tag: u64,
         /// The address to call.
         address: SocketAddr,
--- a/src/scheduler/record_capacity.rs
+++ b/src/scheduler/record_capacity.rs
@@ -65,7 +65,7 @@
     pub(super) fn fits(&self, job: &Job, bindings: &[TaskBinding], epoch: Epoch) -> bool {
         // The lower limits apply before they take effect: a record that is stored by then has to
         // be written again, if only because its job is cancelled.
-        let value_bytes = (self.limits.lowered().value_kb * 1024.0) as usize;
+        let value_bytes = (self.limits.strictest().value_kb * 1024.0) as usize;
         let names = bindings.iter().map(|binding| binding.machine.len());
         let longest_name = names.max().unwrap_or(0);
         let runs = job.placements.len() + bindings.len();
--- a/src/serve.rs
+++ b/src/serve.rs
@@ -138,14 +138,14 @@
 fn connection_limits(settings: &Settings) -> ConnectionLimits {
     let limits = &settings.cluster.limits;
     let peers = settings.peers.iter().map(|peer| peer.address);
-    let mut vital: HashSet<SocketAddr> = peers.collect();
-    vital.extend([settings.endpoints.state, settings.endpoints.cloud]);
+    let mut critical: HashSet<SocketAddr> = peers.collect();
+    critical.extend([settings.endpoints.state, settings.endpoints.cloud]);
     ConnectionLimits {
         fd_limit: limits.fd_limit,
-        vital,
-        agent_idle: Duration::from_secs_f64(settings.cluster.workers.lease_s),
-        reply_max: limits
-            .memory_part(RESPONSE_MEMORY_RATIO)
+        critical,
+        agent_idle_timeout: Duration::from_secs_f64(settings.cluster.workers.lease_s),
+        reply_max_bytes: limits
+            .memory_share_bytes(RESPONSE_MEMORY_RATIO)
             .max(RESPONSE_BYTES_MIN),
     }
 }
@@ -189,12 +189,12 @@
 
 fn execute_action(event_loop: &mut EventLoop, action: Action) {
     match action {
-        Action::Answer {
+        Action::Response {
             connection,
             status,
-            retry_after,
+            retry_after_s,
             body,
-        } => event_loop.answer(connection, status, retry_after, &body),
+        } => event_loop.respond(connection, status, retry_after_s, &body),
         Action::Call {
             tag,
             address,
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -17,7 +17,7 @@
 mod operator;
 mod platform;
 
-pub use duties::{DutyFence, DutySettings};
+pub use duties::{DutySettings, FencingMode};
 pub use error::SettingsError;
 pub use limits::{CloudLimits, NextLimits, ProcessLimits, StoreLimits};
 pub use objectives::{ObjectiveKind, ServiceLevelObjective};
--- a/src/settings/duties.rs
+++ b/src/settings/duties.rs
@@ -24,11 +24,11 @@
 /// The mechanism that prevents late orders of a replaced holder from taking effect at the cloud.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum DutyFence {
+pub enum FencingMode {
     /// The published protocol: the cloud carries out a provisioning request once per idempotency
     /// key, and a machine with a recorded termination never receives work again.
     #[serde(rename = "booking")]
-    Booking,
+    IdempotencyKey,
     /// Each order carries the fencing token, and the provider refuses lower tokens.
     ProviderToken,
 }
@@ -40,7 +40,7 @@
     /// Time to live of a duty's lease, as a share of an agent's lease.
     pub life_share: f64,
     /// The mechanism that prevents late orders of a replaced holder from taking effect.
-    pub fence: DutyFence,
+    pub fence: FencingMode,
     /// Preferred holder of a duty while that controller is live, by duty.
     pub holders: BTreeMap<Duty, String>,
     /// Rate at which records without an owner are removed, per second.
@@ -53,7 +53,7 @@
     fn default() -> DutySettings {
         DutySettings {
             life_share: 0.2,
-            fence: DutyFence::Booking,
+            fence: FencingMode::IdempotencyKey,
             holders: BTreeMap::new(),
             cleaning_per_s: 1.0,
             cleaning_dry_run: false,
@@ -75,7 +75,7 @@
     pub fn check(&self, settings: &Settings) -> Result<(), SettingsError> {
         self.check_ttl(settings)?;
         self.check_cleaning()?;
-        if settings.cluster.state.lowered().txn_ops < TXN_OPS_MIN {
+        if settings.cluster.state.strictest().txn_ops < TXN_OPS_MIN {
             let problem = format!("duties need transactions of {TXN_OPS_MIN} changes");
             return Err(SettingsError::invalid("cluster.state.txn_ops", problem));
         }
--- a/src/settings/limits.rs
+++ b/src/settings/limits.rs
@@ -49,21 +49,21 @@
 
 impl StoreLimits {
     /// The lower of the current and the announced value of each limit.
-    pub fn lowered(&self) -> StoreLimits {
-        let mut lowered = self.clone();
+    pub fn strictest(&self) -> StoreLimits {
+        let mut strictest = self.clone();
         let Some(next) = &self.next else {
-            return lowered;
+            return strictest;
         };
         if let Some(write_rps) = next.write_rps {
-            lowered.write_rps = write_rps.min(self.write_rps);
+            strictest.write_rps = write_rps.min(self.write_rps);
         }
         if let Some(value_kb) = next.value_kb {
-            lowered.value_kb = value_kb.min(self.value_kb);
+            strictest.value_kb = value_kb.min(self.value_kb);
         }
         if let Some(txn_ops) = next.txn_ops {
-            lowered.txn_ops = txn_ops.min(self.txn_ops);
+            strictest.txn_ops = txn_ops.min(self.txn_ops);
         }
-        lowered
+        strictest
     }
 
     pub(super) fn check(&self) -> Result<(), SettingsError> {
@@ -71,10 +71,10 @@
         check_positive("cluster.state.write_rps", self.write_rps)?;
         check_positive("cluster.state.value_kb", self.value_kb)?;
         check_txn_ops("cluster.state.txn_ops", self.txn_ops)?;
-        let lowered = self.lowered();
-        check_positive("cluster.state.next.write_rps", lowered.write_rps)?;
-        check_txn_ops("cluster.state.next.txn_ops", lowered.txn_ops)?;
-        if lowered.value_kb < VALUE_KB_MIN && self.next.is_some() {
+        let strictest = self.strictest();
+        check_positive("cluster.state.next.write_rps", strictest.write_rps)?;
+        check_txn_ops("cluster.state.next.txn_ops", strictest.txn_ops)?;
+        if strictest.value_kb < VALUE_KB_MIN && self.next.is_some() {
             let field = "cluster.state.next.value_kb";
             let problem = format!("must be at least {VALUE_KB_MIN}: records don't fit");
             return Err(SettingsError::invalid(field, problem));
@@ -119,7 +119,7 @@
     }
 
     /// A share (0 to 1) of the memory limit, in bytes.
-    pub fn memory_part(&self, share: f64) -> usize {
+    pub fn memory_share_bytes(&self, share: f64) -> usize {
         (self.ram_mb * BYTES_PER_MIB * share) as usize
     }
 
--- a/src/wire/cloud.rs
+++ b/src/wire/cloud.rs
@@ -152,7 +152,7 @@
 }
 
 /// Whether the body of a refusal reports that the cloud has no capacity of the requested kind.
-pub fn is_no_capacity(body: &[u8]) -> bool {
+pub fn reports_no_capacity(body: &[u8]) -> bool {
     const NO_CAPACITY: &[u8] = b"no capacity";
     body.windows(NO_CAPACITY.len())
         .any(|part| part == NO_CAPACITY)
--- a/src/wire/mod.rs
+++ b/src/wire/mod.rs
@@ -17,7 +17,7 @@
     Redirect, TaskStatus, COMMANDS_PATH, HEARTBEAT_PATH, INSPECT_PATH,
 };
 pub use cloud::{
-    is_no_capacity, FencingToken, ListedMachine, MachineList, MachineNames, MachineType,
+    reports_no_capacity, FencingToken, ListedMachine, MachineList, MachineNames, MachineType,
     MachineTypes, ProvisionRequest, TerminateRequest, PROVISION_PATH, TERMINATE_PATH,
 };
 pub use incarnation::Incarnation;
@@ -27,13 +27,13 @@
 };
 pub use protocol_enums::{ExitReason, ListedState, TaskState};
 pub use store::{
-    final_state_reply, Condition, FinalStateError, Grant, GrantRequest, KeyChange, KeyValue, Page,
-    Transaction, TransactionReply, WatchReply, Write,
+    parse_final_state_reply, Condition, FinalStateError, Grant, GrantRequest, KeyChange, KeyValue,
+    Page, Transaction, TransactionReply, WatchReply, Write,
 };
 pub use submission::{is_job_id, parse_submission, MalformedSubmission};
 pub use users::{
-    is_cancelled_reply, ErrorReply, JobStatusReply, DONE, HEALTH_PATH, JOBS_PATH, PENDING, RUNNING,
-    WITHDRAWN,
+    is_cancelled_reply, ErrorReply, JobStatusReply, CANCELLED, DONE, HEALTH_PATH, JOBS_PATH,
+    PENDING, RUNNING,
 };
 
 use std::io;
@@ -43,7 +43,7 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// Maximum length of a text returned by [`readable`], in characters.
+/// Maximum length of a text returned by [`format_for_log`], in characters.
 const LOG_TEXT_MAX_CHARS: usize = 2000;
 
 /// Encodes a message as CBOR. On failure, logs an error and returns the incomplete encoding.
@@ -83,7 +83,7 @@
 }
 
 /// Formats a body for the log: the decoded CBOR value, truncated, or the length of other data.
-pub fn readable(body: &[u8]) -> String {
+pub fn format_for_log(body: &[u8]) -> String {
     match ciborium::from_reader::<Value, _>(body) {
         Ok(value) => format!("{value:?}")
             .chars()
--- a/src/wire/store.rs
+++ b/src/wire/store.rs
@@ -198,7 +198,7 @@
 /// # Errors
 ///
 /// If the reply is malformed, or the state is not known.
-pub fn final_state_reply(body: &[u8]) -> Result<FinalState, FinalStateError> {
+pub fn parse_final_state_reply(body: &[u8]) -> Result<FinalState, FinalStateError> {
     #[derive(Deserialize)]
     struct ValueOnly {
         #[serde(rename = "data")]
--- a/src/wire/users.rs
+++ b/src/wire/users.rs
@@ -16,7 +16,7 @@
 /// Status of a job whose tasks are all done.
 pub const DONE: &str = "done";
 /// Status of a cancelled job.
-pub const WITHDRAWN: &str = "withdrawn";
+pub const CANCELLED: &str = "withdrawn";
 
 /// The state of a job.
 #[derive(Serialize)]
@@ -24,7 +24,7 @@
     /// The job's id.
     #[serde(rename = "nameId")]
     pub id: &'a str,
-    /// One of [`PENDING`], [`RUNNING`], [`DONE`] and [`WITHDRAWN`].
+    /// One of [`PENDING`], [`RUNNING`], [`DONE`] and [`CANCELLED`].
     pub status: &'a str,
     /// Number of tasks that are done, for display.
     #[serde(skip_serializing_if = "Option::is_none")]
@@ -48,5 +48,5 @@
         #[serde(default)]
         status: String,
     }
-    decode::<StatusOnly>(body).is_ok_and(|reply| reply.status == WITHDRAWN)
+    decode::<StatusOnly>(body).is_ok_and(|reply| reply.status == CANCELLED)
 }
--- a/src/write_queue/result.rs
+++ b/src/write_queue/result.rs
@@ -29,9 +29,9 @@
     /// that was never sent, proves that the writes were not applied.
     pub(super) fn from_outcome(outcome: &Outcome) -> CommitResult {
         match outcome {
-            Outcome::Answer { status, body } => CommitResult::from_reply(*status, body),
+            Outcome::Response { status, body } => CommitResult::from_reply(*status, body),
             Outcome::NotSent => CommitResult::Rejected,
-            Outcome::NoAnswer | Outcome::TooLarge => CommitResult::Unknown,
+            Outcome::NoResponse | Outcome::TooLarge => CommitResult::Unknown,
         }
     }
 
@@ -68,7 +68,7 @@
 pub(super) fn is_throttled(outcome: &Outcome) -> bool {
     matches!(
         outcome,
-        Outcome::Answer {
+        Outcome::Response {
             status: status::TOO_MANY_REQUESTS,
             ..
         }
--- a/tests/combined_failures/user_requests.rs
+++ b/tests/combined_failures/user_requests.rs
@@ -111,9 +111,9 @@
         revision,
         changes: vec![],
     });
-    let outcome = Outcome::Answer { status: 200, body };
+    let outcome = Outcome::Response { status: 200, body };
     let tag = first[0];
-    controller.handle_event(at, Event::Reply { tag, outcome });
+    controller.handle_event(at, Event::CallFinished { tag, outcome });
     // The job is not known, so the poll that the read covers is looked up.
     let is_lookup =
         |action: &&Action| matches!(action, Action::Call { path, .. } if path.starts_with("/kv/"));
--- a/tests/common/calls.rs
+++ b/tests/common/calls.rs
@@ -17,15 +17,15 @@
         let action = self.status_as_previous_version(controller, action);
         self.digest.add_action(self.now, controller, &action);
         match action {
-            Action::Answer {
+            Action::Response {
                 connection,
                 status,
-                retry_after,
+                retry_after_s,
                 body,
             } => {
                 let answer = UserAnswer {
                     status,
-                    retry_after,
+                    retry_after_s,
                     body,
                 };
                 self.send_answer(controller, connection, answer);
@@ -71,7 +71,7 @@
             }
             Some(Origin::Peer(ticket)) => {
                 let UserAnswer { status, body, .. } = answer;
-                self.respond(1, ticket, Outcome::Answer { status, body });
+                self.respond(1, ticket, Outcome::Response { status, body });
             }
             Some(Origin::User(slot)) => self.on_user_answer(slot, answer),
             Some(Origin::Agent { .. }) | None => {}
@@ -91,7 +91,7 @@
     /// Sends a status without a body as the outcome of a call.
     pub(super) fn respond_status(&mut self, after_ms: u64, ticket: Ticket, status: u16) {
         let body = vec![];
-        self.respond(after_ms, ticket, Outcome::Answer { status, body });
+        self.respond(after_ms, ticket, Outcome::Response { status, body });
     }
 
     /// The outcome of a call reaches the process that made it, if that still runs and waits.
@@ -104,14 +104,14 @@
         } = ticket;
         let is_current = self.lifecycles.generation(controller) == generation;
         if is_current && self.network.close_call(ticket) {
-            self.event(controller, Event::Reply { tag, outcome });
+            self.event(controller, Event::CallFinished { tag, outcome });
         }
     }
 
     fn limit_size(&mut self, outcome: Outcome) -> Outcome {
         let max = self.faults.reply_bytes_max.unwrap_or(usize::MAX);
         match outcome {
-            Outcome::Answer { body, .. } if body.len() > max => {
+            Outcome::Response { body, .. } if body.len() > max => {
                 self.oversized_replies += 1;
                 Outcome::TooLarge
             }
--- a/tests/common/cloud_orders.rs
+++ b/tests/common/cloud_orders.rs
@@ -126,12 +126,12 @@
     fn execute_at_cloud(&mut self, call: &Call) -> Outcome {
         if call.method == "POST" && self.is_refused_by_cloud(call) {
             let (status, body) = (409, vec![]);
-            return Outcome::Answer { status, body };
+            return Outcome::Response { status, body };
         }
         let (status, body) = self
             .cloud
             .handle(call.method, &call.path, &call.body, self.now);
-        Outcome::Answer { status, body }
+        Outcome::Response { status, body }
     }
 
     /// Adds an order to the history; true if its token is lower than one that the cloud has
--- a/tests/common/delivery.rs
+++ b/tests/common/delivery.rs
@@ -53,7 +53,7 @@
             WriteFate::Unanswered => drop(self.serve_store(&call)),
             WriteFate::Answered => match self.serve_store(&call) {
                 Served::Now(status, body) => {
-                    let outcome = Outcome::Answer { status, body };
+                    let outcome = Outcome::Response { status, body };
                     self.respond(STORE_ANSWER_MS, call.ticket, outcome);
                 }
                 Served::Wait {
@@ -111,7 +111,7 @@
             return;
         };
         let body = wire::encode(&agent.next_status(rented));
-        self.respond(1, call.ticket, Outcome::Answer { status, body });
+        self.respond(1, call.ticket, Outcome::Response { status, body });
     }
 
     fn deliver_to_peer(&mut self, to: usize, call: Call) {
--- a/tests/common/digest.rs
+++ b/tests/common/digest.rs
@@ -15,16 +15,16 @@
         self.add_number(at_ms);
         self.add_number(controller as u64);
         match action {
-            Action::Answer {
+            Action::Response {
                 connection,
                 status,
-                retry_after,
+                retry_after_s,
                 body,
             } => {
                 self.add_bytes(b"answer");
                 self.add_number(*connection as u64);
                 self.add_number(u64::from(*status));
-                self.add_number(retry_after.map_or(u64::MAX, u64::from));
+                self.add_number(retry_after_s.map_or(u64::MAX, u64::from));
                 self.add_bytes(body);
             }
             // The call's number never leaves the process.
--- a/tests/common/duties.rs
+++ b/tests/common/duties.rs
@@ -3,7 +3,7 @@
 use ciborium::Value;
 use gaugesill::net::Listener;
 use gaugesill::peer_protocol::{PeerStatus, STATUS_PATH};
-use gaugesill::settings::{DutyFence, DutySettings};
+use gaugesill::settings::{DutySettings, FencingMode};
 use gaugesill::wire::KeyChange;
 use prost::Message;
 
@@ -15,7 +15,7 @@
 
 impl Sim {
     /// Three controllers with the settings of `deploy/duties.toml`, once all duties are held.
-    pub(crate) fn with_duties(fence: DutyFence) -> Sim {
+    pub(crate) fn with_duties(fence: FencingMode) -> Sim {
         let mut sim = Sim::new();
         sim.switch_duties_on(fence);
         sim.crash_all(|_| 1);
@@ -27,11 +27,11 @@
         sim
     }
 
-    pub(crate) fn switch_duties_on(&mut self, fence: DutyFence) {
+    pub(crate) fn switch_duties_on(&mut self, fence: FencingMode) {
         let text = include_str!("../../deploy/duties.toml");
         self.deployment.operator = toml::from_str(text).expect("settings");
         self.duty_settings().fence = fence;
-        self.cloud.checks_tokens = fence == DutyFence::ProviderToken;
+        self.cloud.checks_tokens = fence == FencingMode::ProviderToken;
     }
 
     pub(crate) fn duty_settings(&mut self) -> &mut DutySettings {
--- a/tests/common/meter.rs
+++ b/tests/common/meter.rs
@@ -33,8 +33,8 @@
                 };
                 WorkKind::new(name, request.body.len())
             }
-            Event::Reply { outcome, .. } => match outcome {
-                Outcome::Answer { body, .. } => WorkKind::new("reply to a call", body.len()),
+            Event::CallFinished { outcome, .. } => match outcome {
+                Outcome::Response { body, .. } => WorkKind::new("reply to a call", body.len()),
                 _ => WorkKind::new("call without a reply", 0),
             },
         }
--- a/tests/common/previous_version.rs
+++ b/tests/common/previous_version.rs
@@ -78,7 +78,7 @@
         mut action: Action,
     ) -> Action {
         if self.deployment.previous_version.contains(&controller) {
-            let (Action::Answer { body, .. } | Action::Call { body, .. }) = &mut action;
+            let (Action::Response { body, .. } | Action::Call { body, .. }) = &mut action;
             if let Some(status) = own_status(controller, body) {
                 let previous = PeerStatus {
                     known_format: 0,
--- a/tests/common/sim.rs
+++ b/tests/common/sim.rs
@@ -185,7 +185,7 @@
             self.deliver(message);
         }
         while let Some(ticket) = self.network.next_expired_call(self.now) {
-            self.reply(ticket, Outcome::NoAnswer);
+            self.reply(ticket, Outcome::NoResponse);
         }
         if !self.faults.store_outage {
             self.store.expire(self.now);
@@ -317,7 +317,7 @@
                 continue;
             }
             let body = wire::encode(&reply);
-            self.respond(2, watch.ticket, Outcome::Answer { status: 200, body });
+            self.respond(2, watch.ticket, Outcome::Response { status: 200, body });
         }
     }
 }
--- a/tests/common/users.rs
+++ b/tests/common/users.rs
@@ -21,7 +21,7 @@
 pub(crate) struct UserAnswer {
     pub status: u16,
     /// When the user is to come back, in seconds.
-    pub retry_after: Option<u32>,
+    pub retry_after_s: Option<u32>,
     pub body: Vec<u8>,
 }
 
@@ -163,7 +163,7 @@
         if let Some(job) = self.jobs.get_mut(&id) {
             job.accepted |= matches!(answer.status, 200 | 201);
         }
-        if answer.status == 503 && answer.retry_after.is_none() {
+        if answer.status == 503 && answer.retry_after_s.is_none() {
             self.log.violation("a 503 without Retry-After");
         }
         if !status.is_empty() {
--- a/tests/duties/assignment.rs
+++ b/tests/duties/assignment.rs
@@ -4,7 +4,7 @@
 
 use gaugesill::leadership_keys::LeaderKey;
 use gaugesill::peer_protocol::PeerStatus;
-use gaugesill::settings::DutyFence;
+use gaugesill::settings::FencingMode;
 
 use crate::common::{ControllerClocks, DutyEvent, Sim};
 use crate::support::{finish, submit, submit_two, tokens, FENCES, TTL_MS};
@@ -39,7 +39,7 @@
         let has_token =
             |event: &DutyEvent| matches!(event, DutyEvent::Received { token: Some(_), .. });
         let with_token = sim.duty_history.iter().any(has_token);
-        assert_eq!(with_token, fence == DutyFence::ProviderToken);
+        assert_eq!(with_token, fence == FencingMode::ProviderToken);
     }
 }
 
@@ -49,7 +49,7 @@
 #[test]
 fn versions_and_settings_side_by_side() {
     let mut sim = Sim::new();
-    sim.switch_duties_on(DutyFence::Booking);
+    sim.switch_duties_on(FencingMode::IdempotencyKey);
     sim.deployment.previous_version.insert(0);
     sim.deployment.without_duties.insert(1);
     sim.crash_all(|controller| 1 + 2000 * controller);
@@ -95,7 +95,7 @@
 /// through operators who move the duty.
 #[test]
 fn ten_changes_of_holder_cost_no_order() {
-    let mut sim = Sim::with_duties(DutyFence::ProviderToken);
+    let mut sim = Sim::with_duties(FencingMode::ProviderToken);
     for round in 0..10 {
         let shape = if round % 3 == 0 { "group" } else { "sweep" };
         submit(&mut sim, round, shape, 2, 6.0);
@@ -122,7 +122,7 @@
 /// does not hold.
 #[test]
 fn no_flapping_as_a_controller_comes_and_goes() {
-    let mut sim = Sim::with_duties(DutyFence::Booking);
+    let mut sim = Sim::with_duties(FencingMode::IdempotencyKey);
     let rent = sim.holder_of("rent").expect("a holder");
     let other = (0..3)
         .find(|controller| *controller != rent)
@@ -139,7 +139,7 @@
 /// Found with duties on at the bench: in an outage each holder considered itself lost.
 #[test]
 fn an_outage_moves_no_duty() {
-    let mut sim = Sim::with_duties(DutyFence::Booking);
+    let mut sim = Sim::with_duties(FencingMode::IdempotencyKey);
     sim.run(2 * TTL_MS);
     let before = tokens(&sim);
     sim.faults.store_outage = true;
@@ -154,7 +154,7 @@
 /// assigned nothing before it has been up for a while.
 #[test]
 fn nothing_is_assigned_to_a_controller_that_does_not_stay_up() {
-    let mut sim = Sim::with_duties(DutyFence::Booking);
+    let mut sim = Sim::with_duties(FencingMode::IdempotencyKey);
     sim.run(2 * TTL_MS);
     sim.crash(1, 3 * TTL_MS);
     sim.run(3 * TTL_MS - 100);
@@ -172,7 +172,7 @@
 /// it: the others acquire them after a while.
 #[test]
 fn others_acquire_what_an_assigned_controller_does_not() {
-    let mut sim = Sim::with_duties(DutyFence::Booking);
+    let mut sim = Sim::with_duties(FencingMode::IdempotencyKey);
     sim.crash(1, 3_600_000);
     let status = PeerStatus {
         member: "c1".into(),
@@ -205,7 +205,7 @@
 /// Without a holder nothing is rented, and the leader does not act in its place.
 #[test]
 fn the_leader_never_acts_around_the_holder() {
-    let mut sim = Sim::with_duties(DutyFence::Booking);
+    let mut sim = Sim::with_duties(FencingMode::IdempotencyKey);
     sim.deployment.without_duties.extend([0, 1, 2]);
     sim.crash_all(|_| 300);
     sim.run(3 * TTL_MS);
--- a/tests/duties/holder_failures.rs
+++ b/tests/duties/holder_failures.rs
@@ -1,7 +1,7 @@
 //! Holders that pause, crash or are cut off while an order is under way.
 
 use ciborium::Value;
-use gaugesill::settings::DutyFence;
+use gaugesill::settings::FencingMode;
 
 use crate::common::{CloudOrders, ControllerClocks, DutyEvent, Sim, Writes};
 use crate::support::{finish, submit, submit_two, until_moment, FENCES, TTL_MS};
@@ -44,7 +44,7 @@
                 "{duty} is still held by c{paused}"
             );
             finish(&mut sim, ControllerClocks::Reliable);
-            if fence == DutyFence::ProviderToken {
+            if fence == FencingMode::ProviderToken {
                 let refused = refusals(&sim, paused, duty, &token);
                 let history = &sim.duty_history;
                 assert_eq!(refused.last(), Some(&true), "{duty}: {history:#?}");
@@ -145,7 +145,7 @@
 #[test]
 fn a_holder_refused_alone_and_then_an_outage() {
     for duty in ["rent", "return"] {
-        let mut sim = Sim::with_duties(DutyFence::ProviderToken);
+        let mut sim = Sim::with_duties(FencingMode::ProviderToken);
         submit_two(&mut sim);
         sim.until(60_000, |sim| sim.orders_received(duty) > 0);
         let holder = sim.holder_of(duty).expect("a holder");
@@ -194,7 +194,7 @@
 /// Controllers cannot reach one another, while all reach the store: leases decide.
 #[test]
 fn controllers_cut_from_one_another() {
-    let mut sim = Sim::with_duties(DutyFence::Booking);
+    let mut sim = Sim::with_duties(FencingMode::IdempotencyKey);
     sim.faults.cut_from_peers.extend([0, 1, 2]);
     submit_two(&mut sim);
     sim.run(20_000);
--- a/tests/duties/records.rs
+++ b/tests/duties/records.rs
@@ -5,7 +5,7 @@
 use ciborium::cbor;
 use duty_lease::{Duty, Order, OrderId, OrderResult};
 use gaugesill::duties::{order_key, DutyRecords, OrderKey, OrderPhase, OrderRecord};
-use gaugesill::settings::DutyFence;
+use gaugesill::settings::FencingMode;
 use proptest::prelude::*;
 
 use crate::common::{ControllerClocks, ReducedLimits, Sim};
@@ -15,7 +15,7 @@
 /// left to the holder of cleaning.
 #[test]
 fn results_are_removed_once_the_leader_has_received_them() {
-    let mut sim = Sim::with_duties(DutyFence::Booking);
+    let mut sim = Sim::with_duties(FencingMode::IdempotencyKey);
     submit_two(&mut sim);
     let is_completed = |sim: &Sim| sim.orders_in("rent", "completed") > 0;
     assert!(until_moment(&mut sim, is_completed));
@@ -38,7 +38,7 @@
 fn records_without_an_owner_are_removed() {
     for dry_run in [false, true] {
         let mut sim = Sim::new();
-        sim.switch_duties_on(DutyFence::Booking);
+        sim.switch_duties_on(FencingMode::IdempotencyKey);
         sim.duty_settings().cleaning_dry_run = dry_run;
         sim.duty_settings().cleaning_per_s = 0.5;
         // No controller holds the duty of renting.
--- a/tests/duties/scale_in.rs
+++ b/tests/duties/scale_in.rs
@@ -1,7 +1,7 @@
 //! Terminations: no machine with work is terminated, and no terminating machine gets work.
 
 use ciborium::cbor;
-use gaugesill::settings::DutyFence;
+use gaugesill::settings::FencingMode;
 use gaugesill::wire::TaskState;
 
 use crate::common::{submission, CloudOrders, ControllerClocks, Sim};
@@ -64,7 +64,7 @@
 /// was on record that their last tasks had exited, and the holder refused that repeatedly.
 #[test]
 fn drained_machines_are_terminated_once_exits_are_on_record() {
-    let mut sim = Sim::with_duties(DutyFence::Booking);
+    let mut sim = Sim::with_duties(FencingMode::IdempotencyKey);
     // The tasks cannot be placed elsewhere, so their exits are not written at once.
     sim.cloud.capacity = 1;
     submit(&mut sim, 1, "sweep", 2, 4.0);
@@ -82,7 +82,7 @@
 #[test]
 fn a_busy_machine_is_never_terminated() {
     for duty in ["return", "reclaim-idle"] {
-        let mut sim = Sim::with_duties(DutyFence::Booking);
+        let mut sim = Sim::with_duties(FencingMode::IdempotencyKey);
         sim.submit(
             0,
             &submission("run-000001", "group", 2, 6.0, "normal"),
--- a/tests/duties/support.rs
+++ b/tests/duties/support.rs
@@ -1,12 +1,13 @@
 //! Jobs, waits and the final checks that the tests of duties share.
 
 use ciborium::Value;
-use gaugesill::settings::DutyFence;
+use gaugesill::settings::FencingMode;
 
 use crate::common::{submission, ControllerClocks, Sim};
 
 /// Both ways of fencing orders.
-pub(crate) const FENCES: [DutyFence; 2] = [DutyFence::Booking, DutyFence::ProviderToken];
+pub(crate) const FENCES: [FencingMode; 2] =
+    [FencingMode::IdempotencyKey, FencingMode::ProviderToken];
 
 /// Time to live of a duty's lease with the settings of the tests.
 pub(crate) const TTL_MS: u64 = 7200;
--- a/tests/job_dependencies/submission.rs
+++ b/tests/job_dependencies/submission.rs
@@ -117,5 +117,5 @@
     sim.run(300);
     let answer = sim.users.answers[slot].clone().expect("an answer");
     assert_eq!(answer.status, 400);
-    assert!(wire::readable(&answer.body).contains("too long to be kept"));
+    assert!(wire::format_for_log(&answer.body).contains("too long to be kept"));
 }
--- a/tests/job_lifecycle/partitions.rs
+++ b/tests/job_lifecycle/partitions.rs
@@ -70,7 +70,7 @@
     );
     sim.run(500);
     let answer = sim.users.answers[slot].clone().expect("an answer");
-    assert_eq!((answer.status, answer.retry_after), (503, Some(1)));
+    assert_eq!((answer.status, answer.retry_after_s), (503, Some(1)));
     sim.run(18_000);
     assert!((0..3).all(|controller| sim.is_healthy(controller)));
     sim.end_outage();
--- a/tests/message_digests.rs
+++ b/tests/message_digests.rs
@@ -11,7 +11,7 @@
 
 use ciborium::Value;
 use common::{submission, CloudOrders, Sim, Writes};
-use gaugesill::settings::DutyFence;
+use gaugesill::settings::FencingMode;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
@@ -332,12 +332,12 @@
 
 #[test]
 fn messages_of_duties_fenced_by_booking() {
-    let start = || Sim::with_duties(DutyFence::Booking);
+    let start = || Sim::with_duties(FencingMode::IdempotencyKey);
     check_family("duties-booking", play_roles, start);
 }
 
 #[test]
 fn messages_of_duties_fenced_by_token() {
-    let start = || Sim::with_duties(DutyFence::ProviderToken);
+    let start = || Sim::with_duties(FencingMode::ProviderToken);
     check_family("duties-token", play_roles, start);
 }
--- a/tests/processes/sockets.rs
+++ b/tests/processes/sockets.rs
@@ -10,12 +10,12 @@
 use crate::http::{free_port, read_message};
 
 /// Limits with which no idle connection is closed within a test.
-fn limits(fd_limit: usize, vital: HashSet<SocketAddr>) -> ConnectionLimits {
+fn limits(fd_limit: usize, critical: HashSet<SocketAddr>) -> ConnectionLimits {
     ConnectionLimits {
         fd_limit,
-        vital,
-        agent_idle: Duration::from_secs(3600),
-        reply_max: 1 << 20,
+        critical,
+        agent_idle_timeout: Duration::from_secs(3600),
+        reply_max_bytes: 1 << 20,
     }
 }
 
@@ -37,9 +37,9 @@
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
     // They accept no connections: calls to them stay in progress.
     let dead = TcpListener::bind(any).expect("a port");
-    let vital = TcpListener::bind(any).expect("a port");
-    let vital_addresses = HashSet::from([vital.local_addr().expect("an address")]);
-    let (mut event_loop, front) = listen(limits(32, vital_addresses));
+    let critical = TcpListener::bind(any).expect("a port");
+    let critical_addresses = HashSet::from([critical.local_addr().expect("an address")]);
+    let (mut event_loop, front) = listen(limits(32, critical_addresses));
     let mut serve = |sockets: &mut [TcpStream], path: &str| {
         for socket in sockets.iter_mut() {
             let text = format!("POST {path} HTTP/1.1\r\nContent-Length: 0\r\n\r\n");
@@ -54,7 +54,7 @@
             assert!(turns < 4000, "{left} requests were not read");
             for event in event_loop.turn(Duration::from_millis(5)).expect("a turn") {
                 if let Event::Request { connection, .. } = event {
-                    event_loop.answer(connection, 200, None, &[]);
+                    event_loop.respond(connection, 200, None, &[]);
                     left -= 1;
                 }
             }
@@ -83,17 +83,17 @@
         let to = dead.local_addr().expect("an address");
         event_loop.call(tag, to, "GET", "/inspect", &[], Duration::from_secs(60));
     }
-    let to = vital.local_addr().expect("an address");
+    let to = critical.local_addr().expect("an address");
     event_loop.call(99, to, "GET", "/kv", &[], Duration::from_secs(60));
     for event in event_loop.turn(Duration::ZERO).expect("a turn") {
-        if let Event::Reply { tag, outcome } = event {
+        if let Event::CallFinished { tag, outcome } = event {
             assert_eq!(outcome, Outcome::NotSent);
             assert_ne!(tag, 99);
             unsent += 1;
         }
     }
     assert_eq!(unsent, 14);
-    vital.accept().expect("the vital call");
+    critical.accept().expect("the vital call");
 }
 
 /// Found on lean lenteks, rough: 370 new connections a second were accepted and read before
@@ -118,7 +118,7 @@
         assert!(events.len() <= 24, "{} events in a turn", events.len());
         for event in events {
             if let Event::Request { connection, .. } = event {
-                event_loop.answer(connection, 421, None, &[]);
+                event_loop.respond(connection, 421, None, &[]);
                 left -= 1;
             }
         }
@@ -159,7 +159,7 @@
                 assert!(turns < 4000, "a request was not read");
                 for event in event_loop.turn(Duration::from_millis(5)).expect("a turn") {
                     if let Event::Request { connection, .. } = event {
-                        event_loop.answer(connection, 200, None, &[]);
+                        event_loop.respond(connection, 200, None, &[]);
                         answered = true;
                     }
                 }
@@ -195,14 +195,14 @@
         }
     });
     let (mut event_loop, _) = listen(ConnectionLimits {
-        reply_max: bound,
+        reply_max_bytes: bound,
         ..limits(64, HashSet::from([to]))
     });
     let mut outcome_of = |tag: u64| {
         event_loop.call(tag, to, "GET", "/watch", &[], Duration::from_secs(20));
         for _ in 0..8000 {
             for event in event_loop.turn(Duration::from_millis(5)).expect("a turn") {
-                if let Event::Reply { outcome, .. } = event {
+                if let Event::CallFinished { outcome, .. } = event {
                     return outcome;
                 }
             }
@@ -210,6 +210,6 @@
         panic!("no outcome of call {tag}");
     };
     let first = outcome_of(1);
-    assert!(matches!(first, Outcome::Answer { body, .. } if body.len() == bound));
+    assert!(matches!(first, Outcome::Response { body, .. } if body.len() == bound));
     assert_eq!(outcome_of(2), Outcome::TooLarge);
 }
--- a/tests/unit/write_queue.rs
+++ b/tests/unit/write_queue.rs
@@ -26,7 +26,7 @@
     let body = cbor!({"failed" => ["k2"], "ledgerRev" => 9}).expect("value");
     let results = queue.on_outcome(
         7,
-        &Outcome::Answer {
+        &Outcome::Response {
             status: 409,
             body: wire::encode(&body),
         },
@@ -41,7 +41,7 @@
         .next(2, 8, &mut requests)
         .expect("the other writes are sent again");
     assert_eq!(transaction.writes.len(), 2);
-    let results = queue.on_outcome(8, &Outcome::NoAnswer);
+    let results = queue.on_outcome(8, &Outcome::NoResponse);
     assert!(results
         .iter()
         .all(|result| result.1 == CommitResult::Unknown));
@@ -93,7 +93,7 @@
     let keys: Vec<&str> = transaction.writes.iter().map(Write::key).collect();
     assert_eq!(keys, ["j/1", "f/1", "j/2"]);
     let done = wire::encode(&cbor!({"ledgerRev" => 9}).expect("value"));
-    let outcome = Outcome::Answer {
+    let outcome = Outcome::Response {
         status: 200,
         body: done,
     };
--- a/tests/version_upgrade/record_limit.rs
+++ b/tests/version_upgrade/record_limit.rs
@@ -75,7 +75,7 @@
     );
     match format {
         0 => scheduler.set_format(0, &cluster.state),
-        _ => scheduler.set_format(format, &cluster.state.lowered()),
+        _ => scheduler.set_format(format, &cluster.state.strictest()),
     }
     scheduler
 }
@@ -162,7 +162,7 @@
     scheduler.apply_decision(plan_all(), 0, 2000, 1_002_000);
     let placed = scheduler.jobs["run-1"].placements.len() as u32;
     assert!((200..400).contains(&placed), "{placed} tasks are placed");
-    scheduler.set_format(1, &cluster.state.lowered());
+    scheduler.set_format(1, &cluster.state.strictest());
     let mut now = 2000;
     let mut records = 0;
     let odd_and_even = (0..placed).rev().step_by(2).chain((0..placed).step_by(2));
--- a/tests/version_upgrade/reduced_limits.rs
+++ b/tests/version_upgrade/reduced_limits.rs
@@ -106,7 +106,7 @@
         let slot = sim.ask(0, "POST", "/work", wire::encode(job));
         assert!(sim.until(5000, |sim| sim.users.answers[slot].is_some()));
         let answer = sim.users.answers[slot].clone().expect("an answer");
-        (answer.status, wire::readable(&answer.body))
+        (answer.status, wire::format_for_log(&answer.body))
     };
     let gang = submission("run-000001", "group", 100, 1.0, "normal");
     let (status, reason) = submit(&mut sim, &gang);
@@ -134,7 +134,7 @@
         );
         let settings: Settings = serde_json::from_str(&text).map_err(|error| error.to_string())?;
         settings.check().map_err(|error| error.to_string())?;
-        Ok::<_, String>(settings.cluster.state.lowered())
+        Ok::<_, String>(settings.cluster.state.strictest())
     };
     let low = check(ANNOUNCED).expect("valid limits");
     assert_eq!(
--- a/tests/version_upgrade/rolling_upgrade.rs
+++ b/tests/version_upgrade/rolling_upgrade.rs
@@ -237,7 +237,7 @@
         let slot = sim.ask(controller, method, path, body);
         assert!(sim.until(5000, |sim| sim.users.answers[slot].is_some()));
         let answer = sim.users.answers[slot].clone().expect("an answer");
-        (answer.status, answer.retry_after)
+        (answer.status, answer.retry_after_s)
     };
     let job = wire::encode(&submission("run-000009", "sweep", 1, 1.0, "normal"));
     for controller in 0..3 {
