--- a/tests/combined_failures/leader_changes.rs
+++ b/tests/combined_failures/leader_changes.rs
@@ -1,4 +1,4 @@
-//! The leader changes while something else goes wrong.
+//! The leader changes while another fault lasts.
 
 use gaugesill::epoch::Epoch;
 use gaugesill::wire::Incarnation;
@@ -7,20 +7,21 @@
 use crate::common::{submission, Sim, Writes};
 use crate::support::{array, live_tasks_of, start_two_long_arrays};
 
-/// A leader whose reads lag places a job, its starts are sent, it resigns, and is elected
-/// again: its second term must know of those placements.
+/// A leader that gets no answers to its reads of the store places a job, sends the start
+/// commands, resigns and is re-elected. If its second term does not know of those placements,
+/// it starts the tasks twice.
 #[test]
-fn a_second_term_knows_the_changes_of_the_first() {
-    for blind_ms in [300, 900, 2000] {
+fn a_reelected_leader_knows_the_placements_of_its_first_term() {
+    for without_reads_ms in [300, 900, 2000] {
         let mut sim = Sim::new();
         sim.cloud.capacity = 2;
         sim.run(1000);
         sim.submit(0, &array("run-000001", 3), 20_000);
         sim.run(5000);
-        let leader = sim.leader().expect("a leader");
+        let leader = sim.leader().expect("no controller leads");
         sim.faults.without_reads.insert(leader);
         assert!(sim.until(2000, |sim| live_tasks_of(sim, "run-000001") > 0));
-        // A heartbeat with an epoch that no leader has had makes it resign.
+        // A leader resigns when a heartbeat has an epoch that no leader has had.
         let body = wire::encode(&AgentStatus {
             machine: "m-009999".into(),
             endpoint: "10.1.0.1:9".into(),
@@ -36,7 +37,7 @@
         sim.ask(leader, "POST", wire::HEARTBEAT_PATH, body);
         assert_eq!(sim.leader(), None);
         sim.note(format!("c{leader} resigns"));
-        sim.run(blind_ms);
+        sim.run(without_reads_ms);
         sim.faults.without_reads.clear();
         sim.finish(120_000);
         sim.assert_sound();
@@ -46,8 +47,8 @@
     }
 }
 
-/// Jobs are cancelled within seconds of a change of leader, and once more before the new
-/// leader has received a heartbeat.
+/// A job is cancelled within seconds of a change of leader, and again before the new leader has
+/// received a heartbeat: no task of the job may be left 30 s later.
 #[test]
 fn cancellation_while_leadership_changes() {
     for case in 0..30u64 {
@@ -71,10 +72,11 @@
     }
 }
 
-/// Copies of heartbeats are kept, and reach every controller just after the next leader was
-/// elected, or once it has acted; also heartbeats of earlier incarnations and attempts.
+/// Duplicates of heartbeats, also of earlier incarnations and attempts, reach every controller
+/// just after the next leader was elected, or once it has issued commands: stale statuses must
+/// not change its state.
 #[test]
-fn old_heartbeats_reach_the_next_leader() {
+fn delayed_heartbeats_reach_the_next_leader() {
     for case in 0..16u64 {
         let mut sim = Sim::new();
         sim.faults.copies_to_next_leader_after_ms = Some([1, 5, 60, 700, 2600][case as usize % 5]);
@@ -83,7 +85,7 @@
         let gang = submission("run-000002", "group", 2, 6.0, "normal");
         sim.submit(1, &gang, 9000);
         if case % 2 == 0 {
-            // A task gives up waiting and is started again under the same attempt.
+            // A task times out waiting for its gang and is started again as the same attempt.
             sim.faults.image_pull_ms.insert("m-000001".into(), 50_000);
         }
         sim.run(5500 + 650 * case);
@@ -102,10 +104,10 @@
     }
 }
 
-/// Leaders change ten times in two minutes, also during an outage, while jobs are cancelled and
-/// copies of heartbeats arrive late.
+/// The leader changes ten times in two minutes, also during an outage of the store, while jobs
+/// are cancelled and duplicates of heartbeats arrive late.
 #[test]
-fn ten_leaders_in_two_minutes() {
+fn ten_leader_changes_in_two_minutes() {
     for case in 0..3u64 {
         let mut sim = Sim::new();
         sim.faults.heartbeat_copies_after_ms = vec![900, 11_000];
@@ -119,7 +121,7 @@
             }
             let id = format!("run-00000{}", 1 + round / 7);
             if round == 1 || round == 7 {
-                // The leader crashes before it can act on it.
+                // The leader crashes before it can act on the cancellation.
                 sim.cancel((leader + 1) % 3, &id);
                 sim.run(4);
             }
@@ -134,8 +136,8 @@
     }
 }
 
-/// All controllers are down for longer than a lease; then all crash again, and one is back
-/// within a second.
+/// All controllers are down for longer than an agent's lease; then all crash again, and one
+/// restarts within a second.
 #[test]
 fn all_controllers_down_for_longer_than_a_lease() {
     for case in 0..4u64 {
@@ -159,10 +161,10 @@
     }
 }
 
-/// New machines are up within a second and get work at once while writes lag, and the leader
-/// crashes.
+/// New machines boot within a second and get work at once, while writes to the store are
+/// delayed and the leader crashes.
 #[test]
-fn new_machines_at_once_while_writes_lag() {
+fn new_machines_get_work_while_writes_are_delayed() {
     for case in 0..12u64 {
         let mut sim = Sim::new();
         sim.cloud.boot_ms = 400 + 150 * (case % 4);
@@ -179,7 +181,7 @@
             sim.crash(leader, if case % 2 == 0 { 60 } else { 3000 });
         }
         sim.run(12_000);
-        // Their users submit until they get an answer.
+        // Users repeat a submission until it is answered.
         for controller in 0..3 {
             sim.submit(controller, &array("run-000001", 4), 6000);
             sim.submit(controller, &gang, 9000);
@@ -189,8 +191,8 @@
     }
 }
 
-/// A leader crashes while machines with long tasks are unreachable, or do not receive the new
-/// leader's answers.
+/// The leader crashes while a machine with long tasks is isolated, cannot send, or does not
+/// receive the new leader's answers.
 #[test]
 fn a_leader_crashes_while_machines_are_unreachable() {
     for case in 0..6u64 {
--- a/tests/combined_failures/load.rs
+++ b/tests/combined_failures/load.rs
@@ -1,10 +1,10 @@
-//! More jobs than usual, or more work than capacity.
+//! A high rate of submissions, and more work than capacity.
 
 use crate::common::{submission, Sim};
 use crate::support::array;
 
-/// Four one-task jobs are submitted each second, a quarter of them cancelled: none waits long,
-/// none is lost.
+/// Four one-task jobs are submitted each second and a quarter of them cancelled: no job is lost,
+/// and all are finished within 30 s of the last submission.
 #[test]
 fn four_one_task_jobs_each_second() {
     let mut sim = Sim::new();
@@ -23,7 +23,7 @@
 }
 
 /// More work than capacity, of high and low priority, with slow image pulls: the largest jobs
-/// start within four minutes, and nothing waits while there is capacity for it.
+/// start within four minutes too, and no job waits while there is capacity for it.
 #[test]
 fn more_work_than_capacity_with_slow_image_pulls() {
     let mut sim = Sim::new();
--- a/tests/combined_failures/machines.rs
+++ b/tests/combined_failures/machines.rs
@@ -1,11 +1,11 @@
-//! Machines that are unreachable, hang or die while their jobs are cancelled or restricted.
+//! Machines that are unreachable, hang or fail while jobs are cancelled or restricted to zones.
 
 use ciborium::Value;
 
 use crate::common::{assert_kept_trace, submission, Agent, Sim};
 use crate::support::{array, live_tasks_of, start_two_long_arrays, with_field};
 
-/// Machines with tasks whose names begin with `prefix`.
+/// Names of the machines with tasks whose names begin with `prefix`.
 fn machines_with_tasks_of(sim: &Sim, prefix: &str) -> Vec<String> {
     let has_task = |agent: &&Agent| {
         let mut tasks = agent.tasks.iter();
@@ -15,9 +15,9 @@
     agents.map(|agent| agent.machine.clone()).collect()
 }
 
-/// The team is at its quota limit while jobs are cancelled whose machines are cut off, hang or
-/// receive nothing, and the leader changes: a task that may run counts until it is confirmed
-/// gone.
+/// A team at its quota limit cancels a job whose machines are isolated, hang or receive nothing,
+/// and the leader changes. A task that may still run counts until its end is confirmed;
+/// otherwise the team would exceed its limit.
 #[test]
 fn the_quota_limit_holds_with_unreachable_machines() {
     for case in 0..12u64 {
@@ -34,7 +34,7 @@
                 _ => drop(sim.faults.unable_to_receive.insert(machine)),
             }
         }
-        let leader = sim.leader().expect("a leader");
+        let leader = sim.leader().expect("no controller leads");
         if case % 2 == 0 {
             sim.crash(leader, 3000);
             sim.run(400 * case);
@@ -55,10 +55,10 @@
     }
 }
 
-/// A cancelled job's machine hangs, for less than a lease and for longer: its tasks do not
-/// continue.
+/// A cancelled job's machines hang, for less than an agent's lease and for longer: the job's
+/// tasks must not continue afterwards.
 #[test]
-fn a_machine_hangs_as_its_job_is_cancelled() {
+fn machines_hang_while_their_job_is_cancelled() {
     let durations_ms = [5000, 20_000, 34_000, 37_000, 58_000, 80_000];
     for (case, hang_ms) in durations_ms.into_iter().enumerate() {
         let mut sim = Sim::new();
@@ -77,9 +77,9 @@
     }
 }
 
-/// A machine reaches no controller, while direct commands reach it: it looks alive to any
-/// controller that inspects it, but its lease expires again and again and its tasks are
-/// killed. It gets no work.
+/// A machine reaches no controller, while direct commands reach it: every controller that
+/// inspects it finds it alive, but its lease expires repeatedly and its tasks are killed. It
+/// must get no work.
 #[test]
 fn a_machine_that_reaches_no_controller() {
     let mut sim = Sim::new();
@@ -94,7 +94,8 @@
     assert_kept_trace("mute-machine", &sim.log.trace);
 }
 
-/// Jobs restricted to one zone, arrays too, and spread jobs lose machines and the leader.
+/// Machines and the leader fail while gangs and arrays that are restricted to one zone, and jobs
+/// that are spread over zones, run: the restrictions still hold when tasks are placed again.
 #[test]
 fn zones_are_kept_while_machines_are_lost() {
     for case in 0..12u64 {
--- a/tests/combined_failures/main.rs
+++ b/tests/combined_failures/main.rs
@@ -1,7 +1,7 @@
-//! Two faults at once: each test causes one of the combinations that the operators name (the
-//! table in `docs/design.md`). The simulation records a violation when a rule is broken: it
-//! checks every start, what users are told by every controller, and the tasks of cancelled
-//! jobs.
+//! Two faults at once: each test injects one of the combinations that the operators list (the
+//! table in `docs/design.md`). The simulation checks every task start, the answers of every
+//! controller to users and the tasks of cancelled jobs, and records each broken rule as a
+//! violation.
 
 #[path = "../common/mod.rs"]
 mod common;
--- a/tests/combined_failures/outages.rs
+++ b/tests/combined_failures/outages.rs
@@ -1,17 +1,17 @@
-//! The store refuses one controller, and then all of them.
+//! The store refuses one controller and then all of them, after a cancellation was confirmed.
 
 use crate::common::{assert_kept_trace, job_reply, Sim};
 use crate::support::{live_tasks_of, start_two_long_arrays};
 
-/// Two controllers of a run.
+/// The controllers that take part in a cancellation.
 struct Controllers {
     leader: usize,
-    /// Another controller, which confirmed the cancellation.
+    /// The controller that confirmed the cancellation.
     other: usize,
 }
 
-/// The store refuses the leader; after a while another controller confirms to a user that the
-/// first of two long jobs is cancelled.
+/// The store refuses the leader; after `cancel_after_ms` another controller confirms to a user
+/// that the first of two long jobs is cancelled.
 fn refuse_leader_and_cancel(sim: &mut Sim, cancel_after_ms: u64) -> Controllers {
     let leader = start_two_long_arrays(sim);
     let other = (leader + 1) % 3;
@@ -24,8 +24,9 @@
     Controllers { leader, other }
 }
 
-/// The store refuses everybody for 70 s; afterwards no task of the cancelled job is left.
-fn outage_of_70_s(sim: &mut Sim) {
+/// The store refuses all controllers for 70 s, longer than `cancel_s`. Fails if a task of the
+/// cancelled job is left afterwards.
+fn run_outage_of_70_s(sim: &mut Sim) {
     sim.faults.store_outage = true;
     sim.note("the state service is out".into());
     sim.run(12_000);
@@ -34,22 +35,23 @@
     assert_eq!(live_tasks_of(sim, "run-000001"), 0, "{}", sim.trace_text());
 }
 
-/// All faults end; all that was not cancelled is done, and every controller knows it.
+/// Ends all faults. Fails unless every job that was not cancelled finishes and every controller
+/// knows every job.
 fn recover_and_check(sim: &mut Sim) {
     sim.faults.cut_from_peers.clear();
     sim.end_outage();
     sim.finish_and_check(150_000);
 }
 
-/// The gap: the store refuses the leader alone, another controller confirms a cancellation,
-/// then the store refuses everybody for longer than `cancel_s`. The tasks are gone in time all
-/// the same, whether the leader can be notified or not; and where it can, jobs that were not
-/// cancelled go on throughout.
+/// The store refuses the leader alone, another controller confirms a cancellation, then the
+/// store refuses all controllers for longer than `cancel_s`, so the leader cannot read the
+/// cancellation. The job's tasks must be gone in time even so, whether peers can notify the
+/// leader or not; if they can, jobs that were not cancelled keep running throughout.
 #[test]
-fn a_leader_refused_alone_and_then_an_outage() {
+fn the_store_refuses_the_leader_and_then_all_controllers() {
     for case in 0..6usize {
         let mut sim = Sim::new();
-        // Clocks at their bounds: the leader's slow, another's fast, and reversed.
+        // Clocks drift at their bounds: the leader's is slow and another's fast, or the reverse.
         sim.clocks.drift_per_10_000.insert(case % 3, 5);
         // In the later cases the leader cannot be notified.
         if case >= 3 {
@@ -59,7 +61,7 @@
             refuse_leader_and_cancel(&mut sim, 1400 - 200 * case as u64);
         assert_eq!(leader, 0);
         sim.run(200);
-        outage_of_70_s(&mut sim);
+        run_outage_of_70_s(&mut sim);
         let killed: u64 = sim.agents.values().map(|agent| agent.killed_tasks).sum();
         if case < 3 {
             assert_eq!(killed, 0, "{}", sim.trace_text());
@@ -71,7 +73,7 @@
         } else {
             assert_eq!(
                 killed, 6,
-                "all tasks must end if the leader cannot know which job is cancelled"
+                "all tasks must be killed if the leader cannot know which job is cancelled"
             );
         }
         recover_and_check(&mut sim);
@@ -81,31 +83,32 @@
     }
 }
 
-/// The same, and the controller that confirmed the cancellation is killed before it could
-/// notify the leader, and back within a second: its status then proves nothing, since its
-/// earlier generation confirmed what it does not know of.
+/// As above, but the controller that confirmed the cancellation crashes before it can notify the
+/// leader, and restarts within a second. Its status must then not count as proof that it
+/// confirmed no cancellation, since the process before the restart did and this one does not
+/// know of it.
 #[test]
-fn an_outage_with_a_restarted_peer_ends_the_work() {
+fn an_outage_after_the_confirming_controller_restarts() {
     for case in 0..4u64 {
         let mut sim = Sim::new();
         let Controllers { other, .. } = refuse_leader_and_cancel(&mut sim, 200);
         sim.faults.store_outage = true;
         sim.crash(other, 100 + 250 * case);
-        outage_of_70_s(&mut sim);
+        run_outage_of_70_s(&mut sim);
         recover_and_check(&mut sim);
     }
 }
 
-/// The same with a leader that was cut off for longer before, so that its grant has run out:
-/// its successor knows of the cancellation but cannot write; and with the old leader killed
-/// and back within a second during the outage.
+/// As above, but the store refuses the leader for so long before the outage that its grant
+/// expires: its successor knows of the cancellation but cannot write. In some cases the old
+/// leader also crashes and restarts within a second during the outage.
 #[test]
 fn an_outage_with_a_successor_that_cannot_write() {
     for case in 0..6u64 {
         let mut sim = Sim::new();
         let Controllers { leader, .. } = refuse_leader_and_cancel(&mut sim, 2500 + 600 * case);
         if case >= 4 {
-            // Nor is the old leader notified.
+            // Peers cannot notify the old leader either.
             sim.faults.cut_from_peers.insert(leader);
         }
         sim.faults.store_outage = true;
@@ -113,15 +116,15 @@
         if case % 2 == 1 {
             sim.crash(leader, 400);
         }
-        outage_of_70_s(&mut sim);
+        run_outage_of_70_s(&mut sim);
         recover_and_check(&mut sim);
     }
 }
 
-/// A cancellation confirmed by the leader itself, and one that it forwarded, a moment before an
-/// outage: its own state includes both without a read.
+/// A cancellation that the leader confirmed itself, or one that it forwarded, just before an
+/// outage: the leader must know of both without a read of the store.
 #[test]
-fn a_single_controller_knows_the_cancellations_it_confirmed() {
+fn a_leader_knows_the_cancellations_it_confirmed_or_forwarded() {
     for refused in [false, true] {
         let mut sim = Sim::new();
         let leader = start_two_long_arrays(&mut sim);
--- a/tests/combined_failures/support.rs
+++ b/tests/combined_failures/support.rs
@@ -1,12 +1,12 @@
-//! Jobs that several tests start with.
+//! Submissions and set-up that several tests share.
 
 use ciborium::Value;
 
 use crate::common::{submission, Agent, Sim};
 
-/// A submission with another value in one field.
+/// A submission in which the value of one field is replaced.
 pub(crate) fn with_field(mut submission: Value, name: &str, value: Value) -> Value {
-    for (key, old) in submission.as_map_mut().expect("a map") {
+    for (key, old) in submission.as_map_mut().expect("submission is not a map") {
         if key.as_text() == Some(name) {
             *old = value.clone();
         }
@@ -14,12 +14,12 @@
     submission
 }
 
-/// A submission of an array of tasks for half a machine.
+/// A submission of an array whose tasks each request half a machine.
 pub(crate) fn array(id: &str, tasks: u32) -> Value {
     submission(id, "sweep", tasks, 4.0, "best_effort")
 }
 
-/// How many tasks of a job are on machines and have not exited.
+/// Number of tasks of a job that are on machines and have not exited.
 pub(crate) fn live_tasks_of(sim: &Sim, id: &str) -> usize {
     let agents = sim.agents.values();
     let live = agents.flat_map(Agent::live_tasks);
@@ -27,7 +27,7 @@
         .count()
 }
 
-/// Starts two long arrays and waits until their tasks run; the leader.
+/// Starts two long arrays, waits until their tasks run, and returns the leader.
 pub(crate) fn start_two_long_arrays(sim: &mut Sim) -> usize {
     sim.run(1000);
     sim.submit(0, &array("run-000001", 3), 400_000);
@@ -37,5 +37,5 @@
         live_tasks_of(sim, "run-000001") + live_tasks_of(sim, "run-000002"),
         6
     );
-    sim.leader().expect("a leader")
+    sim.leader().expect("no controller leads")
 }
--- a/tests/combined_failures/user_requests.rs
+++ b/tests/combined_failures/user_requests.rs
@@ -1,4 +1,4 @@
-//! What users are told while writes are lost or late, and by controllers that are cut off.
+//! Answers to users while writes are lost or late, and from controllers that are cut off.
 
 use ciborium::Value;
 use gaugesill::controller::{Controller, Timestamp};
@@ -8,14 +8,14 @@
 use crate::common::{job_reply, submission, Sim, Writes};
 use crate::support::{array, with_field};
 
-/// Jobs and how many tasks each has.
+/// Ids of the jobs, with their numbers of tasks.
 const JOBS: [(&str, u32); 3] = [("run-000001", 2), ("run-000002", 1), ("run-000003", 2)];
 
-/// Users poll all controllers, within milliseconds, and repeat the submission, right after a job
-/// was accepted, done or cancelled, while answers of the store are lost or its transactions
-/// applied late: no controller gives an older answer.
+/// Users poll all controllers and repeat their submissions within milliseconds after a job was
+/// accepted, done or cancelled, while answers of the store are lost or its transactions are
+/// applied late: no controller may answer with an older state than another one has reported.
 #[test]
-fn answers_never_go_back_with_lost_and_late_writes() {
+fn reported_states_never_regress_with_lost_and_late_writes() {
     for case in 0..14u64 {
         let mut sim = Sim::new();
         sim.faults.writes = match case % 3 {
@@ -39,8 +39,8 @@
             }
             let trace_length = sim.log.trace.len();
             sim.run(10);
-            let has_news = sim.log.trace.len() > trace_length;
-            if has_news || round % 40 == 0 {
+            let has_new_event = sim.log.trace.len() > trace_length;
+            if has_new_event || round % 40 == 0 {
                 poll_and_resubmit_all(&mut sim, &mut polls);
             }
         }
@@ -52,7 +52,7 @@
     }
 }
 
-/// Polls and submits each job at each controller; `polls` receives the slots of the polls.
+/// Polls and resubmits each job at each controller; appends the slots of the polls to `polls`.
 fn poll_and_resubmit_all(sim: &mut Sim, polls: &mut Vec<usize>) {
     for controller in 0..3 {
         for (id, tasks) in JOBS {
@@ -63,7 +63,7 @@
     }
 }
 
-/// A controller's actions on a poll for a job that it does not know.
+/// Actions of a controller when a user polls a job that it does not know.
 fn poll_unknown_job(controller: &mut Controller, at: Timestamp, connection: usize) -> Vec<Action> {
     let request = Request {
         method: "GET".into(),
@@ -79,7 +79,7 @@
     controller.take_actions()
 }
 
-/// Tags of the calls that read the present state of the store.
+/// Tags of the calls that read the current state of the store.
 fn read_tags(actions: &[Action]) -> Vec<u64> {
     let tag_of_read = |action: &Action| match action {
         Action::Call { tag, path, .. } if path.ends_with("holdMs=0") => Some(*tag),
@@ -88,10 +88,10 @@
     actions.iter().filter_map(tag_of_read).collect()
 }
 
-/// A read that was sent before a poll came does not answer the poll, even within the same
-/// millisecond.
+/// A read that was sent before a poll arrived must not answer the poll, even within the same
+/// millisecond, as the state may have changed in between.
 #[test]
-fn no_poll_is_answered_with_an_older_state() {
+fn no_poll_is_answered_from_an_earlier_read() {
     let mut sim = Sim::new();
     sim.run(3000);
     let at = Timestamp {
@@ -99,9 +99,11 @@
         wall: 1_000_000 + sim.now,
     };
     let revision = sim.store.revision;
-    let controller = sim.controllers[1].as_mut().expect("it runs");
+    let controller = sim.controllers[1]
+        .as_mut()
+        .expect("controller 1 is not running");
     let first = read_tags(&poll_unknown_job(controller, at, 901));
-    assert_eq!(first.len(), 1, "the first poll must cause a read at once");
+    assert_eq!(first.len(), 1, "the first poll must trigger a read at once");
     let second = read_tags(&poll_unknown_job(controller, at, 902));
     assert!(
         second.is_empty(),
@@ -114,7 +116,8 @@
     let outcome = Outcome::Answer { status: 200, body };
     let tag = first[0];
     controller.handle_event(at, Event::Reply { tag, outcome });
-    // The job is not known, so the poll that the read covers is looked up.
+    // The read does not contain the job, so the controller looks up the job of the poll that the
+    // read covers.
     let is_lookup =
         |action: &&Action| matches!(action, Action::Call { path, .. } if path.starts_with("/kv/"));
     let actions = controller.take_actions();
@@ -122,13 +125,13 @@
     assert_eq!(lookups, 1, "only the first poll may be looked up");
 }
 
-/// A controller that reaches neither the store nor any other controller is unhealthy: its users
-/// would get no useful answers while it is cut off.
+/// A controller that reaches neither the store nor any other controller reports itself
+/// unhealthy, since it could not give users useful answers.
 #[test]
-fn a_controller_that_reaches_nobody_is_unhealthy() {
+fn an_isolated_controller_is_unhealthy() {
     let mut sim = Sim::new();
     sim.run(3000);
-    let leader = sim.leader().expect("a leader");
+    let leader = sim.leader().expect("no controller leads");
     sim.faults.cut_from_store.insert(leader);
     sim.faults.cut_from_peers.insert(leader);
     sim.run(6000);
@@ -140,14 +143,15 @@
     sim.heal_store();
     sim.run(3000);
     assert_eq!(healthy(&sim), [true; 3]);
-    // In an outage that affects all controllers, none is unhealthy.
+    // In an outage that affects all controllers, all of them stay healthy.
     sim.faults.store_outage = true;
     sim.run(6000);
     assert_eq!(healthy(&sim), [true; 3]);
 }
 
-/// Unusual requests: a repeated submission gets the job's state, a cancellation of a finished
-/// job `done`, a job that can never run 422, one that lacks a field 400; never 201.
+/// A repeated submission is answered with the job's state, the cancellation of a finished job
+/// with `done`, a job that can never run with 422 and one that lacks a field with 400; none of
+/// them with 201.
 #[test]
 fn unusual_requests_get_their_status_codes() {
     let mut sim = Sim::started();
@@ -157,7 +161,7 @@
     let mut ask = |controller: usize, job: &Value| {
         let slot = sim.ask(controller, "POST", "/work", wire::encode(job));
         sim.run(300);
-        sim.answer(slot).expect("an answer")
+        sim.answer(slot).expect("no answer within 300 ms")
     };
     for controller in 0..3 {
         assert_eq!(
--- a/tests/job_lifecycle/basics.rs
+++ b/tests/job_lifecycle/basics.rs
@@ -1,13 +1,13 @@
-//! Jobs without faults: their statuses, quota and pace.
+//! Jobs without faults, save one crash: statuses, quota, delays between tasks and status codes.
 
 use gaugesill::wire;
 
 use crate::common::{assert_kept_trace, job_reply, submission, Sim};
-use crate::support::two_jobs;
+use crate::support::with_two_jobs;
 
 #[test]
-fn jobs_run_on_a_quiet_day() {
-    let mut sim = two_jobs();
+fn jobs_finish_without_faults() {
+    let mut sim = with_two_jobs();
     sim.finish(60_000);
     for id in ["run-000001", "run-000002"] {
         let slot = sim.poll(2, id);
@@ -18,9 +18,9 @@
     assert_kept_trace("quiet", &sim.log.trace);
 }
 
-/// The quota limit is kept, counted over all tasks that may run.
+/// The quota limit counts all tasks that may run, and holds while the leader changes.
 #[test]
-fn the_quota_is_kept_across_a_change_of_leader() {
+fn the_quota_limit_holds_across_a_change_of_leader() {
     let mut sim = Sim::with_team(r#"{"name":"t","cpus_max":8.0}"#, 8.0);
     sim.run(1000);
     sim.submit(
@@ -42,11 +42,11 @@
     assert_kept_trace("quota", &sim.log.trace);
 }
 
-/// Found in the heartbeats of a steady day: the answer to the heartbeat that reported a task's
-/// exit went out before the next start was on record, so capacity stayed unused for a
-/// heartbeat interval between two tasks.
+/// Guards against idle capacity between two tasks: the answer to the heartbeat that reported a
+/// task's exit was sent before the next start was committed, so the machine waited for another
+/// heartbeat interval.
 #[test]
-fn the_answer_to_an_exit_carries_the_next_start() {
+fn the_answer_to_an_exit_contains_the_next_start() {
     let mut sim = Sim::new();
     sim.cloud.capacity = 1;
     sim.run(1000);
@@ -62,13 +62,13 @@
     let starts: Vec<f64> = starts.filter_map(time_of).collect();
     assert_eq!(starts.len(), 6);
     for pair in starts.windows(2) {
-        // A second to pull the image, two to run, half a second between heartbeats.
+        // One second to pull the image, two to run, half a second between heartbeats.
         assert!(pair[1] - pair[0] < 4.2, "{starts:?}");
     }
     sim.assert_sound();
 }
 
-/// The largest possible array: its record stays small while it runs.
+/// The record of an array of the largest size stays small while the array runs.
 #[test]
 fn a_job_of_a_hundred_thousand_tasks_runs() {
     let mut sim = Sim::started();
--- a/tests/job_lifecycle/cancellation.rs
+++ b/tests/job_lifecycle/cancellation.rs
@@ -1,34 +1,34 @@
-//! Users cancel jobs at every moment of their lives.
+//! Users cancel jobs at every moment between submission and completion.
 
 use crate::common::{assert_kept_trace, submission, Sim};
-use crate::support::two_jobs;
+use crate::support::with_two_jobs;
 
-/// A job is cancelled at each moment of its life: its tasks are stopped, it stays cancelled or
-/// is done, and its capacity serves other jobs.
+/// A job is cancelled at each moment of its run: its tasks are stopped, its final state is
+/// cancelled or done and does not change, and its capacity becomes available to other jobs.
 #[test]
 fn cancellation_in_every_phase() {
     for step in 0..30 {
-        let mut sim = two_jobs();
+        let mut sim = with_two_jobs();
         sim.run(400 * step);
         let slot = sim.cancel(2, "run-000002");
         sim.run(5000);
-        let told = sim.answer(slot).expect("an answer");
-        assert_eq!(told.code, 200, "{told:?}");
+        let reply = sim.answer(slot).expect("no answer to the cancellation");
+        assert_eq!(reply.code, 200, "{reply:?}");
         sim.finish(100_000);
         if step == 20 {
             assert_kept_trace("cancel", &sim.log.trace);
         }
-        let again = sim.poll(0, "run-000002");
+        let poll = sim.poll(0, "run-000002");
         sim.run(100);
-        assert_eq!(sim.answer(again), Some(told));
+        assert_eq!(sim.answer(poll), Some(reply));
         assert_eq!(sim.live_tasks(), 0);
         sim.assert_sound();
     }
 }
 
-/// Found on a steady day (seed 5): a cancellation was committed, and the user
-/// told so, in the same moment in which the last task was done. The leader then
-/// closed the job as done. What the store committed first is final.
+/// Seen in a benchmark run (seed 5): a cancellation was committed and confirmed to the user at
+/// the moment at which the last task was done, and the leader then closed the job as done. The
+/// final state that the store commits first must stand.
 #[test]
 fn cancellation_as_the_last_task_is_done() {
     let mut sim = Sim::started();
@@ -50,14 +50,14 @@
         sim.run(end - 40 + 2 * step - sim.now);
         let slot = sim.cancel(step as usize % 3, "run-000001");
         assert!(sim.until(60_000, |sim| sim.settled() && sim.answer(slot).is_some()));
-        let told = sim.answer(slot).expect("an answer");
-        cancelled += usize::from(told.status == "withdrawn");
+        let reply = sim.answer(slot).expect("no answer to the cancellation");
+        cancelled += usize::from(reply.status == "withdrawn");
         for controller in 0..3 {
-            let again = sim.poll(controller, "run-000001");
+            let poll = sim.poll(controller, "run-000001");
             sim.run(100);
             assert_eq!(
-                sim.answer(again),
-                Some(told.clone()),
+                sim.answer(poll),
+                Some(reply.clone()),
                 "{}",
                 sim.trace_text()
             );
--- a/tests/job_lifecycle/crashes.rs
+++ b/tests/job_lifecycle/crashes.rs
@@ -1,37 +1,37 @@
-//! Controllers crash or are paused at every step of jobs' lives.
+//! Controllers crash or are paused at every step of jobs' runs.
 
 use crate::common::{assert_kept_trace, submission};
-use crate::support::{submit_two_jobs, two_jobs};
+use crate::support::{submit_two_jobs, with_two_jobs};
 
-/// The leader crashes at each moment of the jobs' lives, for a short or a long time;
-/// everything is done once and no rule is broken.
+/// The leader crashes at each moment of the jobs' runs and is down for a short or a long time:
+/// every task is done once and no rule is broken.
 #[test]
 fn the_leader_crashes_at_every_step() {
     for step in 0..60 {
-        let mut sim = two_jobs();
+        let mut sim = with_two_jobs();
         sim.run(20 + 350 * step);
         if let Some(leader) = sim.leader() {
             sim.crash(leader, if step % 2 == 0 { 200 } else { 3000 });
         }
         sim.run(1000);
-        // The users retry their submissions.
+        // Users retry their submissions.
         if let Some(controller) = sim.any_running_controller() {
             submit_two_jobs(&mut sim, controller, controller);
         }
         sim.finish(150_000);
         sim.assert_sound();
-        // Kept to be read: one each for submitted, placed, started and done jobs.
+        // Example traces of a crash after jobs were submitted, placed, started and done.
         if [2, 16, 19, 37].contains(&step) {
             assert_kept_trace(&format!("crash-{step}"), &sim.log.trace);
         }
     }
 }
 
-/// All controllers crash at once, and again in the middle of the election.
+/// All controllers crash at once, and again in the middle of the following election.
 #[test]
-fn all_crash_during_an_election() {
+fn all_controllers_crash_during_an_election() {
     for step in 0..12 {
-        let mut sim = two_jobs();
+        let mut sim = with_two_jobs();
         sim.run(8000);
         sim.crash_all(|_| 300);
         sim.run(300 + 40 * step);
@@ -41,14 +41,14 @@
     }
 }
 
-/// Controllers and agents are back within a fraction of a second, also in the middle of an
-/// election: no process is confused with its earlier generation.
+/// Controllers and agents restart within a fraction of a second, also in the middle of an
+/// election: no process may be mistaken for the one before its restart.
 #[test]
-fn controllers_back_within_a_second() {
+fn controllers_restart_within_a_second() {
     for case in 0..24 {
-        let mut sim = two_jobs();
+        let mut sim = with_two_jobs();
         sim.run(5800 + 120 * case);
-        let leader = sim.leader().expect("a leader");
+        let leader = sim.leader().expect("no controller leads");
         sim.crash(leader, 5 + 10 * (case % 5));
         sim.run(20 + 17 * (case % 7));
         for controller in 0..3 {
@@ -63,14 +63,14 @@
     }
 }
 
-/// The leader is paused at every step, for less than the time to live of its grant, for
-/// longer, and for longer than a lease, while its clocks run on. What it had decided on is
-/// sent afterwards, and then it handles what arrived meanwhile: none of that takes effect
-/// unless it is compatible with what a successor has done.
+/// The leader is paused at every step, for less than the time to live of its grant, for longer,
+/// and for longer than an agent's lease, while its clocks continue. When it resumes, it sends
+/// the actions that it decided on before the pause and then handles the events that arrived
+/// meanwhile: none of these may take effect if it conflicts with what a successor has done.
 #[test]
-fn the_leader_stands_still_at_every_step() {
+fn the_leader_is_paused_at_every_step() {
     for step in 0..45 {
-        let mut sim = two_jobs();
+        let mut sim = with_two_jobs();
         sim.run(900 + 400 * step);
         let leader = sim.leader().unwrap_or(0);
         let pause_ms = [1500, 3800, 12_000, 44_000][step as usize % 4];
@@ -84,8 +84,8 @@
             5000,
         );
         sim.run(5000);
-        let told = sim.answer(slot);
-        assert!(told.is_some(), "{step}: {}", sim.trace_text());
+        let reply = sim.answer(slot);
+        assert!(reply.is_some(), "{step}: {}", sim.trace_text());
         sim.run(45_000);
         sim.finish_and_check(150_000);
         if step == 18 {
--- a/tests/job_lifecycle/gangs.rs
+++ b/tests/job_lifecycle/gangs.rs
@@ -1,13 +1,13 @@
-//! Gangs that wait for a machine or lose one, and victims that make capacity for a gang.
+//! Gangs that wait for a machine or lose one, and tasks that are preempted for a gang.
 
 use ciborium::Value;
 
 use crate::common::{assert_kept_trace, submission, Sim};
 
-/// Found on a steady day: a victim whose start had not been sent yet kept its placement for
-/// ever, and its machine was never terminated.
+/// Guards against a leak: a preempted task whose start had not been sent yet kept its placement
+/// for ever, and its machine was never terminated.
 #[test]
-fn a_victim_whose_start_never_went_out_is_removed() {
+fn a_preempted_task_whose_start_was_not_sent_is_removed() {
     for step in 0..40 {
         let mut sim = Sim::new();
         sim.cloud.capacity = 1;
@@ -28,14 +28,14 @@
     }
 }
 
-/// Found on a day with more load: an image took longer to pull than `gang_wait_s`, so the
-/// tasks that had theirs gave up, the whole gang was stopped, and the same happened again and
-/// again. Now those tasks are started again on their machines.
+/// Guards against a gang that never starts: one image took longer to pull than `gang_wait_s`, so
+/// the tasks that already had their images timed out, the whole gang was stopped, and the same
+/// happened at each retry. Tasks that time out must be started again on their machines.
 #[test]
 fn a_gang_with_one_slow_image_pull_starts() {
     let mut sim = Sim::started();
     let mut job = submission("run-000001", "group", 2, 8.0, "normal");
-    for (name, value) in job.as_map_mut().expect("a map") {
+    for (name, value) in job.as_map_mut().expect("submission is not a map") {
         if name.as_text() == Some("imageGb") {
             *value = Value::Float(20.0);
         }
@@ -47,15 +47,15 @@
     assert_kept_trace("slow-fetch", &sim.log.trace);
 }
 
-/// Found with late copies of heartbeats: machines rented for a gang do not come up together,
-/// and the first were terminated as idle before the last was up, again and again.
+/// Guards against a provisioning loop: machines rented for a gang do not boot at the same time,
+/// and the first were repeatedly terminated as idle before the last was up.
 #[test]
-fn a_gangs_first_machines_wait_for_its_last() {
+fn machines_are_kept_until_their_gang_is_complete() {
     let mut sim = Sim::new();
     sim.cloud.capacity = 2;
     sim.run(1000);
     sim.submit(0, &submission("run-000001", "group", 3, 6.0, "high"), 5000);
-    // The third machine is available only when the others have been up for long.
+    // The third machine becomes available only when the others have been idle for long.
     sim.run(9000);
     sim.cloud.capacity = 3;
     sim.finish(30_000);
@@ -63,11 +63,11 @@
     sim.assert_sound();
 }
 
-/// Found on a large fleet: 123 machines of 1,150 hung, each gang lost a member or two, and 360
-/// healthy machines of the other members were terminated as idle while the lost tasks were
-/// not yet confirmed gone; then all were rented again.
+/// Guards against needless terminations: in a fleet of 1,150, 123 machines hung and each affected
+/// gang lost a task or two. While the end of the lost tasks was not yet confirmed, 360 healthy
+/// machines of the gangs' other tasks were terminated as idle, and then rented again.
 #[test]
-fn a_gang_keeps_its_machines_while_a_member_is_lost() {
+fn a_gang_that_lost_a_task_keeps_its_other_machines() {
     let mut sim = Sim::started();
     sim.submit(
         0,
--- a/tests/job_lifecycle/machines.rs
+++ b/tests/job_lifecycle/machines.rs
@@ -1,12 +1,12 @@
-//! Machines that are cut off, die, or come back.
+//! Machines that are isolated, fail, or restart.
 
 use crate::common::{assert_kept_trace, submission, Sim};
-use crate::support::two_jobs;
+use crate::support::with_two_jobs;
 
-/// A machine is cut off: its task runs elsewhere only after the cloud has deleted the machine,
-/// and the heartbeats that were held back change nothing.
+/// A machine is isolated: its tasks run elsewhere only after the cloud has deleted the machine,
+/// and its delayed heartbeats have no effect.
 #[test]
-fn a_machine_that_is_cut_off_is_replaced() {
+fn an_isolated_machine_is_replaced() {
     let mut sim = Sim::started();
     sim.submit(
         0,
@@ -25,10 +25,10 @@
     assert_kept_trace("cut-machine", &sim.log.trace);
 }
 
-/// A machine dies without notice: its tasks run elsewhere once the cloud has confirmed its
+/// A machine fails without notice: its tasks run elsewhere once the cloud has confirmed its
 /// deletion.
 #[test]
-fn a_dead_machine_is_replaced() {
+fn a_failed_machine_is_replaced() {
     let mut sim = Sim::started();
     sim.submit(
         0,
@@ -42,9 +42,9 @@
     sim.assert_sound();
 }
 
-/// A machine's heartbeats arrive, but nothing reaches it: neither answers nor commands. By its
-/// heartbeats alone it would look alive for ever. It gets no more work, is deleted, and only
-/// then its tasks run elsewhere.
+/// A machine's heartbeats arrive, but neither answers nor commands reach it, so it would be
+/// considered alive for ever by its heartbeats alone. It must get no more work and be deleted,
+/// and its tasks run elsewhere only then.
 #[test]
 fn a_machine_that_receives_nothing_is_replaced() {
     for (busy, unreachable_from) in [(true, 9000), (false, 7200), (true, 6500)] {
@@ -77,13 +77,13 @@
     }
 }
 
-/// Every heartbeat arrives again, after seconds and after more than a lease, at every
-/// controller, while leaders change and a machine dies: no status is considered newer than it
-/// is, and the dead machine gets no work.
+/// Duplicates of every heartbeat arrive at every controller, after seconds and after more than a
+/// lease, while leaders change and a machine fails: no status may be considered newer than it
+/// is, and the failed machine gets no work.
 #[test]
-fn late_copies_of_heartbeats_change_nothing() {
+fn delayed_duplicates_of_heartbeats_are_ignored() {
     for case in 0..12 {
-        let mut sim = two_jobs();
+        let mut sim = with_two_jobs();
         sim.faults.heartbeat_copies_after_ms = vec![700, 9000, 50_000];
         sim.run(6500 + 400 * case);
         let machine = sim.first_machine();
@@ -99,12 +99,14 @@
         }
         let id = format!("run-00001{case}");
         sim.run(4000);
-        let controller = sim.any_running_controller().expect("a controller");
+        let controller = sim
+            .any_running_controller()
+            .expect("no controller is running");
         let gang = submission(&id, "group", 3, 6.0, "high");
         sim.submit(controller, &gang, 5000);
         sim.finish(120_000);
-        // Copies of heartbeats of machines that were terminated long ago neither cause
-        // machines to be rented nor bring the terminated ones back.
+        // Duplicate heartbeats of machines that were terminated long ago neither cause machines
+        // to be rented nor add the terminated ones to the fleet again.
         sim.run(60_000);
         let left: Vec<&String> = sim.cloud.machines.keys().collect();
         assert!(left.is_empty(), "{case}: {left:?}\n{}", sim.trace_text());
@@ -113,10 +115,10 @@
     }
 }
 
-/// A machine that is back within a moment, with a new incarnation, has lost its tasks but is
-/// healthy: it is kept and gets work again.
+/// A machine whose agent restarts at once, with a new incarnation, has lost its tasks but is
+/// healthy: it must be kept and get work again.
 #[test]
-fn a_machine_back_within_a_moment_is_kept() {
+fn a_machine_whose_agent_restarts_is_kept() {
     let mut sim = Sim::new();
     sim.cloud.capacity = 1;
     sim.run(1000);
--- a/tests/job_lifecycle/main.rs
+++ b/tests/job_lifecycle/main.rs
@@ -1,5 +1,5 @@
-//! Whole lives of jobs on three controllers, with crashes, partitions and outages at every
-//! step. The kept traces in `tests/traces` are meant to be read.
+//! Jobs from submission to completion on three controllers, with crashes, partitions and outages
+//! at every step. The kept traces in `tests/traces` are meant to be read.
 
 mod basics;
 mod cancellation;
--- a/tests/job_lifecycle/partitions.rs
+++ b/tests/job_lifecycle/partitions.rs
@@ -1,5 +1,5 @@
-//! Controllers that are cut off from the store, the agents or each other, zones that are cut
-//! off, and outages of the store.
+//! Controllers that are cut off from the store, the agents or each other, partitioned zones, and
+//! outages of the store.
 
 use ciborium::Value;
 use gaugesill::controller::{Controller, Timestamp};
@@ -9,17 +9,17 @@
 use prost::Message;
 
 use crate::common::{assert_kept_trace, job_reply, settings, submission, Agent, Sim};
-use crate::support::two_jobs;
+use crate::support::with_two_jobs;
 
-/// A cancellation is committed while the leader is cut off from the store: it must not answer
-/// agents for so long that the job's tasks outlive `cancel_s`. What it sent meanwhile arrives
-/// late and must fail.
+/// A cancellation is committed while the leader is cut off from the store. If the leader kept
+/// answering agents, the job's tasks would run for longer than `cancel_s`. Its delayed writes
+/// to the store must fail.
 #[test]
-fn a_leader_cut_from_the_store_is_replaced() {
+fn a_leader_cut_off_from_the_store_is_replaced() {
     for cut_after in [6000, 9000, 12_000] {
-        let mut sim = two_jobs();
+        let mut sim = with_two_jobs();
         sim.run(cut_after);
-        let leader = sim.leader().expect("a leader");
+        let leader = sim.leader().expect("no controller leads");
         sim.faults.cut_from_store.insert(leader);
         sim.run(1000);
         let slot = sim.cancel((leader + 1) % 3, "run-000001");
@@ -35,12 +35,12 @@
     }
 }
 
-/// A leader that no agent can reach resigns in favour of one that they can reach.
+/// A leader that no agent can reach resigns, so that a reachable controller is elected.
 #[test]
-fn a_leader_cut_from_the_agents_resigns() {
-    let mut sim = two_jobs();
+fn a_leader_cut_off_from_the_agents_resigns() {
+    let mut sim = with_two_jobs();
     sim.run(9000);
-    let leader = sim.leader().expect("a leader");
+    let leader = sim.leader().expect("no controller leads");
     sim.faults.cut_from_agents.insert(leader);
     assert!(sim.until(60_000, |sim| sim
         .leader()
@@ -50,8 +50,8 @@
     assert_kept_trace("deposed-leader", &sim.log.trace);
 }
 
-/// In an outage that affects all controllers, agents keep their tasks, users are told at once
-/// when to come back, and no controller becomes unhealthy for the load balancer.
+/// In an outage that affects all controllers, agents keep their tasks, users get a 503 with
+/// Retry-After at once, and all controllers stay healthy for the load balancer.
 #[test]
 fn jobs_survive_an_outage_of_the_store() {
     let mut sim = Sim::started();
@@ -69,7 +69,9 @@
         1000,
     );
     sim.run(500);
-    let answer = sim.users.answers[slot].clone().expect("an answer");
+    let answer = sim.users.answers[slot]
+        .clone()
+        .expect("no answer within 500 ms");
     assert_eq!((answer.status, answer.retry_after), (503, Some(1)));
     sim.run(18_000);
     assert!((0..3).all(|controller| sim.is_healthy(controller)));
@@ -86,12 +88,13 @@
     sim.assert_sound();
 }
 
-/// A controller that the store refuses alone becomes unhealthy and forwards requests.
+/// A controller that the store refuses, while it serves the others, becomes unhealthy and
+/// forwards requests.
 #[test]
-fn a_controller_refused_alone_forwards_requests() {
+fn a_controller_that_only_the_store_refuses_forwards_requests() {
     let mut sim = Sim::new();
     sim.run(3000);
-    let leader = sim.leader().expect("a leader");
+    let leader = sim.leader().expect("no controller leads");
     let refused = (leader + 1) % 3;
     sim.faults.cut_from_store.insert(refused);
     sim.run(5000);
@@ -108,10 +111,11 @@
     assert!(sim.is_healthy(refused));
 }
 
-/// A leader loses the store and the other controllers, but not its agents: it cannot keep
-/// them under its epoch for longer than `cancel_s` allows, and nothing runs twice.
+/// A leader is cut off from the store and the other controllers, but not from its agents: it
+/// must not keep them under its epoch for longer than `cancel_s` allows, and no task may run
+/// twice.
 #[test]
-fn a_leader_with_only_its_agents_stops_tasks_in_time() {
+fn a_leader_that_reaches_only_agents_stops_cancelled_tasks_in_time() {
     for cut_after in [6000, 7500, 9000, 12_000] {
         let mut sim = Sim::started();
         let array = submission("run-000001", "sweep", 3, 4.0, "best_effort");
@@ -122,10 +126,10 @@
             30_000,
         );
         sim.run(cut_after);
-        let leader = sim.leader().expect("a leader");
+        let leader = sim.leader().expect("no controller leads");
         sim.faults.cut_from_store.insert(leader);
         sim.faults.cut_from_peers.insert(leader);
-        sim.note(format!("c{leader} keeps only its workers"));
+        sim.note(format!("c{leader} reaches only its agents"));
         sim.run(4000);
         let slot = sim.cancel((leader + 1) % 3, "run-000001");
         assert!(sim.until(5000, |sim| sim.answer(slot).is_some()));
@@ -147,7 +151,7 @@
 /// A submission of a gang that is restricted to a zone.
 fn gang_in_zone(id: &str, zone: &str) -> Value {
     let mut gang = submission(id, "group", 2, 6.0, "normal");
-    for (name, value) in gang.as_map_mut().expect("a map") {
+    for (name, value) in gang.as_map_mut().expect("submission is not a map") {
         if name.as_text() == Some("hall") {
             *value = zone.into();
         }
@@ -155,15 +159,15 @@
     gang
 }
 
-/// A zone is cut off from everything for less than a lease, and for longer, with the leader in
-/// it, another controller, or none. The rules hold on both sides, also when what was held
-/// back arrives.
+/// A zone with the leader, another controller or none in it is cut off, for less than an agent's
+/// lease and for longer. No rule may be broken on either side, nor when delayed messages arrive
+/// after the partition.
 ///
-/// Found here: new machines whose agents first reported to the controllers behind the cut
-/// were known from a direct call, did not have the epoch yet, and were terminated as idle, one
-/// after the other.
+/// Guards also against this fault: new machines whose agents first reported to a controller
+/// behind the partition were known to the leader only from a direct call, did not have its epoch
+/// yet, and were terminated as idle, one after the other.
 #[test]
-fn a_zone_cut_off_with_a_controller() {
+fn a_zone_is_partitioned_with_and_without_a_controller() {
     for case in 0..18u64 {
         let mut sim = Sim::started();
         sim.submit(0, &gang_in_zone("run-000001", "a"), 15_000);
@@ -174,7 +178,7 @@
             9000,
         );
         sim.run(9000 + 900 * (case / 6));
-        let leader = sim.leader().expect("a leader");
+        let leader = sim.leader().expect("no controller leads");
         sim.cut_zone(
             "b",
             [Some(leader), Some((leader + 1) % 3), None][case as usize % 3],
@@ -200,30 +204,30 @@
     }
 }
 
-/// The addresses at which a controller asks for the status of its peers on a tick.
-fn peers_asked(controller: &mut Controller, at: Timestamp) -> Vec<String> {
+/// The addresses at which a controller requests the status of its peers on a tick.
+fn status_requests_on_tick(controller: &mut Controller, at: Timestamp) -> Vec<String> {
     controller.tick(at);
-    let asked = |action| match action {
+    let address_of = |action| match action {
         Action::Call { address, path, .. } if path == STATUS_PATH => Some(address.to_string()),
         _ => None,
     };
     let actions = controller.take_actions().into_iter();
-    let mut addresses: Vec<String> = actions.filter_map(asked).collect();
+    let mut addresses: Vec<String> = actions.filter_map(address_of).collect();
     addresses.sort();
     addresses
 }
 
-/// With a small share of a processor every call counts: a controller that has just sent its
-/// status is not asked for it, so of two controllers only one asks.
+/// A controller that has just sent its status is not asked for it, so of two controllers only
+/// one sends requests: with a small share of a processor every call counts.
 #[test]
-fn of_two_controllers_one_asks_for_the_status() {
+fn only_one_of_two_controllers_requests_the_status() {
     let settings = settings(0, r#"{"name":"t"}"#);
     let mut controller = Controller::new(settings, OperatorSettings::default(), 1);
     let at = |ms: u64| Timestamp {
         steady: ms,
         wall: 1_000_000 + ms,
     };
-    let first = peers_asked(&mut controller, at(1));
+    let first = status_requests_on_tick(&mut controller, at(1));
     assert_eq!(first, ["10.0.0.2:81", "10.0.0.3:81"]);
     let status = PeerStatus {
         member: "c1".into(),
@@ -241,7 +245,14 @@
         request,
     };
     controller.handle_event(at(1500), event);
-    assert_eq!(peers_asked(&mut controller, at(1700)), ["10.0.0.3:81"]);
-    let later = peers_asked(&mut controller, at(2800));
-    assert_eq!(later.len(), 2, "a status is valid for a limited time");
+    assert_eq!(
+        status_requests_on_tick(&mut controller, at(1700)),
+        ["10.0.0.3:81"]
+    );
+    let later = status_requests_on_tick(&mut controller, at(2800));
+    assert_eq!(
+        later.len(),
+        2,
+        "a status must be requested again when it has expired"
+    );
 }
--- a/tests/job_lifecycle/support.rs
+++ b/tests/job_lifecycle/support.rs
@@ -1,15 +1,15 @@
-//! Jobs that several tests start with.
+//! Simulations with jobs that several tests start with.
 
 use crate::common::{submission, Sim};
 
-/// An array and a gang, submitted to different controllers.
-pub(crate) fn two_jobs() -> Sim {
+/// A simulation in which an array and a gang were submitted to different controllers.
+pub(crate) fn with_two_jobs() -> Sim {
     let mut sim = Sim::started();
     submit_two_jobs(&mut sim, 0, 1);
     sim
 }
 
-/// Submits an array and a gang, each to one controller.
+/// Submits an array to the controller `array_to` and a gang to `gang_to`.
 pub(crate) fn submit_two_jobs(sim: &mut Sim, array_to: usize, gang_to: usize) {
     let array = submission("run-000001", "sweep", 3, 4.0, "best_effort");
     sim.submit(array_to, &array, 6000);
