--- a/tests/job_dependencies/cancellation.rs
+++ b/tests/job_dependencies/cancellation.rs
@@ -1,12 +1,12 @@
-//! The cancellation of a job cancels all that depend on it.
+//! The cancellation of a job cancels all jobs that depend on it.
 
 use crate::common::{ReducedLimits, Sim, Writes};
 use crate::support::{
     array, assert_status_everywhere, start_pipeline, MATCH, REPORT, SCORE, SPLIT,
 };
 
-/// A job of a pipeline is cancelled at each moment: all its dependents are cancelled with it,
-/// at once and everywhere, and no other job; if it is done by then, they go on.
+/// A job of a pipeline is cancelled at each moment: every controller must report all its
+/// dependents, and no other job, as cancelled at once. If the job is already done, they continue.
 #[test]
 fn cancellation_reaches_all_dependents() {
     for case in 0..45u64 {
@@ -18,22 +18,22 @@
             1 => (MATCH[0], &[SCORE, REPORT]),
             _ => (SCORE, &[REPORT]),
         };
-        let told = sim.cancel_until_answered(id);
+        let final_status = sim.cancel_until_answered(id);
         for dependent in dependents {
-            if told == "withdrawn" {
+            if final_status == "withdrawn" {
                 assert_status_everywhere(&mut sim, dependent, "withdrawn");
             }
         }
-        // A job that depends on it and is submitted afterwards is accepted, and cancelled.
+        // A dependent that is submitted after the cancellation is accepted, and cancelled too.
         let late = sim.submit((case % 3) as usize, &array("run-000007", 1, &[id]), 500);
         assert!(sim.until(3000, |sim| sim.answer(late).is_some()));
         assert_eq!(sim.answer(late).map(|reply| reply.code), Some(201));
-        if told == "withdrawn" {
+        if final_status == "withdrawn" {
             assert_status_everywhere(&mut sim, "run-000007", "withdrawn");
         }
         sim.finish(120_000);
         for dependent in dependents.iter().chain([&"run-000007"]) {
-            assert_status_everywhere(&mut sim, dependent, &told);
+            assert_status_everywhere(&mut sim, dependent, &final_status);
         }
         sim.assert_sound();
         sim.assert_known();
@@ -41,36 +41,36 @@
 }
 
 /// A cancellation coincides with the exit of the last task of a dependency, and with the
-/// submission of a job that depends on it, in steps of milliseconds: every controller reports
-/// the same outcome.
+/// submission of a job that depends on it, in steps of 2 ms: every controller must report the
+/// same outcome.
 #[test]
 fn a_cancellation_coincides_with_an_exit_and_a_submission() {
-    let begin = |sim: &mut Sim| {
+    let submit_jobs = |sim: &mut Sim| {
         sim.run(1000);
         sim.submit(0, &array(SPLIT, 2, &[]), 3000);
         sim.submit(1, &array(MATCH[0], 1, &[SPLIT]), 1000);
     };
     let mut sim = Sim::new();
-    begin(&mut sim);
+    submit_jobs(&mut sim);
     assert!(sim.until(60_000, |sim| sim.jobs[SPLIT].done.len() == 2));
     let end = sim.now;
     let mut cancelled = 0;
     for case in 0..48u64 {
         let mut sim = Sim::new();
-        begin(&mut sim);
+        submit_jobs(&mut sim);
         sim.run(end - 40 + 2 * case - sim.now);
         let slot = sim.cancel(case as usize % 3, SPLIT);
         sim.run(case % 5);
         let late = sim.submit((case as usize + 1) % 3, &array(SCORE, 1, &[SPLIT]), 500);
         assert!(sim.until(9000, |sim| sim.answer(slot).is_some()
             && sim.answer(late).is_some()));
-        let reply = sim.answer(slot).expect("an answer");
+        let reply = sim.answer(slot).expect("no answer to the cancellation");
         assert_eq!(reply.code, 200);
-        let told = reply.status;
-        cancelled += usize::from(told == "withdrawn");
+        let final_status = reply.status;
+        cancelled += usize::from(final_status == "withdrawn");
         sim.finish(60_000);
         for id in [SPLIT, MATCH[0], SCORE] {
-            assert_status_everywhere(&mut sim, id, &told);
+            assert_status_everywhere(&mut sim, id, &final_status);
         }
         sim.assert_sound();
     }
@@ -80,11 +80,11 @@
     );
 }
 
-/// While a cancellation spreads over a chain and a fan, the leader crashes, all controllers do,
-/// the store has an outage, or writes are late; a controller that has just started reports
-/// the same.
+/// While a cancellation propagates along a chain and to many direct dependents, the leader or all
+/// controllers crash, the store has an outage, or writes are late: every controller, also one that
+/// has just started, must report the dependents as cancelled.
 #[test]
-fn a_cancellation_spreads_across_crashes() {
+fn a_cancellation_propagates_despite_faults() {
     for case in 0..10u64 {
         let mut sim = Sim::new();
         sim.deployment.announced_limits =
@@ -95,7 +95,7 @@
         sim.run(100);
         for number in 0..24u32 {
             let id = format!("run-{:06}", 101 + number);
-            // A chain of twelve, and a fan of twelve.
+            // A chain of twelve jobs, and twelve direct dependents.
             let dependency = format!("run-{:06}", if number < 12 { 100 + number } else { 100 });
             sim.submit((number % 3) as usize, &array(&id, 1, &[&dependency]), 500);
             sim.run(60);
@@ -103,7 +103,7 @@
         sim.run(400);
         assert_eq!(sim.cancel_until_answered("run-000100"), "withdrawn");
         sim.run(35 * case);
-        // Half the time the limits fall while the cancellation spreads.
+        // In half of the cases the limits are reduced while the cancellation propagates.
         let low = ReducedLimits {
             value_bytes: 2048,
             transaction_writes: 4,
@@ -112,7 +112,7 @@
         sim.store.reduced_limits = (case % 2 == 1).then_some(low);
         match case % 4 {
             0 => {
-                let leader = sim.leader().expect("a leader");
+                let leader = sim.leader().expect("no controller leads");
                 sim.crash(leader, 400);
             }
             1 => sim.crash_all(|controller| 300 + 200 * controller),
--- a/tests/job_dependencies/graph.rs
+++ b/tests/job_dependencies/graph.rs
@@ -1,4 +1,4 @@
-//! The graph of dependencies, and the part of it in the watch cache.
+//! The dependency graph, and the events that the watch cache derives from it.
 
 use ciborium::Value;
 use gaugesill::dependencies::{DependencyEvent, DependencyGraph, DependencyState};
@@ -8,10 +8,10 @@
 
 use crate::support::spec;
 
-/// Chains of thousands and fans of thousands: no recursion, and a change costs in proportion
-/// to the dependents.
+/// Chains and fan-outs of 20,000 jobs: a recursive traversal would overflow the stack, and the
+/// cost of a change must be proportional to the number of dependents.
 #[test]
-fn deep_chains_and_wide_fans() {
+fn deep_chains_and_wide_fan_outs() {
     let name = |index: usize| format!("run-{index:06}");
     let mut graph = DependencyGraph::default();
     let mut events = Vec::new();
@@ -21,8 +21,8 @@
         let previous = index.checked_sub(1).map(name);
         let dependencies: Vec<String> = previous.into_iter().collect();
         graph.add(&name(index), &dependencies, live, &mut events);
-        let in_fan = format!("run-9{index:06}");
-        graph.add(&in_fan, &[name(0)], live, &mut events);
+        let in_fan_out = format!("run-9{index:06}");
+        graph.add(&in_fan_out, &[name(0)], live, &mut events);
     }
     assert!(events.is_empty());
     assert!(!graph.has_unresolved(&name(length - 1)));
@@ -38,8 +38,8 @@
     assert_eq!(events, [DependencyEvent::Cancelled("run-7".into())]);
 }
 
-/// An unknown dependency of a live job is looked up; until then there are no events of its
-/// dependents, and they wait.
+/// A dependency whose state is unknown is listed for look-up. Until its state is known, its
+/// dependents wait and cause no events.
 #[test]
 fn unknown_final_states_are_looked_up() {
     let mut graph = DependencyGraph::default();
@@ -62,7 +62,7 @@
     assert!(
         !graph.has_unresolved("run-3") && graph.is_waiting("run-3") && !graph.is_waiting("run-2")
     );
-    // A dependent that becomes known before its dependency, as in a read in the order of keys.
+    // A dependent becomes known before its dependency, as when keys are read in order.
     events.clear();
     graph.add(
         "run-5",
@@ -79,8 +79,8 @@
     assert!(!graph.is_cancelled("run-5"));
 }
 
-/// Final states are kept: a cancellation that becomes known late still causes the events of
-/// all dependents.
+/// A cancelled final state that becomes known after the dependents still causes the events of
+/// all of them.
 #[test]
 fn the_watch_cache_reports_cancelled_dependents() {
     let mut cache = WatchCache::default();
--- a/tests/job_dependencies/main.rs
+++ b/tests/job_dependencies/main.rs
@@ -1,6 +1,6 @@
 //! Jobs that depend on others: pipelines, their cancellation, and faults while they run. The
 //! simulation records a violation when a task starts before all dependencies of its job are
-//! done, or when a job whose dependency was cancelled is still called pending.
+//! done, or when a job whose dependency was cancelled is still reported as pending.
 
 mod cancellation;
 #[path = "../common/mod.rs"]
--- a/tests/job_dependencies/pipelines.rs
+++ b/tests/job_dependencies/pipelines.rs
@@ -1,26 +1,26 @@
-//! A pipeline as a whole.
+//! A pipeline of jobs from submission to completion.
 
 use crate::common::{assert_kept_trace, Sim};
 use crate::support::{
-    array, assert_status_everywhere, gang, start_pipeline, ALL, REPORT, SCORE, SPLIT,
+    array, assert_status_everywhere, gang, start_pipeline, ALL_STAGES, REPORT, SCORE, SPLIT,
 };
 
 #[test]
-fn a_pipeline_runs_in_its_order() {
+fn a_pipeline_runs_in_the_order_of_its_dependencies() {
     let mut sim = Sim::new();
     start_pipeline(&mut sim);
     sim.run(300);
     assert_status_everywhere(&mut sim, REPORT, "pending");
     sim.finish(90_000);
-    for id in ALL {
+    for id in ALL_STAGES {
         assert_status_everywhere(&mut sim, id, "done");
     }
     sim.assert_sound();
     assert_kept_trace("pipeline", &sim.log.trace);
 }
 
-/// The leader crashes at each moment of a pipeline's life, and at some the others with it; the
-/// successor looks finished jobs up.
+/// The leader, or all controllers, crash at each moment of a pipeline's run. The successor looks
+/// up the final states of finished dependencies, which are not among the live jobs that it reads.
 #[test]
 fn the_leader_crashes_at_every_step_of_a_pipeline() {
     for step in 0..40u64 {
@@ -36,9 +36,10 @@
     }
 }
 
-/// A job that waits for its dependencies uses none of its team's quota: others run meanwhile.
+/// A job that waits for its dependencies uses none of its team's quota, so other jobs of the team
+/// run meanwhile.
 #[test]
-fn a_waiting_job_holds_no_quota() {
+fn a_waiting_job_uses_no_quota() {
     let mut sim = Sim::with_team(r#"{"name":"t","cpus_max":8.0}"#, 8.0);
     sim.run(1000);
     sim.submit(0, &array(SPLIT, 1, &[]), 30_000);
--- a/tests/job_dependencies/scheduling.rs
+++ b/tests/job_dependencies/scheduling.rs
@@ -1,4 +1,4 @@
-//! How dependents order the jobs that they depend on.
+//! How dependents raise the priority of the jobs that they depend on.
 
 use std::sync::Arc;
 
@@ -13,7 +13,7 @@
 
 use crate::support::spec;
 
-/// The scheduler of a leader without machines and jobs.
+/// The scheduler of a leader that knows no machines and no jobs.
 fn new_scheduler() -> Scheduler {
     let text = r#"{"teams":[{"name":"t"}],"workers":{"report_s":3.0,"lease_s":36.0,
         "gang_wait_s":35.0,"gang_peer_s":4.0,"cancel_s":60.0},
@@ -45,11 +45,11 @@
     scheduler.apply_record(id, &live, 1000);
 }
 
-/// The priority and the deadline of a chain's last job, less the work still between, order all
-/// jobs before it, in whatever order the jobs become known, and at once when the last is
-/// submitted late. Their records keep what their users asked for.
+/// All jobs that the last job of a chain depends on inherit its priority, and its deadline less
+/// the expected run times in between. This holds in whatever order the jobs become known, and at
+/// once when the last is submitted late. Their records keep the priorities that users requested.
 #[test]
-fn the_critical_path_orders_dependencies() {
+fn dependencies_inherit_priority_and_deadline() {
     let low =
         |dependencies: &[&str], expected_s| spec(dependencies, Priority::Low, expected_s, None);
     let chain = [
@@ -85,7 +85,8 @@
         assert_eq!(start_by("run-2"), Some(1272.0 - 25.0));
         assert_eq!(start_by("run-3"), Some(1272.0 - 90.0));
     }
-    // A leader that rewrites such a record writes the job's own priority.
+    // A leader still writes a job with an inherited priority, here to cancel it; the test below
+    // checks that it writes the job's own priority.
     let mut scheduler = new_scheduler();
     for (id, spec) in &chain {
         apply_job(&mut scheduler, id, spec.clone());
@@ -100,9 +101,9 @@
     assert!(rewritten.is_some());
 }
 
-/// A job that has started keeps its own priority on record, raised or not.
+/// The record of a running job with an inherited priority is written with the job's own priority.
 #[test]
-fn a_raised_dependency_keeps_its_own_priority_on_record() {
+fn an_inherited_priority_is_not_written_to_the_record() {
     let mut scheduler = new_scheduler();
     let mut record = JobRecord::new(spec(&[], Priority::Low, 15.0, None), 1_000_000);
     record.runs = vec![TaskRun::single(0, 1, "m-0")];
@@ -144,7 +145,8 @@
         Effect::Write { writes, .. } => writes[0].value.clone(),
         _ => None,
     });
-    let record = JobRecord::from_value(&written.expect("a change")).expect("a record");
+    let record = JobRecord::from_value(&written.expect("the scheduler wrote no value"))
+        .expect("the written value is not a job record");
     assert_eq!(record.spec.priority, Priority::Low);
     assert!(record.done.contains(0));
 }
--- a/tests/job_dependencies/submission.rs
+++ b/tests/job_dependencies/submission.rs
@@ -1,4 +1,4 @@
-//! Which dependencies a submission may name.
+//! Which jobs a submission may name as dependencies.
 
 use ciborium::Value;
 use gaugesill::wire;
@@ -6,14 +6,14 @@
 use crate::common::{job_reply, submission, JobReply, Sim};
 use crate::support::{array, with_dependency_field, MATCH, REPORT, SPLIT};
 
-/// A job that no user has submitted.
+/// Id of a job that no user has submitted.
 const UNKNOWN: &str = "run-000077";
 
-/// Submits a job and waits for the answer.
+/// Submits a job and returns the answer.
 fn submit_and_wait(sim: &mut Sim, controller: usize, job: &Value) -> JobReply {
     let slot = sim.ask(controller, "POST", "/work", wire::encode(job));
     assert!(sim.until(5000, |sim| sim.answer(slot).is_some()));
-    sim.answer(slot).expect("an answer")
+    sim.answer(slot).expect("no answer to the submission")
 }
 
 #[test]
@@ -53,11 +53,12 @@
     sim.assert_sound();
 }
 
-/// Only accepted jobs may be named: by any controller a moment ago, or long ago and finished.
+/// A dependency must be an accepted job: one that any controller has just accepted, or one that
+/// finished long ago.
 #[test]
-fn only_accepted_jobs_may_be_named() {
+fn only_accepted_jobs_may_be_dependencies() {
     let mut sim = Sim::started();
-    // A job that was never accepted; the job itself.
+    // Refused: a dependency that was never accepted, and a dependency on the job itself.
     for controller in 0..3 {
         let on_unknown = array("run-000009", 1, &[UNKNOWN]);
         let reply = submit_and_wait(&mut sim, controller, &on_unknown);
@@ -66,7 +67,7 @@
         let reply = submit_and_wait(&mut sim, controller, &on_itself);
         assert_eq!(reply.code, 422);
     }
-    // Another controller has accepted it a millisecond ago.
+    // Accepted: a dependency that another controller accepted a millisecond ago.
     let first = sim.submit(1, &array(SPLIT, 1, &[]), 2000);
     assert!(sim.until(1000, |sim| sim.answer(first).is_some()));
     let second = sim.submit(2, &array(MATCH[0], 1, &[SPLIT, SPLIT]), 2000);
@@ -79,20 +80,22 @@
         "a dependency that is named twice counts once"
     );
     sim.finish(60_000);
-    // A job that finished long ago, and a controller that has just started: it looks the job
-    // up, without having read all finished jobs.
+    // Accepted: a dependency that finished long ago. A controller that has just started has not
+    // read all finished jobs and looks this one up.
     sim.crash_all(|_| 100);
     assert!(sim.until(9000, |sim| sim.leader().is_some()));
     sim.run(3000);
     let late = sim.submit(2, &array(REPORT, 1, &[MATCH[0]]), 1000);
     assert!(sim.until(3000, |sim| sim.answer(late).is_some()));
     assert_eq!(sim.answer(late), Some(job_reply(201, "pending")));
-    // A repeated submission gets the present state, whatever its dependencies are.
+    // A repeated submission is answered with the job's current state, whatever its dependencies
+    // are.
     let repeated = array(MATCH[0], 1, &[UNKNOWN]);
     let reply = submit_and_wait(&mut sim, 1, &repeated);
     assert_eq!(reply, job_reply(200, "done"));
     sim.finish(60_000);
-    // A submission whose dependency cannot be looked up is neither accepted nor refused.
+    // A submission whose dependency cannot be looked up is answered with 503: neither accepted nor
+    // refused for good.
     sim.faults.store_outage = true;
     sim.run(4000);
     let job = array("run-000009", 1, &[UNKNOWN]);
@@ -103,7 +106,7 @@
     sim.assert_sound();
 }
 
-/// More dependencies than a record can hold are refused with a reason.
+/// A submission with more dependencies than its record can hold is refused, with the reason.
 #[test]
 fn too_many_dependencies_are_refused() {
     let mut sim = Sim::new();
@@ -115,7 +118,9 @@
     let names: Vec<&str> = names.iter().map(String::as_str).collect();
     let slot = sim.ask(0, "POST", "/work", wire::encode(&array(SPLIT, 1, &names)));
     sim.run(300);
-    let answer = sim.users.answers[slot].clone().expect("an answer");
+    let answer = sim.users.answers[slot]
+        .clone()
+        .expect("no answer within 300 ms");
     assert_eq!(answer.status, 400);
     assert!(wire::readable(&answer.body).contains("too long to be kept"));
 }
--- a/tests/job_dependencies/support.rs
+++ b/tests/job_dependencies/support.rs
@@ -1,4 +1,5 @@
-//! Submissions with dependencies, a pipeline, and polls of all controllers.
+//! Submissions with dependencies, a pipeline of jobs, and checks of a job's status on all
+//! controllers.
 
 use ciborium::Value;
 use gaugesill::job::{JobSpec, Priority};
@@ -6,9 +7,9 @@
 
 use crate::common::{job_reply, submission, JobReply, Sim};
 
-/// A submission whose dependencies are any value.
+/// Adds a field of dependencies to a submission; the value may be malformed.
 pub(crate) fn with_dependency_field(mut submission: Value, dependencies: Value) -> Value {
-    let fields = submission.as_map_mut().expect("a map");
+    let fields = submission.as_map_mut().expect("submission is not a map");
     fields.push((Value::Text("waitsOn".into()), dependencies));
     submission
 }
@@ -32,19 +33,22 @@
     depending_on(submission(id, "group", tasks, 2.0, "normal"), dependencies)
 }
 
-/// The stages of the pipeline.
+/// First stage of the pipeline: an array.
 pub(crate) const SPLIT: &str = "run-000001";
 
+/// Two arrays that depend on [`SPLIT`].
 pub(crate) const MATCH: [&str; 2] = ["run-000002", "run-000003"];
 
+/// A gang that depends on both jobs of [`MATCH`].
 pub(crate) const SCORE: &str = "run-000004";
 
+/// Last stage: an array that depends on [`SPLIT`] and [`SCORE`].
 pub(crate) const REPORT: &str = "run-000005";
 
-/// All stages.
-pub(crate) const ALL: [&str; 5] = [SPLIT, MATCH[0], MATCH[1], SCORE, REPORT];
+/// Ids of all jobs of the pipeline.
+pub(crate) const ALL_STAGES: [&str; 5] = [SPLIT, MATCH[0], MATCH[1], SCORE, REPORT];
 
-/// Submits a pipeline as the operators describe it, at one controller after the other.
+/// Submits the pipeline that the operators describe, each job to the next controller in turn.
 fn submit_pipeline(sim: &mut Sim) {
     let stages = [
         (array(SPLIT, 3, &[]), 3000),
@@ -60,7 +64,7 @@
     }
 }
 
-/// Submits the pipeline as soon as there is a leader.
+/// Waits for the first leader and submits the pipeline.
 pub(crate) fn start_pipeline(sim: &mut Sim) {
     sim.run(1000);
     submit_pipeline(sim);
--- a/tests/version_upgrade/main.rs
+++ b/tests/version_upgrade/main.rs
@@ -1,5 +1,5 @@
-//! Two versions side by side, and limits of the store that are reduced. The fixtures were
-//! written by the version in production (`tests/fixtures/make.rs`).
+//! Two versions that run at the same time, and limits of the store that are announced and later
+//! reduced. The fixtures were written by the version in production (`tests/fixtures/make.rs`).
 
 #[path = "../common/mod.rs"]
 mod common;
--- a/tests/version_upgrade/packed_records.rs
+++ b/tests/version_upgrade/packed_records.rs
@@ -7,7 +7,7 @@
 
 use crate::support::fixture_record;
 
-/// Tasks of a record: some done, some placed on up to `machines` machines, some neither.
+/// Random tasks of a record: done, placed on one of up to `machines` machines, or neither.
 fn random_tasks(rng: &mut StdRng, tasks: u32, machines: u32) -> (TaskSet, Vec<TaskRun>) {
     let mut done = TaskSet::default();
     let mut runs: Vec<TaskRun> = Vec::new();
@@ -25,7 +25,7 @@
     (done, runs)
 }
 
-/// Adds a run of one task, as part of the last run if it continues that.
+/// Adds a run of one task, or extends the last run if the task continues it.
 fn add_run(runs: &mut Vec<TaskRun>, run: TaskRun) {
     match runs.last_mut() {
         Some(last)
@@ -39,14 +39,14 @@
     }
 }
 
-/// Whichever tasks are done and wherever the others are: unpacking gives what was packed.
+/// Unpacking returns what was packed, whichever tasks are done and wherever the others run.
 #[test]
-fn packed_records_are_read_as_they_were_written() {
+fn unpacking_returns_what_was_packed() {
     let mut rng = StdRng::seed_from_u64(5);
     for round in 0..400 {
         let tasks = rng.random_range(1..300u32);
         let (done, runs) = random_tasks(&mut rng, tasks, 1 + round % 40);
-        let text = packed_record::pack(tasks, &done, &runs).expect("names that can be packed");
+        let text = packed_record::pack(tasks, &done, &runs).expect("the names can be packed");
         let unpacked = packed_record::unpack(tasks, &text).ok();
         assert_eq!(unpacked, Some((done, runs)), "{text}");
     }
@@ -73,17 +73,17 @@
         packed_record::pack(2, &TaskSet::default(), &with_space),
         None
     );
-    let both = TaskSet(vec![(0, 0)]);
+    let done = TaskSet(vec![(0, 0)]);
     let runs = [TaskRun::single(0, 1, "m-1")];
     assert_eq!(
-        packed_record::pack(2, &both, &runs),
+        packed_record::pack(2, &done, &runs),
         None,
         "a task cannot be done and placed"
     );
 }
 
-/// How much fits into 2 KB: a gang of 32 on machines of its own, and an array of 240 tasks
-/// with a machine for each, in whatever order they exit.
+/// What must fit into 2 KB: a gang of 32 tasks and an array of 240 tasks, with a machine for each
+/// task, also while the array's tasks exit.
 #[test]
 fn gangs_and_arrays_fit_into_two_kilobytes() {
     let mut record: JobRecord = fixture_record("record array");
--- a/tests/version_upgrade/production_format.rs
+++ b/tests/version_upgrade/production_format.rs
@@ -1,4 +1,4 @@
-//! What the version in production stores and sends is read and written unchanged.
+//! Records and messages of the version in production are read, and written byte for byte.
 
 use ciborium::Value;
 use gaugesill::epoch::Epoch;
@@ -12,18 +12,22 @@
 use crate::common::PreviousRecord;
 use crate::support::{fixture, Fixture};
 
-/// What the version in production stored can be read, and what is written before the format is
-/// raised has the same bytes.
+/// Records that the version in production stored can be read, and those that are written before
+/// the format is raised have the same bytes.
 #[test]
 fn records_of_production_are_read_and_written() {
     for name in ["fresh", "array", "gang", "cancelled"] {
         let Fixture { readable, bytes } = fixture(&format!("record {name}"));
-        let value: Value = wire::decode(&bytes).expect("a value");
-        let record = JobRecord::from_value(&value).expect("a record");
-        assert_eq!(serde_json::to_string(&record).expect("text"), readable);
+        let value: Value = wire::decode(&bytes).expect("fixture is not CBOR");
+        let record = JobRecord::from_value(&value).expect("fixture is not a job record");
+        assert_eq!(
+            serde_json::to_string(&record).expect("record cannot be serialized as JSON"),
+            readable
+        );
         assert_eq!(wire::encode(&record.to_value(0)), bytes, "{name}");
         assert!(record.spec.dependencies.is_empty());
-        // The packed form is equivalent, and that version cannot mistake it for an empty record.
+        // The packed form is equivalent, and the version in production fails to read it rather
+        // than read an empty record.
         let packed = record.to_value(1);
         assert_eq!(JobRecord::from_value(&packed).ok().as_ref(), Some(&record));
         assert!(packed.deserialized::<PreviousRecord>().is_err());
@@ -34,11 +38,11 @@
     ] {
         let Fixture { bytes, .. } = fixture(&format!("final {name}"));
         assert_eq!(wire::encode(&state.to_value()), bytes);
-        let value: Value = wire::decode(&bytes).expect("a value");
+        let value: Value = wire::decode(&bytes).expect("fixture is not CBOR");
         assert_eq!(FinalState::from_value(&value), Some(state));
     }
     let Fixture { bytes, .. } = fixture("leader");
-    let key: LeaderKey = wire::decode(&bytes).expect("a key");
+    let key: LeaderKey = wire::decode(&bytes).expect("fixture is not a leader key");
     assert_eq!(
         (key.member.as_str(), key.epoch),
         ("worker-1", Epoch::new(7))
@@ -46,11 +50,12 @@
     assert_eq!(wire::encode(&key), bytes);
 }
 
-/// The fixtures' readable form has the names that the fields had in that version.
+/// Messages of the version in production are decoded and encoded unchanged. The readable form in
+/// the fixtures has the field names of that version.
 #[test]
 fn messages_of_production_are_read_and_written() {
     let Fixture { readable, bytes } = fixture("status");
-    let status = PeerStatus::decode(bytes.as_slice()).expect("a status");
+    let status = PeerStatus::decode(bytes.as_slice()).expect("fixture is not a peer status");
     let in_old_names = format!(
         "Status {{ member: {:?}, served: {}, leads: {}, turned_away: {}, age_ms: {}, withdrawn: {:?} }}",
         status.member,
@@ -61,11 +66,12 @@
         status.acknowledged_cancellations
     );
     assert_eq!(in_old_names, readable);
-    // The field that was added since has its default value, which is not written.
+    // The field that was added later has its default value, which is not encoded.
     assert_eq!(status.known_format, 0);
     assert_eq!(status.encode_to_vec(), bytes);
     let Fixture { readable, bytes } = fixture("hand");
-    let request = ForwardedRequest::decode(bytes.as_slice()).expect("a request");
+    let request =
+        ForwardedRequest::decode(bytes.as_slice()).expect("fixture is not a forwarded request");
     let in_old_names = format!(
         "Hand {{ method: {:?}, path: {:?}, body: {:?} }}",
         request.method, request.path, request.body
@@ -73,7 +79,7 @@
     assert_eq!(in_old_names, readable);
     assert_eq!(request.encode_to_vec(), bytes);
     let Fixture { readable, bytes } = fixture("handed");
-    let reply = ForwardedReply::decode(bytes.as_slice()).expect("an answer");
+    let reply = ForwardedReply::decode(bytes.as_slice()).expect("fixture is not a forwarded reply");
     let in_old_names = format!(
         "Handed {{ status: {}, retry_after: {:?}, body: {:?} }}",
         reply.status, reply.retry_after, reply.body
@@ -82,10 +88,10 @@
     assert_eq!(reply.encode_to_vec(), bytes);
 }
 
-/// Keys about versions are where the previous version ignores them: it reads `g/j/`, `g/f/`,
-/// `g/l/leader` and `g/l/epoch`, and nothing else below `g/`.
+/// The keys of versions and formats are stored where the previous version ignores them: below
+/// `g/` it reads only `g/j/`, `g/f/`, `g/l/leader` and `g/l/epoch`.
 #[test]
-fn version_keys_change_nothing_else() {
+fn version_keys_do_not_affect_jobs_and_leaders() {
     let mut cache = WatchCache::default();
     cache.revision = 1;
     let set = |key: &str, number: u64, version| KeyChange {
--- a/tests/version_upgrade/record_limit.rs
+++ b/tests/version_upgrade/record_limit.rs
@@ -1,4 +1,4 @@
-//! The scheduler places no more of an array than its record may hold.
+//! The scheduler places no more tasks of an array than the job's record may hold.
 
 use std::sync::Arc;
 
@@ -13,28 +13,28 @@
 use gaugesill::wire::{AgentStatus, ExitReason, MachineType, TaskState, TaskStatus};
 use gaugesill::write_queue::CommitResult;
 
-use crate::support::{fixture_record, ANNOUNCED};
+use crate::support::{fixture_record, ANNOUNCED_LIMITS};
 
-/// A plan places more tasks of an array than its record may hold: as many are placed as fit, and
-/// the written records keep to the limit, also while the tasks exit one by one; and what was
-/// placed before the limits were reduced still fits afterwards.
+/// A plan places more tasks of an array than its record may hold. Only as many as fit are placed,
+/// and the written records stay within the limit while the tasks exit one by one. Placements made
+/// before the limits were reduced still fit afterwards.
 #[test]
-fn as_many_places_as_the_record_holds() {
+fn only_as_many_tasks_are_placed_as_the_record_holds() {
     for placed_in_format in [0, 1] {
         place_a_large_array(placed_in_format);
     }
 }
 
-/// Tasks of the array.
-const TASKS: u32 = 900;
-/// Longest value of a record under the announced limits, in bytes.
+/// Number of tasks of the array.
+const TASK_COUNT: u32 = 900;
+/// Largest record that the announced limits allow.
 const RECORD_BYTES_MAX: usize = 2048;
 
 fn cluster_settings() -> ClusterSettings {
     let text = format!(
         r#"{{"teams":[{{"name":"line-vision"}}],"workers":{{"report_s":3.0,"lease_s":36.0,
         "gang_wait_s":35.0,"gang_peer_s":4.0,"cancel_s":60.0}},
-        "state":{{"rps":9.0,"write_rps":9.0,"value_kb":16.0,"txn_ops":20{ANNOUNCED}}},
+        "state":{{"rps":9.0,"write_rps":9.0,"value_kb":16.0,"txn_ops":20{ANNOUNCED_LIMITS}}},
         "cloud":{{"rps":9.0,"list_lag_s":1.0}},
         "limits":{{"cpu_share":0.1,"ram_mb":200.0,"fd_limit":1000}}}}"#
     );
@@ -56,7 +56,7 @@
     }
 }
 
-/// The scheduler of a leader that writes records of a format.
+/// The scheduler of a leader that writes records in the given format.
 fn new_scheduler(cluster: &ClusterSettings, format: u64) -> Scheduler {
     let term = Term {
         member: "c0".into(),
@@ -80,7 +80,8 @@
     scheduler
 }
 
-/// The machine of a task; the order of the names is not that of the tasks.
+/// The machine of a task. The names are not in the order of the tasks, so few can be packed
+/// together.
 fn machine_of(task: u32) -> String {
     format!("m-{:06}", (task * 37) % 1700)
 }
@@ -112,14 +113,14 @@
 
 fn add_array(scheduler: &mut Scheduler) {
     let mut record = fixture_record("record fresh");
-    record.spec.tasks = TASKS;
+    record.spec.tasks = TASK_COUNT;
     let record = Arc::new(record);
     scheduler.apply_record("run-1", &LiveJob { record, version: 1 }, 1000);
 }
 
-/// A plan that places each task on a machine of its own.
-fn plan_all() -> Decision {
-    let tasks = (0..TASKS).map(|task| TaskBinding {
+/// A decision that places each task on a machine of its own.
+fn decide_to_place_all() -> Decision {
+    let tasks = (0..TASK_COUNT).map(|task| TaskBinding {
         task,
         machine: machine_of(task).as_str().into(),
     });
@@ -133,8 +134,8 @@
     }
 }
 
-/// Commits the records that the scheduler writes, and fails if one is too long; how many
-/// there were.
+/// Commits the records that the scheduler writes and returns their number. Fails if one exceeds
+/// [`RECORD_BYTES_MAX`].
 fn commit_records(scheduler: &mut Scheduler, now: u64) -> usize {
     let mut records = 0;
     for effect in scheduler.take_effects() {
@@ -156,17 +157,17 @@
     let cluster = cluster_settings();
     let mut scheduler = new_scheduler(&cluster, format);
     add_array(&mut scheduler);
-    for task in 0..TASKS {
+    for task in 0..TASK_COUNT {
         scheduler.on_agent_status(&status(task, 1, vec![]), StatusOrigin::Heartbeat, 1500);
     }
-    scheduler.apply_decision(plan_all(), 0, 2000, 1_002_000);
+    scheduler.apply_decision(decide_to_place_all(), 0, 2000, 1_002_000);
     let placed = scheduler.jobs["run-1"].placements.len() as u32;
     assert!((200..400).contains(&placed), "{placed} tasks are placed");
     scheduler.set_format(1, &cluster.state.lowered());
     let mut now = 2000;
     let mut records = 0;
-    let odd_and_even = (0..placed).rev().step_by(2).chain((0..placed).step_by(2));
-    for task in odd_and_even {
+    let exit_order = (0..placed).rev().step_by(2).chain((0..placed).step_by(2));
+    for task in exit_order {
         let exited = status(task, 2, vec![done(task)]);
         scheduler.on_agent_status(&exited, StatusOrigin::Heartbeat, now);
         now += 1100;
--- a/tests/version_upgrade/reduced_limits.rs
+++ b/tests/version_upgrade/reduced_limits.rs
@@ -1,4 +1,4 @@
-//! Limits of the store that are announced and later reduced.
+//! Limits of the store that are announced in the settings and later enforced.
 
 use ciborium::Value;
 use gaugesill::job::json_length;
@@ -6,9 +6,9 @@
 use gaugesill::wire;
 
 use crate::common::{submission, ReducedLimits, Sim};
-use crate::support::{format_of, submit_two_jobs, with_limits, ANNOUNCED, LOW};
+use crate::support::{format_of, submit_two_jobs, with_limits, ANNOUNCED_LIMITS, REDUCED_LIMITS};
 
-/// A limit of two writes in a transaction is enough, also through changes of leader.
+/// Jobs finish under a limit of two writes per transaction, also while the leader changes.
 #[test]
 fn two_writes_in_a_transaction_are_enough() {
     let mut sim = with_limits(r#","next":{"value_kb":2.0,"txn_ops":2,"write_rps":15.0}"#);
@@ -17,10 +17,10 @@
     assert!(sim.until(20_000, |sim| format_of(sim) == Some(1)));
     sim.store.reduced_limits = Some(ReducedLimits {
         transaction_writes: 2,
-        ..LOW
+        ..REDUCED_LIMITS
     });
     for _ in 0..3 {
-        let leader = sim.leader().expect("a leader");
+        let leader = sim.leader().expect("no controller leads");
         sim.crash(leader, 9000);
         assert!(sim.until(20_000, |sim| sim
             .leader()
@@ -30,11 +30,14 @@
     assert_eq!(sim.store.refused_by_size, 0);
 }
 
-/// The limits are reduced at each step of jobs' lives, during an election, with large records
-/// stored, and while jobs are cancelled: no transaction is refused for its size, and no job is
-/// lost or stuck.
+/// The limits are reduced at each step of jobs' runs, during an election, with large records
+/// stored, and while jobs are cancelled: no transaction may be refused for its size, and no job
+/// may be lost or stuck.
 #[test]
-#[expect(clippy::too_many_lines, reason = "one scenario, told step by step")]
+#[expect(
+    clippy::too_many_lines,
+    reason = "one scenario whose steps share state"
+)]
 fn limits_are_reduced_at_every_step() {
     let mut largest = 0;
     for case in 0..24u64 {
@@ -64,15 +67,15 @@
             assert!(sim.until(25_000, |sim| format_of(sim) == Some(1)));
         }
         if case % 3 == 1 {
-            let leader = sim.leader().expect("a leader");
+            let leader = sim.leader().expect("no controller leads");
             sim.crash(leader, 300);
             sim.run(60 * case);
         }
         sim.store.reduced_limits = Some(ReducedLimits {
             value_bytes: 1024,
-            ..LOW
+            ..REDUCED_LIMITS
         });
-        sim.note("the limits fall".into());
+        sim.note("the limits are reduced".into());
         if case % 4 == 2 {
             let slot = sim.cancel(1, "run-000003");
             sim.run(3000);
@@ -96,23 +99,24 @@
     );
 }
 
-/// A gang whose placements would never fit into its record is refused, as it would wait for
-/// ever.
+/// A gang whose placements can never fit into its record is refused, since it would stay pending
+/// for ever.
 #[test]
-fn a_gang_that_no_record_holds_is_refused() {
+fn a_gang_too_large_for_its_record_is_refused() {
     let mut sim = with_limits(r#","next":{"value_kb":1.0,"txn_ops":4,"write_rps":15.0}"#);
     sim.run(1000);
     let submit = |sim: &mut Sim, job: &Value| {
         let slot = sim.ask(0, "POST", "/work", wire::encode(job));
         assert!(sim.until(5000, |sim| sim.users.answers[slot].is_some()));
-        let answer = sim.users.answers[slot].clone().expect("an answer");
+        let answer = sim.users.answers[slot].clone().expect("no answer");
         (answer.status, wire::readable(&answer.body))
     };
     let gang = submission("run-000001", "group", 100, 1.0, "normal");
     let (status, reason) = submit(&mut sim, &gang);
     assert_eq!(status, 422);
     assert!(reason.contains("too large to be kept"), "{reason}");
-    // As much of an array is placed as fits, and a value of the usual size holds the gang.
+    // An array of the same size is accepted, as its tasks are placed in parts; and so is the gang
+    // under the usual limits.
     let array = submission("run-000002", "sweep", 100, 1.0, "normal");
     assert_eq!(submit(&mut sim, &array).0, 201);
     let mut sim = Sim::started();
@@ -120,9 +124,9 @@
     assert_eq!(submit(&mut sim, &gang).0, 201);
 }
 
-/// Announced limits are checked like those that hold.
+/// Announced limits are validated like the current ones.
 #[test]
-fn announced_limits_are_checked() {
+fn announced_limits_are_validated() {
     let check = |announced: &str| {
         let text = format!(
             r#"{{"member":"w0","zone":"z","front":"10.0.0.1:8080","mesh_addr":"10.0.0.1:8081",
@@ -136,21 +140,31 @@
         settings.check().map_err(|error| error.to_string())?;
         Ok::<_, String>(settings.cluster.state.lowered())
     };
-    let low = check(ANNOUNCED).expect("valid limits");
+    let lowered = check(ANNOUNCED_LIMITS).expect("valid limits were rejected");
     assert_eq!(
-        (low.value_kb, low.txn_ops, low.write_rps, low.rps),
+        (
+            lowered.value_kb,
+            lowered.txn_ops,
+            lowered.write_rps,
+            lowered.rps
+        ),
         (2.0, 4, 15.0, 100.0)
     );
-    assert_eq!(check("").expect("no announced limits").value_kb, 16.0);
+    assert_eq!(
+        check("")
+            .expect("settings without announced limits were rejected")
+            .value_kb,
+        16.0
+    );
     assert_eq!(
         check(r#","next":null"#)
-            .expect("no announced limits")
+            .expect("settings without announced limits were rejected")
             .txn_ops,
         20
     );
     assert_eq!(
         check(r#","next":{"value_kb":99.0,"new":1}"#)
-            .expect("higher limits")
+            .expect("higher limits were rejected")
             .value_kb,
         16.0
     );
--- a/tests/version_upgrade/rolling_upgrade.rs
+++ b/tests/version_upgrade/rolling_upgrade.rs
@@ -5,21 +5,21 @@
 use gaugesill::wire;
 
 use crate::common::{assert_kept_trace, job_reply, submission, Sim};
-use crate::support::{format_of, submit_two_jobs, with_announced_limits, LOW};
+use crate::support::{format_of, submit_two_jobs, with_announced_limits, REDUCED_LIMITS};
 
 /// A submission that depends on other jobs.
 fn depending_on(mut submission: Value, dependencies: &[&str]) -> Value {
     let ids = dependencies.iter().map(|id| Value::Text((*id).into()));
     let dependencies = Value::Array(ids.collect());
-    let fields = submission.as_map_mut().expect("a map");
+    let fields = submission.as_map_mut().expect("submission is not a map");
     fields.push((Value::Text("waitsOn".into()), dependencies));
     submission
 }
 
 /// A rolling upgrade: processes are killed one by one and restart with the new version; one
 /// crashes before its turn and restarts with the old version; leaders of both versions change.
-/// Before all run the new version nothing is written that the old version cannot read (the
-/// simulation checks it), and the work that it stored continues.
+/// Until all run the new version, nothing may be written that the old version cannot read (the
+/// simulation checks this), and jobs that the old version stored continue.
 #[test]
 fn a_rolling_upgrade() {
     for case in 0..8u64 {
@@ -36,7 +36,7 @@
             sim.crash(controller, 1500);
             sim.run(2500);
             if turn == 0 {
-                // Another one, possibly the leader, crashes before its turn.
+                // The next controller, possibly the leader, crashes before its turn.
                 sim.crash(order[1], 400);
                 let id = format!("run-0001{case:02}");
                 let job = submission(&id, "sweep", 2, 4.0, "normal");
@@ -52,7 +52,7 @@
             "{}",
             sim.trace_text()
         );
-        sim.store.reduced_limits = Some(LOW);
+        sim.store.reduced_limits = Some(REDUCED_LIMITS);
         sim.finish_and_check(120_000);
         assert_eq!(sim.store.refused_by_size, 0);
         if case == 1 {
@@ -61,9 +61,9 @@
     }
 }
 
-/// A controller that is down or cut off is not known to run the new version, so the format is
-/// not raised. A submission with dependencies comes only after the upgrade, so it proves that
-/// all run the new version.
+/// While a controller is down or cut off, its version is unknown and the format is not raised.
+/// Users submit jobs with dependencies only after the upgrade, so such a submission proves that
+/// all controllers run the new version, and raises the format.
 #[test]
 fn a_submission_with_dependencies_raises_the_format() {
     let mut sim = with_announced_limits();
@@ -84,14 +84,15 @@
     sim.assert_sound();
 }
 
-/// A refusal for a limit that was announced proves as well that all run the new version.
+/// The limits are reduced only after the upgrade, so a refusal under an announced limit also
+/// proves that all controllers run the new version.
 #[test]
 fn a_refusal_by_an_announced_limit_raises_the_format() {
     let mut sim = with_announced_limits();
     sim.crash(2, 60_000);
     sim.run(6000);
-    sim.store.reduced_limits = Some(LOW);
-    // Together they exceed the reduced limit of a transaction.
+    sim.store.reduced_limits = Some(REDUCED_LIMITS);
+    // Together they exceed the reduced limit of writes per transaction.
     let submissions = (0..9).map(|number| {
         let job = submission(&format!("run-00001{number}"), "sweep", 1, 4.0, "normal");
         sim.submit(0, &job, 1000)
@@ -111,10 +112,9 @@
     sim.assert_sound();
 }
 
-/// The upgrade is started and rolled back, more than once, before the format is raised: the
-/// work that either version stored continues, and a controller that ran the new version for a
-/// while and runs the old one again prevents the format from being raised, although its key
-/// says that it ran the new one.
+/// The upgrade is started and rolled back, more than once, before the format is raised. Jobs that
+/// either version stored continue. A controller that ran the new version and was rolled back must
+/// prevent the format from being raised, although its key still says that it runs the new one.
 #[test]
 fn a_rollback_before_the_format_is_raised() {
     for case in 0..4u64 {
@@ -131,14 +131,14 @@
         for controller in [1, 0] {
             assert!(sim.store.keys.contains_key(&format!("g/l/m/c{controller}")));
             sim.deployment.previous_version.insert(controller);
-            sim.note(format!("c{controller} is put back"));
+            sim.note(format!("c{controller} is rolled back"));
             sim.crash(controller, 600);
             sim.run(4000);
         }
-        // The third alone runs the new version now, and leads for a while.
+        // Only the third controller runs the new version now, and it leads for a while.
         sim.deployment.previous_version.remove(&2);
-        for (controller, away_ms) in [(0, 9000), (1, 11_000), (2, 300)] {
-            sim.crash(controller, away_ms);
+        for (controller, downtime_ms) in [(0, 9000), (1, 11_000), (2, 300)] {
+            sim.crash(controller, downtime_ms);
         }
         assert!(sim.until(9000, |sim| sim.leader() == Some(2)));
         sim.run(12_000);
@@ -148,13 +148,13 @@
             sim.crash(controller, 500);
         }
         assert!(sim.until(20_000, |sim| format_of(sim) == Some(1)));
-        sim.store.reduced_limits = Some(LOW);
+        sim.store.reduced_limits = Some(REDUCED_LIMITS);
         sim.finish_and_check(120_000);
     }
 }
 
 /// A controller that was down during the whole upgrade restarts with the old version before the
-/// format is raised: it serves requests, and may lead, like any other.
+/// format is raised: it must serve requests and be able to lead like any other.
 #[test]
 fn a_controller_that_was_down_restarts_with_the_old_version() {
     let mut sim = with_announced_limits();
@@ -170,7 +170,7 @@
     assert!(sim.until(25_000, |sim| sim.controllers[2].is_some()));
     sim.run(3000);
     assert_eq!(format_of(&sim), None);
-    // It leads for a while, as the only controller.
+    // It leads for a while as the only running controller.
     sim.crash(0, 12_000);
     sim.crash(1, 12_000);
     assert!(sim.until(12_000, |sim| sim.leader() == Some(2)));
@@ -185,19 +185,19 @@
     sim.assert_known();
 }
 
-/// From format 1 on the key by which the version in production elects its leaders exists
-/// permanently and names no member, whatever happens to the leaders: a controller that
-/// restarts with that version is a follower, and cannot lead with records that it cannot read.
+/// The version in production elects a leader by creating a key. From format 1 on that key must
+/// exist permanently and name no member, whatever happens to the leaders, so that a controller
+/// which restarts with that version stays a follower: it could not read the records.
 #[test]
 fn the_version_in_production_cannot_lead_from_format_1_on() {
     let mut sim = with_announced_limits();
     sim.run(1000);
     submit_two_jobs(&mut sim);
     assert!(sim.until(20_000, |sim| format_of(sim) == Some(1)));
-    let first = sim.leader().expect("a leader");
+    let first = sim.leader().expect("no controller leads");
     sim.crash(first, 800);
     let is_fenced = |sim: &Sim| {
-        // As that version reads the key.
+        // Decoded as the version in production reads the key.
         let stored = sim.store.keys.get("g/l/leader")?;
         let key: LeaderKey = stored.value.deserialized().ok()?;
         let names_a_member = ["c0", "c1", "c2"].contains(&key.member.as_str());
@@ -220,10 +220,10 @@
     sim.finish_and_check(120_000);
 }
 
-/// A version that finds a later format than it knows writes nothing, does not lead, and tells
-/// its users when to come back instead of telling them that jobs are unknown.
+/// A controller that finds a later format than it knows writes nothing, does not lead, and
+/// answers users with 503 and Retry-After, not with 404 for jobs that it cannot read.
 #[test]
-fn a_later_format_is_left_alone() {
+fn nothing_is_written_under_a_later_format() {
     let mut sim = with_announced_limits();
     sim.run(1000);
     submit_two_jobs(&mut sim);
@@ -236,7 +236,7 @@
     let ask = |sim: &mut Sim, controller: usize, method: &str, path: &str, body: Vec<u8>| {
         let slot = sim.ask(controller, method, path, body);
         assert!(sim.until(5000, |sim| sim.users.answers[slot].is_some()));
-        let answer = sim.users.answers[slot].clone().expect("an answer");
+        let answer = sim.users.answers[slot].clone().expect("no answer");
         (answer.status, answer.retry_after)
     };
     let job = wire::encode(&submission("run-000009", "sweep", 1, 1.0, "normal"));
@@ -247,18 +247,18 @@
         let submitted = ask(&mut sim, controller, "POST", "/work", job.clone());
         assert_eq!(submitted, (503, Some(1)));
     }
-    // Also a controller that has just started.
+    // The same holds for a controller that has just started.
     sim.crash(0, 100);
     sim.run(30_000);
     assert_eq!(sim.leader(), None);
     assert_eq!(ask(&mut sim, 0, "GET", "/up", vec![]).0, 503);
-    assert_eq!(sim.store.revision, revision, "a write was made");
+    assert_eq!(sim.store.revision, revision, "the store was written to");
 }
 
-/// A submission may depend on a job that a controller of the version in production accepted a
-/// moment ago, and on one that this version finished long ago.
+/// A submission may depend on a job that a controller of the version in production has just
+/// accepted, and on one that such a controller finished long ago.
 #[test]
-fn jobs_that_the_version_in_production_accepted_may_be_named() {
+fn jobs_that_the_version_in_production_accepted_may_be_dependencies() {
     let mut sim = with_announced_limits();
     sim.deployment.previous_version.extend([0, 1, 2]);
     sim.run(1000);
@@ -270,13 +270,13 @@
         sim.crash(controller, 500);
         sim.run(3000);
     }
-    let fresh = sim.submit(0, &submission("run-000002", "sweep", 1, 4.0, "normal"), 500);
-    assert!(sim.until(2000, |sim| sim.answer(fresh).is_some()));
+    let accepted = sim.submit(0, &submission("run-000002", "sweep", 1, 4.0, "normal"), 500);
+    assert!(sim.until(2000, |sim| sim.answer(accepted).is_some()));
     sim.deployment.previous_version.clear();
     let job = submission("run-000003", "sweep", 1, 4.0, "normal");
     let dependent = depending_on(job, &["run-000001", "run-000002"]);
-    let named = sim.submit(1, &dependent, 500);
-    assert!(sim.until(2000, |sim| sim.answer(named).is_some()));
-    assert_eq!(sim.answer(named), Some(job_reply(201, "pending")));
+    let dependent_slot = sim.submit(1, &dependent, 500);
+    assert!(sim.until(2000, |sim| sim.answer(dependent_slot).is_some()));
+    assert_eq!(sim.answer(dependent_slot), Some(job_reply(201, "pending")));
     sim.finish_and_check(60_000);
 }
--- a/tests/version_upgrade/support.rs
+++ b/tests/version_upgrade/support.rs
@@ -1,4 +1,4 @@
-//! Fixtures of the version in production, and runs with limits that are announced.
+//! Fixtures of the version in production, and simulations with announced limits.
 
 use ciborium::Value;
 use gaugesill::job::JobRecord;
@@ -6,20 +6,20 @@
 
 use crate::common::{submission, ReducedLimits, Sim};
 
-/// A value that the version in production wrote.
+/// A value that was written by the version in production.
 pub(crate) struct Fixture {
-    /// A form to be read by people, with the names that the fields had in that version.
+    /// The debug form of the value, with the names that the fields had in that version.
     pub readable: &'static str,
     pub bytes: Vec<u8>,
 }
 
-/// The fixture with a name. The file has three lines for each: its name, its readable form and
-/// its bytes as hexadecimal digits.
+/// Reads a fixture. The file has three lines for each: its name, its readable form and its bytes
+/// as hexadecimal digits.
 pub(crate) fn fixture(name: &str) -> Fixture {
     let text = include_str!("../fixtures/production.txt");
     let lines: Vec<&str> = text.lines().map(str::trim).collect();
     let found = lines.chunks(3).find(|entry| entry[0] == name);
-    let entry = found.unwrap_or_else(|| panic!("no fixture {name}"));
+    let entry = found.unwrap_or_else(|| panic!("the file has no fixture named {name}"));
     Fixture {
         readable: entry[1],
         bytes: decode_hexadecimal(entry[2]),
@@ -28,44 +28,45 @@
 
 fn decode_hexadecimal(text: &str) -> Vec<u8> {
     let byte = |digits: &[u8]| {
-        let digits = std::str::from_utf8(digits).expect("digits");
-        u8::from_str_radix(digits, 16).expect("a byte")
+        let digits = std::str::from_utf8(digits).expect("fixture bytes are not ASCII");
+        u8::from_str_radix(digits, 16).expect("fixture bytes are not hexadecimal digits")
     };
     text.as_bytes().chunks(2).map(byte).collect()
 }
 
-/// The job record of a fixture.
+/// Decodes the job record of a fixture.
 pub(crate) fn fixture_record(name: &str) -> JobRecord {
-    let value: Value = wire::decode(&fixture(name).bytes).expect("a value");
-    JobRecord::from_value(&value).expect("a record")
+    let value: Value = wire::decode(&fixture(name).bytes).expect("fixture is not CBOR");
+    JobRecord::from_value(&value).expect("fixture is not a job record")
 }
 
-/// Limits to come, as the settings announce them.
-pub(crate) const ANNOUNCED: &str = r#","next":{"value_kb":2.0,"txn_ops":4,"write_rps":15.0}"#;
+/// Future limits of the store, as the settings announce them.
+pub(crate) const ANNOUNCED_LIMITS: &str =
+    r#","next":{"value_kb":2.0,"txn_ops":4,"write_rps":15.0}"#;
 
-/// The announced limits, once they hold.
-pub(crate) const LOW: ReducedLimits = ReducedLimits {
+/// The limits of [`ANNOUNCED_LIMITS`], once the store enforces them.
+pub(crate) const REDUCED_LIMITS: ReducedLimits = ReducedLimits {
     value_bytes: 2048,
     transaction_writes: 4,
     writes_per_s: 15.0,
 };
 
-/// Controllers to which [`ANNOUNCED`] limits are announced.
+/// Starts controllers whose settings announce [`ANNOUNCED_LIMITS`].
 pub(crate) fn with_announced_limits() -> Sim {
-    with_limits(ANNOUNCED)
+    with_limits(ANNOUNCED_LIMITS)
 }
 
-/// Controllers to which limits are announced.
-pub(crate) fn with_limits(announced: &str) -> Sim {
+/// Starts controllers whose settings announce `limits`; the trace begins after the start.
+pub(crate) fn with_limits(limits: &str) -> Sim {
     let mut sim = Sim::new();
-    sim.deployment.announced_limits = announced.into();
+    sim.deployment.announced_limits = limits.into();
     sim.crash_all(|_| 1);
     sim.log.trace.clear();
     sim.run(5);
     sim
 }
 
-/// The format of the records according to the store.
+/// The format of job records on record in the store, if it was ever raised.
 pub(crate) fn format_of(sim: &Sim) -> Option<u64> {
     let format = sim.store.keys.get("g/l/format")?;
     format
