--- a/tests/duties/assignment.rs
+++ b/tests/duties/assignment.rs
@@ -1,4 +1,4 @@
-//! Which controller holds each duty, and when a duty moves.
+//! Which controller holds each duty, and when a duty moves to another.
 
 use std::collections::BTreeSet;
 
@@ -7,13 +7,15 @@
 use gaugesill::settings::DutyFence;
 
 use crate::common::{ControllerClocks, DutyEvent, Sim};
-use crate::support::{finish, submit, submit_two, tokens, FENCES, TTL_MS};
+use crate::support::{
+    finish_and_check_duties, submit, submit_array_and_gang, tokens, FENCES, LEASE_TTL_MS,
+};
 
 #[test]
 fn holders_rent_and_return_what_the_leader_needs() {
     for fence in FENCES {
         let mut sim = Sim::with_duties(fence);
-        // Versions without duties can no longer lead.
+        // Versions without duties can no longer be elected.
         let fenced = sim.store.keys["g/l/leader"]
             .value
             .deserialized::<LeaderKey>();
@@ -26,10 +28,10 @@
             3,
             "the duties are not spread over all controllers: {holders:?}"
         );
-        submit_two(&mut sim);
-        finish(&mut sim, ControllerClocks::Reliable);
+        submit_array_and_gang(&mut sim);
+        finish_and_check_duties(&mut sim, ControllerClocks::Reliable);
         assert!(sim.orders_received("rent") > 0 && sim.orders_received("return") > 0);
-        // Controllers other than the leader decided on some orders.
+        // Controllers other than the leader have decided on some orders.
         let leader = sim.leader();
         let by_others = sim
             .duty_history
@@ -43,29 +45,29 @@
     }
 }
 
-/// While a controller runs an older version, or without the settings, duties stay with the
-/// leader. A controller that restarts without them later leads, if it is elected, by writing
-/// scaling requests.
+/// While a controller runs an older version, or has no settings for duties, the leader performs
+/// the duties. A controller that later restarts without the settings can still be elected; it
+/// leads by writing scaling requests.
 #[test]
-fn versions_and_settings_side_by_side() {
+fn mixed_versions_and_settings() {
     let mut sim = Sim::new();
     sim.switch_duties_on(DutyFence::Booking);
     sim.deployment.previous_version.insert(0);
     sim.deployment.without_duties.insert(1);
     sim.crash_all(|controller| 1 + 2000 * controller);
-    submit_two(&mut sim);
+    submit_array_and_gang(&mut sim);
     sim.run(20_000);
     assert!(!sim.are_duties_held());
     finish_without_duties(&mut sim);
     sim.deployment.previous_version.clear();
     sim.crash(0, 500);
     sim.run(12_000);
-    // Any leader: a controller that could hold duties must not begin alone.
+    // Whoever leads, a controller that could hold duties must not acquire them while c1 cannot.
     sim.crash(1, 4000);
     sim.run(20_000);
     assert!(
         sim.leader() != Some(1) && !sim.are_duties_held(),
-        "no duty may be held while c1 has none"
+        "no duty may be held while c1 has no settings for duties"
     );
     sim.deployment.without_duties.clear();
     sim.crash(1, 500);
@@ -80,21 +82,21 @@
         sim.run(15_000);
         sim.deployment.without_duties.clear();
         sim.crash(controller, 300);
-        finish(&mut sim, ControllerClocks::Reliable);
+        finish_and_check_duties(&mut sim, ControllerClocks::Reliable);
     }
 }
 
 fn finish_without_duties(sim: &mut Sim) {
     sim.run(2000);
-    submit_two(sim);
+    submit_array_and_gang(sim);
     sim.finish(150_000);
     sim.assert_sound();
 }
 
-/// The holder changes ten times in two minutes, through crashes that are over at once and
-/// through operators who move the duty.
+/// The holder changes ten times in two minutes, through crashes with immediate restarts and
+/// through operators who move the duty: no order may be lost.
 #[test]
-fn ten_changes_of_holder_cost_no_order() {
+fn no_order_is_lost_in_ten_changes_of_holder() {
     let mut sim = Sim::with_duties(DutyFence::ProviderToken);
     for round in 0..10 {
         let shape = if round % 3 == 0 { "group" } else { "sweep" };
@@ -111,67 +113,67 @@
             sim.crash_all(|controller| 200 + 300 * controller);
             assert!(
                 sim.until(12_000, |sim| sim.holder_of("rent") == Some(target)),
-                "the duty did not move"
+                "the duty did not move to c{target}"
             );
         }
     }
-    finish(&mut sim, ControllerClocks::Reliable);
+    finish_and_check_duties(&mut sim, ControllerClocks::Reliable);
 }
 
-/// A controller that crashes repeatedly and is back within a second moves no duty that it
-/// does not hold.
+/// A controller that crashes repeatedly and restarts within a second must not cause duties to move
+/// that it does not hold.
 #[test]
-fn no_flapping_as_a_controller_comes_and_goes() {
+fn a_flapping_controller_moves_no_duty_of_another() {
     let mut sim = Sim::with_duties(DutyFence::Booking);
-    let rent = sim.holder_of("rent").expect("a holder");
+    let holder = sim.holder_of("rent").expect("the duty has no holder");
     let other = (0..3)
-        .find(|controller| *controller != rent)
-        .expect("another");
+        .find(|controller| *controller != holder)
+        .expect("no controller other than the holder");
     let token = |sim: &Sim| sim.store.keys["g/d/l/rent/token"].value.clone();
     let before = token(&sim);
     for _ in 0..8 {
         sim.crash(other, 700);
         sim.run(2500);
     }
-    assert_eq!((sim.holder_of("rent"), token(&sim)), (Some(rent), before));
+    assert_eq!((sim.holder_of("rent"), token(&sim)), (Some(holder), before));
 }
 
-/// Found with duties on at the bench: in an outage each holder considered itself lost.
+/// Guards against needless moves: in an outage of the store each holder considered its lease lost.
 #[test]
 fn an_outage_moves_no_duty() {
     let mut sim = Sim::with_duties(DutyFence::Booking);
-    sim.run(2 * TTL_MS);
+    sim.run(2 * LEASE_TTL_MS);
     let before = tokens(&sim);
     sim.faults.store_outage = true;
     sim.run(30_000);
     sim.end_outage();
-    sim.run(2 * TTL_MS);
+    sim.run(2 * LEASE_TTL_MS);
     assert!(sim.are_duties_held());
     assert_eq!(tokens(&sim), before);
 }
 
-/// A controller that is repeatedly down for longer than its lease and then up for a moment is
-/// assigned nothing before it has been up for a while.
+/// A controller that is repeatedly down for longer than its lease and then up for a moment must
+/// be assigned no duty before it has stayed up for a while.
 #[test]
-fn nothing_is_assigned_to_a_controller_that_does_not_stay_up() {
+fn no_duty_is_assigned_to_a_controller_that_does_not_stay_up() {
     let mut sim = Sim::with_duties(DutyFence::Booking);
-    sim.run(2 * TTL_MS);
-    sim.crash(1, 3 * TTL_MS);
-    sim.run(3 * TTL_MS - 100);
+    sim.run(2 * LEASE_TTL_MS);
+    sim.crash(1, 3 * LEASE_TTL_MS);
+    sim.run(3 * LEASE_TTL_MS - 100);
     let before = tokens(&sim);
     for _ in 0..4 {
-        sim.run(TTL_MS / 2);
-        sim.crash(1, TTL_MS);
-        sim.run(TTL_MS - 100);
+        sim.run(LEASE_TTL_MS / 2);
+        sim.crash(1, LEASE_TTL_MS);
+        sim.run(LEASE_TTL_MS - 100);
     }
     assert!(sim.are_duties_held());
     assert_eq!(tokens(&sim), before);
 }
 
-/// A controller reports itself healthy but acquires none of the duties that are assigned to
-/// it: the others acquire them after a while.
+/// A controller reports itself healthy but does not acquire the duties that are assigned to it:
+/// other controllers must acquire them within four times the time to live of a lease.
 #[test]
-fn others_acquire_what_an_assigned_controller_does_not() {
+fn unacquired_duties_are_reassigned() {
     let mut sim = Sim::with_duties(DutyFence::Booking);
     sim.crash(1, 3_600_000);
     let status = PeerStatus {
@@ -195,25 +197,25 @@
         };
         longest_free_ms = longest_free_ms.max(free_ms);
     }
-    assert!(longest_free_ms > TTL_MS, "c1 was assigned no duty");
+    assert!(longest_free_ms > LEASE_TTL_MS, "c1 was assigned no duty");
     assert!(
-        longest_free_ms < 4 * TTL_MS,
+        longest_free_ms < 4 * LEASE_TTL_MS,
         "a duty had no holder for {longest_free_ms} ms"
     );
 }
 
-/// Without a holder nothing is rented, and the leader does not act in its place.
+/// While a duty has no holder, the leader must not act in its place: nothing is rented.
 #[test]
-fn the_leader_never_acts_around_the_holder() {
+fn the_leader_never_acts_in_place_of_a_holder() {
     let mut sim = Sim::with_duties(DutyFence::Booking);
     sim.deployment.without_duties.extend([0, 1, 2]);
     sim.crash_all(|_| 300);
-    sim.run(3 * TTL_MS);
-    submit_two(&mut sim);
+    sim.run(3 * LEASE_TTL_MS);
+    submit_array_and_gang(&mut sim);
     sim.run(60_000);
     assert!(sim.duty_history.is_empty(), "{:?}", sim.duty_history);
     assert!(sim.orders_in("rent", "needed") > 0);
     sim.deployment.without_duties.clear();
     sim.crash_all(|controller| 300 + 100 * controller);
-    finish(&mut sim, ControllerClocks::Reliable);
+    finish_and_check_duties(&mut sim, ControllerClocks::Reliable);
 }
--- a/tests/duties/holder_failures.rs
+++ b/tests/duties/holder_failures.rs
@@ -1,12 +1,14 @@
-//! Holders that pause, crash or are cut off while an order is under way.
+//! Holders that pause, crash or are cut off while an order is in flight.
 
 use ciborium::Value;
 use gaugesill::settings::DutyFence;
 
 use crate::common::{CloudOrders, ControllerClocks, DutyEvent, Sim, Writes};
-use crate::support::{finish, submit, submit_two, until_moment, FENCES, TTL_MS};
+use crate::support::{
+    finish_and_check_duties, step_until, submit, submit_array_and_gang, FENCES, LEASE_TTL_MS,
+};
 
-/// The steps of orders: duty and phase of the records.
+/// The steps of orders, as the duty and the phase of their records.
 const STEPS: [(&str, &str); 5] = [
     ("rent", "needed"),
     ("rent", "recorded"),
@@ -15,10 +17,11 @@
     ("return", "recorded"),
 ];
 
-/// Waits until the holder of a duty has decided on an order and is paused before sending it.
+/// Waits until the holder of a duty has decided on an order and is paused before it sends it.
+/// Returns the holder.
 fn wait_until_paused(sim: &mut Sim, duty: &str) -> usize {
-    let holder = sim.holder_of(duty).expect("a holder");
-    sim.pauses.on_cloud_order.insert(holder, 4 * TTL_MS);
+    let holder = sim.holder_of(duty).expect("the duty has no holder");
+    sim.pauses.on_cloud_order.insert(holder, 4 * LEASE_TTL_MS);
     let is_paused = |sim: &Sim| !sim.pauses.on_cloud_order.contains_key(&holder);
     assert!(
         sim.until(60_000, is_paused),
@@ -27,23 +30,23 @@
     holder
 }
 
-/// A holder is paused for longer than its lease and then sends an order that it had decided
-/// on before. A provider that checks tokens refuses it, as the successor has repeated it with
-/// a higher one; a provider that does not has executed the same idempotency key before.
+/// A holder is paused for longer than its lease and then sends an order that it decided on before.
+/// A provider that checks tokens refuses it, since the successor has repeated it with a higher
+/// token; any other provider ignores it, since it has executed the same idempotency key.
 #[test]
-fn an_order_of_a_paused_holder_does_no_harm() {
+fn a_late_order_of_a_paused_holder_has_no_effect() {
     for fence in FENCES {
         for duty in ["rent", "return"] {
             let mut sim = Sim::with_duties(fence);
-            submit_two(&mut sim);
+            submit_array_and_gang(&mut sim);
             let paused = wait_until_paused(&mut sim, duty);
             let token = sim.store.keys[&format!("g/d/l/{duty}/token")].value.clone();
-            let passed_on = |sim: &Sim| sim.holder_of(duty).is_some_and(|h| h != paused);
+            let has_new_holder = |sim: &Sim| sim.holder_of(duty).is_some_and(|h| h != paused);
             assert!(
-                sim.until(3 * TTL_MS, passed_on),
+                sim.until(3 * LEASE_TTL_MS, has_new_holder),
                 "{duty} is still held by c{paused}"
             );
-            finish(&mut sim, ControllerClocks::Reliable);
+            finish_and_check_duties(&mut sim, ControllerClocks::Reliable);
             if fence == DutyFence::ProviderToken {
                 let refused = refusals(&sim, paused, duty, &token);
                 let history = &sim.duty_history;
@@ -55,7 +58,7 @@
     }
 }
 
-/// Whether each order that a controller sent for a duty with a token was refused.
+/// For each order that a controller sent for a duty with a token: whether it was refused.
 fn refusals(sim: &Sim, by: usize, of_duty: &str, with_token: &Value) -> Vec<bool> {
     let refusal = |event: &DutyEvent| match event {
         DutyEvent::Received {
@@ -72,26 +75,26 @@
     sim.duty_history.iter().filter_map(refusal).collect()
 }
 
-/// The clock of one controller after the other leaps forward or stops for a while.
+/// The clock of each controller in turn jumps forward or stops for a while: no rule may be broken.
 #[test]
-fn clocks_that_leap_or_stop_do_no_harm() {
+fn clock_jumps_and_stops_break_no_rule() {
     for fence in FENCES {
         for controller in 0..3 {
             let mut sim = Sim::with_duties(fence);
-            submit_two(&mut sim);
+            submit_array_and_gang(&mut sim);
             sim.run(1500);
             sim.clocks.leap_ms.insert(controller, 60_000);
             sim.run(3000);
             let at = sim.now + 60_000;
             sim.clocks.stopped_at.insert(controller, at);
-            sim.run(2 * TTL_MS);
+            sim.run(2 * LEASE_TTL_MS);
             sim.clocks.stopped_at.clear();
-            finish(&mut sim, ControllerClocks::Faulty);
+            finish_and_check_duties(&mut sim, ControllerClocks::Faulty);
         }
     }
 }
 
-/// Which controllers crash.
+/// Which controllers crash at a step of an order.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Crash {
     Holder,
@@ -122,46 +125,46 @@
     }
 }
 
-/// The holder, the leader, both or all crash between any two steps of an order, and are back
-/// within a fraction of a second or later.
+/// The holder, the leader, both or all controllers crash between any two steps of an order, and
+/// restart after 200 ms or 9 s: no order may be lost.
 #[test]
-fn a_crash_at_each_step_costs_no_order() {
+fn no_order_is_lost_in_a_crash_at_any_step() {
     for (step, (duty, phase)) in STEPS.into_iter().enumerate() {
         for (case, crash) in Crash::EACH.into_iter().enumerate() {
             let mut sim = Sim::with_duties(FENCES[(step + case) % 2]);
-            submit_two(&mut sim);
+            submit_array_and_gang(&mut sim);
             let is_reached = |sim: &Sim| sim.orders_in(duty, phase) > 0;
-            let is_reached = until_moment(&mut sim, is_reached);
+            let is_reached = step_until(&mut sim, is_reached);
             assert!(is_reached, "no order of {duty} is {phase}");
             for controller in crash.controllers(&sim, duty) {
                 sim.crash(controller, if step % 2 == 0 { 200 } else { 9000 });
             }
-            finish(&mut sim, ControllerClocks::Reliable);
+            finish_and_check_duties(&mut sim, ControllerClocks::Reliable);
         }
     }
 }
 
-/// The store refuses the holder alone, and then everybody for longer than `cancel_s`.
+/// The store refuses the holder alone, and then all controllers for longer than `cancel_s`.
 #[test]
-fn a_holder_refused_alone_and_then_an_outage() {
+fn the_store_refuses_the_holder_and_then_all_controllers() {
     for duty in ["rent", "return"] {
         let mut sim = Sim::with_duties(DutyFence::ProviderToken);
-        submit_two(&mut sim);
+        submit_array_and_gang(&mut sim);
         sim.until(60_000, |sim| sim.orders_received(duty) > 0);
-        let holder = sim.holder_of(duty).expect("a holder");
+        let holder = sim.holder_of(duty).expect("the duty has no holder");
         sim.faults.refused_by_store.insert(holder);
-        sim.run(TTL_MS / 2);
+        sim.run(LEASE_TTL_MS / 2);
         sim.faults.store_outage = true;
         sim.run(70_000);
         sim.faults.refused_by_store.clear();
         sim.end_outage();
-        finish(&mut sim, ControllerClocks::Reliable);
+        finish_and_check_duties(&mut sim, ControllerClocks::Reliable);
     }
 }
 
 /// Answers of the store are lost, and transactions are applied late, while holders crash.
 #[test]
-fn lost_answers_and_late_writes() {
+fn lost_answers_and_late_writes_of_the_store() {
     for (number, writes) in [
         Writes::Unanswered { one_in: 2 },
         Writes::Unanswered { one_in: 3 },
@@ -179,7 +182,7 @@
     {
         let mut sim = Sim::with_duties(FENCES[number % 2]);
         sim.faults.writes = writes;
-        submit_two(&mut sim);
+        submit_array_and_gang(&mut sim);
         for round in 0..4 {
             sim.run(5000);
             if let Some(holder) = sim.holder_of(["rent", "return"][round % 2]) {
@@ -187,28 +190,28 @@
             }
         }
         sim.faults.writes = Writes::Answered;
-        finish(&mut sim, ControllerClocks::Reliable);
+        finish_and_check_duties(&mut sim, ControllerClocks::Reliable);
     }
 }
 
-/// Controllers cannot reach one another, while all reach the store: leases decide.
+/// Controllers reach the store but not one another: who holds a duty depends on leases alone.
 #[test]
-fn controllers_cut_from_one_another() {
+fn duties_work_while_controllers_are_cut_off_from_one_another() {
     let mut sim = Sim::with_duties(DutyFence::Booking);
     sim.faults.cut_from_peers.extend([0, 1, 2]);
-    submit_two(&mut sim);
+    submit_array_and_gang(&mut sim);
     sim.run(20_000);
-    let holder = sim.holder_of("return").expect("a holder");
+    let holder = sim.holder_of("return").expect("the duty has no holder");
     sim.crash(holder, 60_000);
     sim.finish(240_000);
     assert!(sim.until(120_000, |sim| sim.cloud.machines.is_empty()));
     sim.faults.cut_from_peers.clear();
     submit(&mut sim, 3, "sweep", 2, 4.0);
-    finish(&mut sim, ControllerClocks::Reliable);
+    finish_and_check_duties(&mut sim, ControllerClocks::Reliable);
 }
 
-/// The cloud loses answers, executes orders late, has little or no capacity or refuses orders
-/// while the holder changes.
+/// While the holder changes, the cloud loses answers, executes orders late, refuses orders, or has
+/// little or no capacity.
 #[test]
 fn cloud_faults_while_the_holder_changes() {
     let faults = [
@@ -223,7 +226,7 @@
         if orders == CloudOrders::Answered {
             sim.cloud.capacity = 0;
         }
-        submit_two(&mut sim);
+        submit_array_and_gang(&mut sim);
         for round in 0..3 {
             sim.run(4000);
             sim.cloud.capacity = round + 1;
@@ -233,6 +236,6 @@
         }
         sim.faults.cloud_orders = CloudOrders::Answered;
         sim.cloud.capacity = 4;
-        finish(&mut sim, ControllerClocks::Reliable);
+        finish_and_check_duties(&mut sim, ControllerClocks::Reliable);
     }
 }
--- a/tests/duties/main.rs
+++ b/tests/duties/main.rs
@@ -1,6 +1,6 @@
-//! Duties under fenced leases: whole controllers in the simulation, with the settings of
-//! `deploy/duties.toml`, while their holders fail. What has to hold over the whole history is
-//! checked in `tests/common/duty_checks.rs`.
+//! Duties under fenced leases, while their holders fail: whole controllers in the simulation, with
+//! the settings of `deploy/duties.toml`. `tests/common/duty_checks.rs` checks the invariants over
+//! the history of a run.
 
 mod assignment;
 #[path = "../common/mod.rs"]
--- a/tests/duties/random_failures.rs
+++ b/tests/duties/random_failures.rs
@@ -1,21 +1,22 @@
-//! Seeded random faults, one after another and together.
+//! Seeded random faults, in sequence and at the same time.
 
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
 use crate::common::{CloudOrders, ControllerClocks, Sim, Writes};
-use crate::support::{finish, submit, FENCES};
+use crate::support::{finish_and_check_duties, submit, FENCES};
 
-const SEEDS: u64 = 24;
-const ROUNDS: usize = 8;
+const SEED_COUNT: u64 = 24;
+const ROUNDS_PER_SEED: usize = 8;
 
-/// Random faults, one after another and together, and what must hold after them.
+/// Each round submits a job and injects a fault; half of the time the faults persist into the
+/// next round. All jobs must finish and no rule may be broken.
 #[test]
 fn random_faults_break_no_rule() {
-    for seed in 0..SEEDS {
+    for seed in 0..SEED_COUNT {
         let mut rng = StdRng::seed_from_u64(seed);
         let mut sim = Sim::with_duties(FENCES[seed as usize % 2]);
-        for round in 0..ROUNDS {
+        for round in 0..ROUNDS_PER_SEED {
             let is_gang = rng.random_bool(0.5);
             let shape = if is_gang { "group" } else { "sweep" };
             submit(&mut sim, round, shape, 2, 6.0);
@@ -27,7 +28,7 @@
         }
         end_faults(&mut sim);
         sim.end_outage();
-        finish(&mut sim, ControllerClocks::Reliable);
+        finish_and_check_duties(&mut sim, ControllerClocks::Reliable);
     }
 }
 
@@ -59,7 +60,7 @@
     }
 }
 
-/// Ends all faults but crashes and pauses.
+/// Ends all faults except crashes and pauses, which end by themselves.
 fn end_faults(sim: &mut Sim) {
     sim.faults.cloud_orders = CloudOrders::Answered;
     sim.faults.writes = Writes::Answered;
--- a/tests/duties/records.rs
+++ b/tests/duties/records.rs
@@ -1,4 +1,4 @@
-//! Orders' records: their removal, and the local copy of them in each controller.
+//! Records of orders: their removal, and their copy in the memory of each controller.
 
 use std::collections::BTreeMap;
 
@@ -9,16 +9,16 @@
 use proptest::prelude::*;
 
 use crate::common::{ControllerClocks, ReducedLimits, Sim};
-use crate::support::{finish, submit_two, until_moment};
+use crate::support::{finish_and_check_duties, step_until, submit_array_and_gang};
 
-/// The removal of a result that the leader has received is refused: it is retried soon, not
-/// left to the holder of cleaning.
+/// The store refuses to remove a result that the leader has received: the removal must be retried
+/// soon, and not be left to the holder of the `clean-state` duty.
 #[test]
 fn results_are_removed_once_the_leader_has_received_them() {
     let mut sim = Sim::with_duties(DutyFence::Booking);
-    submit_two(&mut sim);
+    submit_array_and_gang(&mut sim);
     let is_completed = |sim: &Sim| sim.orders_in("rent", "completed") > 0;
-    assert!(until_moment(&mut sim, is_completed));
+    assert!(step_until(&mut sim, is_completed));
     sim.store.reduced_limits = Some(ReducedLimits {
         value_bytes: 16 * 1024,
         transaction_writes: 20,
@@ -29,28 +29,29 @@
     sim.store.reduced_limits = None;
     sim.run(5000);
     assert_eq!(sim.orders_in("rent", "completed"), 0);
-    finish(&mut sim, ControllerClocks::Reliable);
+    finish_and_check_duties(&mut sim, ControllerClocks::Reliable);
 }
 
 /// Results that no leader receives and provisioning requests without demand are removed at a
-/// bounded rate; a dry run removes nothing. Records of terminations stay.
+/// bounded rate; a dry run removes nothing. Records of terminations are kept.
 #[test]
-fn records_without_an_owner_are_removed() {
+fn orphaned_records_are_removed() {
     for dry_run in [false, true] {
         let mut sim = Sim::new();
         sim.switch_duties_on(DutyFence::Booking);
         sim.duty_settings().cleaning_dry_run = dry_run;
         sim.duty_settings().cleaning_per_s = 0.5;
-        // No controller holds the duty of renting.
+        // All controllers have settings for duties.
         sim.deployment.without_duties.clear();
         sim.crash_all(|_| 1);
         assert!(sim.until(60_000, Sim::are_duties_held));
         let kind = cbor!({"machine_type" => "f8", "zone" => "a", "spot" => false, "count" => 1});
-        let order = cbor!({"rent" => kind.expect("value")}).expect("value");
-        // Requests to a duty that rents nothing, so its holder ignores them.
+        let order = cbor!({"rent" => kind.expect("not representable as CBOR")})
+            .expect("not representable as CBOR");
+        // The requests name a duty that rents nothing, so its holder ignores them.
         for number in 0..5 {
-            let request =
-                cbor!({"order" => order, "phase" => "needed", "since_ms" => 1}).expect("value");
+            let request = cbor!({"order" => order, "phase" => "needed", "since_ms" => 1})
+                .expect("not representable as CBOR");
             sim.store
                 .put(&format!("g/d/o/clean-state/left-{number}"), request);
         }
@@ -58,13 +59,13 @@
         assert_eq!(
             sim.orders_in("clean-state", "needed"),
             5,
-            "they may still be in demand"
+            "requests were removed although they may still be in demand"
         );
         sim.run(5000);
         let left = sim.orders_in("clean-state", "needed");
         assert!(
             dry_run || (1..5).contains(&left),
-            "{left} left: the rate is not bounded"
+            "{left} of 5 requests are left: the rate of removal is not bounded"
         );
         sim.run(12_000);
         let left = sim.orders_in("clean-state", "needed");
@@ -92,10 +93,10 @@
     }
 }
 
-/// A record that becomes unreadable is not acted upon in its earlier form, and its machines
+/// A record that becomes unreadable must not be acted upon in its earlier form, and its machines
 /// stay drained until it is deleted.
 #[test]
-fn the_earlier_form_of_an_unreadable_record_is_not_acted_upon() {
+fn an_unreadable_record_is_not_acted_upon_in_its_earlier_form() {
     let duty = Duty::Return;
     let key = OrderKey {
         duty,
@@ -128,31 +129,31 @@
         ..ProptestConfig::default()
     })]
 
-    /// Whichever own writes run ahead of the watch, and however often pages and the watch
-    /// repeat the same changes, the local copy ends with what the store holds, and never shows
-    /// an older record after a newer one.
+    /// Own writes may be known before the watch reports them, and pages and the watch may repeat
+    /// changes. The local copy must end with the store's contents, and never go from a newer
+    /// record to an older one.
     #[test]
-    fn records_are_the_same_in_any_order_of_changes(
+    fn the_copy_of_records_converges_in_any_order_of_changes(
         changes in prop::collection::vec((0u8..3, 0u8..4), 1..30),
         own in prop::collection::vec(any::<bool>(), 30),
         repeats in prop::collection::vec(0usize..30, 0..10),
     ) {
         let key = |request: u8| OrderKey { duty: Duty::Return, request: request.to_string() };
-        let mut truth = BTreeMap::new();
+        let mut stored = BTreeMap::new();
         let mut history = Vec::new();
         for (index, (request, phase)) in changes.iter().enumerate() {
             let version = index as u64 + 1;
             let value = (*phase < 3).then(|| record(*phase));
-            if value.is_none() && truth.remove(request).is_none() {
+            if value.is_none() && stored.remove(request).is_none() {
                 continue;
             }
             if let Some(value) = &value {
-                truth.insert(*request, value.clone());
+                stored.insert(*request, value.clone());
             }
             history.push((*request, value, version));
         }
         let mut records = DutyRecords::default();
-        // Own writes are known as soon as they are committed, here the latest first.
+        // Own writes become known before the watch reports any change, here the latest first.
         for (index, (request, value, version)) in history.iter().enumerate().rev() {
             if own[index] {
                 records.apply_own_write(&key(*request), value.clone(), *version);
@@ -165,7 +166,7 @@
                 Some(value) => records.apply_set(&name, &value.to_value(), *version),
                 None => records.apply_delete(&name, *version),
             }
-            // The same change again, as a page that was read meanwhile contains it.
+            // The same change again, as in a page that was read at the same time.
             if repeats.contains(&index) {
                 if let Some(value) = value {
                     records.apply_set(&name, &value.to_value(), *version);
@@ -173,16 +174,16 @@
             }
             let now = records.order(&key(*request)).map(|order| order.version);
             prop_assert!(now.is_none() || now >= seen);
-            // Nor a record that an own write is known to have replaced or deleted.
+            // Nor may it be a record that an own write has replaced or deleted.
             let of_request = history.iter().enumerate().filter(|(index, change)| own[*index] && change.0 == *request);
             let latest_own = of_request.map(|(_, (_, _, version))| *version).max();
             prop_assert!(now.is_none() || now >= latest_own);
         }
         for request in 0..3u8 {
             let left = records.order(&key(request)).map(|order| order.record.clone());
-            prop_assert_eq!(left, truth.get(&request).cloned());
+            prop_assert_eq!(left, stored.get(&request).cloned());
         }
-        let open = truth.values().any(|record| !matches!(record.phase, OrderPhase::Completed(_)));
+        let open = stored.values().any(|record| !matches!(record.phase, OrderPhase::Completed(_)));
         prop_assert_eq!(records.is_being_terminated("m-1"), open);
     }
 }
--- a/tests/duties/scale_in.rs
+++ b/tests/duties/scale_in.rs
@@ -1,27 +1,27 @@
-//! Terminations: no machine with work is terminated, and no terminating machine gets work.
+//! No machine with tasks is terminated, and no machine that is being terminated gets tasks.
 
 use ciborium::cbor;
 use gaugesill::settings::DutyFence;
 use gaugesill::wire::TaskState;
 
 use crate::common::{submission, CloudOrders, ControllerClocks, Sim};
-use crate::support::{finish, submit, FENCES};
+use crate::support::{finish_and_check_duties, submit, FENCES};
 
-/// A gang requests machines at the moments at which they are chosen for termination, and the
-/// leader crashes: of a placement and a termination that conflict, one fails.
+/// A gang is submitted around the moment at which idle machines are chosen for termination, and
+/// the leader crashes: of a placement and a termination that conflict, one must fail.
 #[test]
-fn a_gang_is_placed_as_machines_are_chosen_for_termination() {
+fn a_gang_is_placed_while_machines_are_chosen_for_termination() {
     for moment in 0..24 {
         let mut sim = Sim::with_duties(FENCES[moment % 2]);
         submit(&mut sim, 1, "group", 2, 6.0);
         assert!(sim.until(60_000, Sim::all_done));
-        let chosen = |sim: &Sim| sim.orders_in("reclaim-idle", "needed") > 0;
-        let before = 4000 + 40 * moment as u64;
+        let is_chosen = |sim: &Sim| sim.orders_in("reclaim-idle", "needed") > 0;
+        let delay_ms = 4000 + 40 * moment as u64;
         if moment < 12 {
-            sim.run(before);
+            sim.run(delay_ms);
         } else {
             assert!(
-                sim.until(60_000, chosen),
+                sim.until(60_000, is_chosen),
                 "no machine was chosen for termination"
             );
             sim.run(10 * (moment as u64 - 12));
@@ -31,21 +31,22 @@
         if let Some(leader) = sim.leader() {
             sim.crash(leader, if moment % 2 == 0 { 200 } else { 4000 });
         }
-        finish(&mut sim, ControllerClocks::Reliable);
+        finish_and_check_duties(&mut sim, ControllerClocks::Reliable);
     }
 }
 
-/// The cloud refuses terminations for a while, and the leader crashes: its successor finds on
-/// record what is to be terminated, and gives it no work although it is idle and reports.
+/// The cloud refuses terminations for a while, and the leader crashes: its successor must place no
+/// tasks on the machines whose termination is on record, although they are idle and send
+/// heartbeats.
 #[test]
-fn a_machine_whose_termination_is_on_record_gets_no_work() {
+fn a_machine_whose_termination_is_on_record_gets_no_tasks() {
     for fence in FENCES {
         let mut sim = Sim::with_duties(fence);
         submit(&mut sim, 1, "group", 2, 6.0);
         assert!(sim.until(60_000, Sim::all_done));
         sim.faults.cloud_orders = CloudOrders::Trouble;
         assert!(sim.until(60_000, |sim| sim.orders_in("return", "recorded") > 0));
-        let leader = sim.leader().expect("a leader");
+        let leader = sim.leader().expect("no controller leads");
         sim.crash(leader, 200);
         let long = submission("run-000002", "group", 2, 6.0, "normal");
         let other = if leader == 0 { 1 } else { 0 };
@@ -56,29 +57,29 @@
         let busy: Vec<String> = terminated.filter(is_busy).collect();
         assert!(busy.is_empty(), "{busy:?}\n{}", sim.trace_text());
         sim.faults.cloud_orders = CloudOrders::Answered;
-        finish(&mut sim, ControllerClocks::Reliable);
+        finish_and_check_duties(&mut sim, ControllerClocks::Reliable);
     }
 }
 
-/// Found with duties on at the bench: drained machines were chosen for termination before it
-/// was on record that their last tasks had exited, and the holder refused that repeatedly.
+/// Guards against useless requests: drained machines were chosen for termination before the exits
+/// of their last tasks were on record, and the holder refused the request repeatedly.
 #[test]
 fn drained_machines_are_terminated_once_exits_are_on_record() {
     let mut sim = Sim::with_duties(DutyFence::Booking);
-    // The tasks cannot be placed elsewhere, so their exits are not written at once.
+    // Without another machine the tasks cannot be placed again, so their exits are not written
+    // at once.
     sim.cloud.capacity = 1;
     submit(&mut sim, 1, "sweep", 2, 4.0);
     assert!(sim.until(60_000, |sim| sim.live_tasks() > 0));
     let faulty = sim.first_machine();
     sim.faults.failing_machines.insert(faulty.clone());
     assert!(sim.until(60_000, |sim| !sim.cloud.machines.contains_key(&faulty)));
-    finish(&mut sim, ControllerClocks::Reliable);
+    finish_and_check_duties(&mut sim, ControllerClocks::Reliable);
     assert_eq!(sim.rejected_requests(), 0, "{}", sim.trace_text());
 }
 
-/// A termination that another process wrote for a busy machine is refused by the holder of
-/// that duty, and so is one for a busy machine by the holder that reclaims idle ones; an
-/// unreadable record is kept and never acted upon.
+/// The holders of `return` and `reclaim-idle` refuse to terminate a busy machine that an unknown
+/// process requested to terminate. An unreadable record is kept and never acted upon.
 #[test]
 fn a_busy_machine_is_never_terminated() {
     for duty in ["return", "reclaim-idle"] {
@@ -94,23 +95,28 @@
         };
         assert!(sim.until(60_000, is_busy));
         let machine = sim.first_machine();
-        let delete = cbor!({"machines" => [machine.as_str()], "if_empty" => true}).expect("value");
+        let delete = cbor!({"machines" => [machine.as_str()], "if_empty" => true})
+            .expect("not representable as CBOR");
         let request =
             cbor!({"order" => {"delete" => delete}, "phase" => "needed", "since_ms" => 1});
-        sim.store
-            .put(&format!("g/d/o/{duty}/strange"), request.expect("value"));
+        sim.store.put(
+            &format!("g/d/o/{duty}/strange"),
+            request.expect("not representable as CBOR"),
+        );
         let unreadable = format!("g/d/o/{duty}/broken");
-        sim.store
-            .put(&unreadable, cbor!({"order" => 7}).expect("value"));
+        sim.store.put(
+            &unreadable,
+            cbor!({"order" => 7}).expect("not representable as CBOR"),
+        );
         sim.run(8000);
         assert!(sim.cloud.machines.contains_key(&machine), "{duty}");
         assert_eq!(
             sim.orders_in(duty, "needed"),
             0,
-            "the request was not answered"
+            "the request was neither refused nor executed"
         );
         assert!(sim.store.keys.contains_key(&unreadable));
-        finish(&mut sim, ControllerClocks::Reliable);
+        finish_and_check_duties(&mut sim, ControllerClocks::Reliable);
         assert!(sim.store.keys.contains_key(&unreadable), "{duty}");
     }
 }
--- a/tests/processes/duties.rs
+++ b/tests/processes/duties.rs
@@ -1,78 +1,89 @@
-//! Duties of three processes: a holder that is suspended and resumed, one that is killed with an
-//! order in transit, and the report for operators.
+//! Duties of three processes: a holder that is suspended and resumed, a holder that is killed with
+//! an order in flight, and the report for operators.
 
 use std::process::{Command, Output};
 use std::time::{Duration, Instant};
 
 use crate::http::serve;
-use crate::world::{program, wait_for, Service};
+use crate::service::{program, wait_for, Service};
 
-const HOLDER: &str = "g/d/l/rent/holder";
-const TOKEN: &str = "g/d/l/rent/token";
-const SETTINGS: &str = "[duties]\nfence = \"provider-token\"\n";
+const RENT_HOLDER_KEY: &str = "g/d/l/rent/holder";
+const RENT_TOKEN_KEY: &str = "g/d/l/rent/token";
+const OPERATOR_SETTINGS: &str = "[duties]\nfence = \"provider-token\"\n";
 
 fn current_token(service: &Service) -> Option<u64> {
-    let world = service.world.lock().expect("lock");
-    let token = world.store.keys.get(TOKEN)?.value.as_integer()?;
+    let backend = service.backend.lock().expect("lock is poisoned");
+    let token = backend.store.keys.get(RENT_TOKEN_KEY)?.value.as_integer()?;
     u64::try_from(token).ok()
 }
 
 fn signal(process: u32, name: &str) {
     let command = format!("kill -{name} {process}");
     let status = Command::new("sh").args(["-c", &command]).status();
-    assert!(status.expect("it runs").success());
+    assert!(status.expect("the shell cannot be started").success());
 }
 
-/// A holder whose order the cloud holds back.
-struct HeldOrder {
+/// The holder that sent the orders which the cloud is delaying, and its token.
+struct DelayedOrder {
     holder: usize,
     token: u64,
 }
 
-/// Waits until an order of the present holder is held back at the cloud.
-fn hold_an_order(service: &Service, job: &str) -> HeldOrder {
-    wait_for("a holder", || service.member_in(HOLDER).is_some());
-    let holder = service.member_in(HOLDER).expect("a holder");
-    let token = current_token(service).expect("a token");
-    service.world.lock().expect("lock").held_token = Some(token);
+/// Submits a job and waits until the cloud delays an order of the current holder for it.
+fn delay_an_order(service: &Service, job: &str) -> DelayedOrder {
+    wait_for("a holder", || service.member_in(RENT_HOLDER_KEY).is_some());
+    let holder = service
+        .member_in(RENT_HOLDER_KEY)
+        .expect("the duty has no holder");
+    let token = current_token(service).expect("the duty has no token");
+    service
+        .backend
+        .lock()
+        .expect("lock is poisoned")
+        .delayed_token = Some(token);
     service.submit((holder + 1) % 3, job);
-    wait_for("an order in transit", || {
-        service.world.lock().expect("lock").waiting_orders > 0
+    wait_for("an order in flight", || {
+        service
+            .backend
+            .lock()
+            .expect("lock is poisoned")
+            .delayed_orders
+            > 0
     });
-    HeldOrder { holder, token }
+    DelayedOrder { holder, token }
 }
 
 /// Waits until the cloud has received an order with a higher token.
 fn wait_for_order_of_successor(service: &Service, token: u64) {
     wait_for("an order of the successor", || {
-        let world = service.world.lock().expect("lock");
-        let mut provisioning = world.orders.iter().filter(|order| order.duty == "rent");
+        let backend = service.backend.lock().expect("lock is poisoned");
+        let mut provisioning = backend.orders.iter().filter(|order| order.duty == "rent");
         provisioning.any(|order| order.token > Some(token))
     });
 }
 
-/// Fails unless every order with a token that the cloud received after one with a higher token
-/// was refused. Returns how many were.
+/// Counts the orders with a token that the cloud received after an order with a higher one. Fails
+/// if it accepted any of them.
 fn refused_orders(service: &Service, token: u64) -> usize {
-    let world = service.world.lock().expect("lock");
-    let of_provisioning = world.orders.iter().filter(|order| order.duty == "rent");
+    let backend = service.backend.lock().expect("lock is poisoned");
+    let of_provisioning = backend.orders.iter().filter(|order| order.duty == "rent");
     let later = of_provisioning.skip_while(|order| order.token <= Some(token));
-    let old: Vec<bool> = later
+    let stale: Vec<bool> = later
         .filter(|order| order.token == Some(token))
         .map(|order| order.refused)
         .collect();
-    assert!(old.iter().all(|refused| *refused), "{:?}", world.orders);
-    old.len()
+    assert!(stale.iter().all(|refused| *refused), "{:?}", backend.orders);
+    stale.len()
 }
 
-/// How the command prints its report.
+/// Output format of the subcommand `duties`.
 #[derive(Clone, Copy, PartialEq)]
 enum ReportFormat {
     Table,
     Json,
 }
 
-/// Runs the command that reports on duties.
+/// Runs the subcommand `duties`, which reports on duties.
 fn run_duties_command(service: &Service, format: ReportFormat) -> Output {
     let mut command = program();
     command
@@ -82,19 +93,26 @@
     if format == ReportFormat::Json {
         command.arg("--json");
     }
-    command.output().expect("it runs")
+    command.output().expect("the program cannot be started")
 }
 
 #[test]
-#[expect(clippy::too_many_lines, reason = "one scenario, told step by step")]
+#[expect(
+    clippy::too_many_lines,
+    reason = "one scenario whose steps share state"
+)]
 fn a_suspended_and_a_killed_holder_are_replaced() {
-    let mut service = Service::start(Some(SETTINGS));
-    let suspended = hold_an_order(&service, "run-000001");
+    let mut service = Service::start(Some(OPERATOR_SETTINGS));
+    let suspended = delay_an_order(&service, "run-000001");
     let process = service.processes[suspended.holder].id();
     signal(process, "STOP");
     wait_for_order_of_successor(&service, suspended.token);
-    // The order in transit arrives, and the first holder is resumed.
-    service.world.lock().expect("lock").held_token = None;
+    // The delayed order reaches the cloud, and the first holder is resumed.
+    service
+        .backend
+        .lock()
+        .expect("lock is poisoned")
+        .delayed_token = None;
     signal(process, "CONT");
     wait_for("the refusal of the late order", || {
         refused_orders(&service, suspended.token) > 0
@@ -102,24 +120,28 @@
     let other = (suspended.holder + 1) % 3;
     service.wait_until_done(other, "run-000001");
     wait_for("a record of the refusal", || {
-        let world = service.world.lock().expect("lock");
-        world.store.keys.contains_key("g/d/l/rent/refused")
+        let backend = service.backend.lock().expect("lock is poisoned");
+        backend.store.keys.contains_key("g/d/l/rent/refused")
     });
 
-    // The machines are terminated, so that the next job needs some; the holder is killed.
+    // Once the idle machines are terminated, the next job needs an order; its holder is killed.
     wait_for("the termination of idle machines", || {
         service
-            .world
+            .backend
             .lock()
-            .expect("lock")
+            .expect("lock is poisoned")
             .cloud
             .machines
             .is_empty()
     });
-    let killed = hold_an_order(&service, "run-000002");
+    let killed = delay_an_order(&service, "run-000002");
     service.kill(killed.holder);
     wait_for_order_of_successor(&service, killed.token);
-    service.world.lock().expect("lock").held_token = None;
+    service
+        .backend
+        .lock()
+        .expect("lock is poisoned")
+        .delayed_token = None;
     service.wait_until_done((killed.holder + 1) % 3, "run-000002");
     refused_orders(&service, killed.token);
 
@@ -133,7 +155,8 @@
         );
     }
     let json = run_duties_command(&service, ReportFormat::Json);
-    let report: serde_json::Value = serde_json::from_slice(&json.stdout).expect("JSON");
+    let report: serde_json::Value =
+        serde_json::from_slice(&json.stdout).expect("the report is not JSON");
     assert_eq!(report["active"], true);
     assert!(
         report["duties"][0]["token"].as_u64() > Some(killed.token),
@@ -145,20 +168,20 @@
     );
 }
 
-/// If the store is unreachable, refuses, is slow or sends invalid answers, the command prints one
-/// line and fails within a bounded time.
+/// If the store is unreachable, refuses, is slow or sends invalid answers, the subcommand `duties`
+/// must print one line with the store's address and fail within 30 s.
 #[test]
-fn an_unavailable_report_is_explained_in_one_line() {
-    let nonsense = serve(|_| (200, b"nonsense".to_vec()));
-    let refuses = serve(|_| (503, vec![]));
+fn the_report_fails_with_one_line_if_the_store_is_unavailable() {
+    let malformed = serve(|_| (200, b"nonsense".to_vec()));
+    let refusing = serve(|_| (503, vec![]));
     let slow = serve(|_| {
         std::thread::sleep(Duration::from_secs(60));
         (200, vec![])
     });
     let unreachable = std::net::SocketAddr::from(([127, 0, 0, 1], crate::http::free_port()));
     let folder = std::env::temp_dir().join(format!("gaugesill-query-{}", std::process::id()));
-    std::fs::create_dir_all(&folder).expect("a folder");
-    for (number, state) in [nonsense, refuses, slow, unreachable]
+    std::fs::create_dir_all(&folder).expect("cannot create the folder");
+    for (number, store) in [malformed, refusing, slow, unreachable]
         .into_iter()
         .enumerate()
     {
@@ -174,15 +197,15 @@
                 "limits": {"cpu_share": 0.08, "ram_mb": 200, "fd_limit": 4000}
             }
         });
-        settings["endpoints"]["state"] = state.to_string().into();
-        std::fs::write(&path, settings.to_string()).expect("written");
+        settings["endpoints"]["state"] = store.to_string().into();
+        std::fs::write(&path, settings.to_string()).expect("cannot write the settings");
         let started = Instant::now();
         let output = program().arg("duties").arg("--config").arg(&path).output();
-        let output = output.expect("it runs");
+        let output = output.expect("the program cannot be started");
         let error = String::from_utf8_lossy(&output.stderr).to_string();
         assert!(!output.status.success());
         assert_eq!(error.lines().count(), 1, "{error}");
-        assert!(error.contains(&state.to_string()), "{error}");
+        assert!(error.contains(&store.to_string()), "{error}");
         assert!(started.elapsed() < Duration::from_secs(30));
     }
     let _ = std::fs::remove_dir_all(&folder);
--- a/tests/processes/http.rs
+++ b/tests/processes/http.rs
@@ -1,24 +1,25 @@
-//! Blocking HTTP for the tests: one message at a time on a socket.
+//! Blocking HTTP for the tests: one message at a time on a connection.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::time::Duration;
 
-/// Most headers that a message may have.
+/// Largest number of headers in a message.
 const HEADERS_MAX: usize = 32;
 
 /// An HTTP request or answer.
 pub(crate) struct Message {
     pub method: String,
     pub path: String,
-    /// The status of an answer.
+    /// The status code of an answer; `None` in a request.
     pub status: Option<u16>,
     pub body: Vec<u8>,
-    /// Whether the sender closes the connection.
+    /// Whether the sender closes the connection after this message.
     pub closes: bool,
 }
 
-/// The head of a message, its length and that of its body.
+/// Parses the head of a message; returns the lengths of the head and of the body, and the message
+/// without its body. `None` if the head is incomplete.
 fn parse_head(bytes: &[u8]) -> Option<(usize, usize, Message)> {
     let mut headers = [httparse::EMPTY_HEADER; HEADERS_MAX];
     let mut message = Message {
@@ -30,12 +31,12 @@
     };
     let length = if bytes.starts_with(b"HTTP/") {
         let mut answer = httparse::Response::new(&mut headers);
-        let parsed = answer.parse(bytes).expect("an answer");
+        let parsed = answer.parse(bytes).expect("malformed head of an answer");
         message.status = answer.code;
         parsed
     } else {
         let mut request = httparse::Request::new(&mut headers);
-        let parsed = request.parse(bytes).expect("a request");
+        let parsed = request.parse(bytes).expect("malformed head of a request");
         message.method = request.method.unwrap_or("").to_string();
         message.path = request.path.unwrap_or("").to_string();
         parsed
@@ -48,7 +49,7 @@
             .iter()
             .find(|header| header.name.eq_ignore_ascii_case(name));
         found.map_or("", |header| {
-            std::str::from_utf8(header.value).expect("text")
+            std::str::from_utf8(header.value).expect("header is not UTF-8")
         })
     };
     message.closes = header("connection").eq_ignore_ascii_case("close");
@@ -56,7 +57,7 @@
     Some((length, body_length, message))
 }
 
-/// Reads one message; `None` if the other side ends the connection before it is complete.
+/// Reads one message; `None` if the connection fails or is closed before the message is complete.
 pub(crate) fn read_message(socket: &mut TcpStream) -> Option<Message> {
     let mut bytes = Vec::new();
     let mut part = [0u8; 4096];
@@ -75,7 +76,7 @@
     }
 }
 
-/// Sends a request on a connection of its own; status and body of the answer.
+/// Sends a request on a connection of its own; returns the status and the body of the answer.
 pub(crate) fn call(
     to: SocketAddr,
     method: &str,
@@ -92,12 +93,12 @@
     Some((answer.status?, answer.body))
 }
 
-/// Serves requests, each connection on a thread of its own; the address.
+/// Serves requests, each connection on a thread of its own; returns the address.
 pub(crate) fn serve(
     handle: impl Fn(&Message) -> (u16, Vec<u8>) + Clone + Send + 'static,
 ) -> SocketAddr {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let address = listener.local_addr().expect("an address");
+    let listener = TcpListener::bind("127.0.0.1:0").expect("cannot listen on a port");
+    let address = listener.local_addr().expect("socket has no local address");
     std::thread::spawn(move || {
         for socket in listener.incoming().flatten() {
             let handle = handle.clone();
@@ -118,8 +119,11 @@
     }
 }
 
-/// A port that no socket uses at present.
+/// A port that no socket uses at the moment.
 pub(crate) fn free_port() -> u16 {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    listener.local_addr().expect("an address").port()
+    let listener = TcpListener::bind("127.0.0.1:0").expect("cannot listen on a port");
+    listener
+        .local_addr()
+        .expect("socket has no local address")
+        .port()
 }
--- a/tests/processes/world.rs
+++ b/tests/processes/service.rs
@@ -1,5 +1,5 @@
-//! The simulated store and cloud behind real sockets, agents on threads, and three processes of
-//! the service.
+//! Three processes of the service, with agents on threads and the simulated store and cloud behind
+//! real sockets.
 
 use std::collections::{BTreeMap, HashSet};
 use std::net::SocketAddr;
@@ -18,34 +18,35 @@
 use crate::common::{submission, Cloud, Served, Store, TokenCheck};
 use crate::http::{call, free_port, serve, Message};
 
-/// How long tasks take.
-const TASK_TIME: Duration = Duration::from_millis(300);
-/// How many machines can be rented at the same time, and how long one boots.
+/// Run time of a task.
+const TASK_DURATION: Duration = Duration::from_millis(300);
+/// Largest number of machines that can be rented at the same time.
 const MACHINES_MAX: usize = 4;
+/// Time that a machine takes to boot.
 const BOOT_MS: u64 = 100;
-/// Bound on every wait, far more than any takes.
-const WAIT_MAX: Duration = Duration::from_secs(120);
-/// How many services were started: each has a folder of its own.
-static WORLDS: AtomicU32 = AtomicU32::new(0);
+/// Time-out of every wait, far above the time that any takes.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(120);
+/// Number of services started so far, from which each gets a folder of its own.
+static SERVICES_STARTED: AtomicU32 = AtomicU32::new(0);
 
-/// The simulated store and cloud, which are shared behind one lock.
-pub(crate) struct World {
+/// The simulated store and cloud, with a log of what they executed; shared behind one lock.
+pub(crate) struct Backend {
     pub store: Store,
     pub cloud: Cloud,
-    /// How often each task was started.
+    /// Number of starts of each task, by the task's name.
     pub starts: BTreeMap<String, u32>,
-    /// Orders to the cloud in the sequence in which they were executed or refused.
+    /// Orders to the cloud, in the sequence in which they were executed or refused.
     pub orders: Vec<TokenCheck>,
-    /// Orders with this token are held back at the cloud.
-    pub held_token: Option<u64>,
-    /// How many orders are held back.
-    pub waiting_orders: usize,
+    /// The cloud delays orders with this token.
+    pub delayed_token: Option<u64>,
+    /// Number of orders that the cloud is delaying.
+    pub delayed_orders: usize,
     started: Instant,
 }
 
-pub(crate) type Shared = Arc<Mutex<World>>;
+pub(crate) type SharedBackend = Arc<Mutex<Backend>>;
 
-impl World {
+impl Backend {
     fn now(&self) -> u64 {
         self.started.elapsed().as_millis() as u64
     }
@@ -53,7 +54,7 @@
 
 /// Three processes of the service, which are killed when the value is dropped.
 pub(crate) struct Service {
-    pub world: Shared,
+    pub backend: SharedBackend,
     pub fronts: Vec<SocketAddr>,
     pub settings: Vec<PathBuf>,
     pub folder: PathBuf,
@@ -71,15 +72,16 @@
     }
 }
 
-/// The program of the service.
+/// A command that runs the service's program.
 pub(crate) fn program() -> Command {
     Command::new(env!("CARGO_BIN_EXE_gaugesill"))
 }
 
 impl Service {
-    /// Starts the store, the cloud and three controllers; `operator`: the operators' settings.
+    /// Starts the store, the cloud and three controllers, and waits until these are healthy.
+    /// `operator`: the operators' settings in TOML.
     pub(crate) fn start(operator: Option<&str>) -> Service {
-        let world: Shared = Arc::new(Mutex::new(World {
+        let backend: SharedBackend = Arc::new(Mutex::new(Backend {
             store: Store::default(),
             cloud: Cloud {
                 checks_tokens: true,
@@ -87,40 +89,41 @@
             },
             starts: BTreeMap::new(),
             orders: vec![],
-            held_token: None,
-            waiting_orders: 0,
+            delayed_token: None,
+            delayed_orders: 0,
             started: Instant::now(),
         }));
-        let number = WORLDS.fetch_add(1, Ordering::Relaxed);
+        let number = SERVICES_STARTED.fetch_add(1, Ordering::Relaxed);
         let folder = format!("gaugesill-{}-{number}", std::process::id());
         let folder = std::env::temp_dir().join(folder);
-        std::fs::create_dir_all(&folder).expect("a folder");
-        let (for_store, for_cloud) = (world.clone(), world.clone());
-        let state = serve(move |request| serve_store(&for_store, request));
+        std::fs::create_dir_all(&folder).expect("cannot create the folder");
+        let (for_store, for_cloud) = (backend.clone(), backend.clone());
+        let store = serve(move |request| serve_store(&for_store, request));
         let cloud = serve(move |request| serve_cloud(&for_cloud, request));
         let ports: Vec<(u16, u16)> = (0..3).map(|_| (free_port(), free_port())).collect();
         let settings = (0..3).map(|member| {
             let path = folder.join(format!("c{member}.json"));
-            std::fs::write(&path, settings_text(member, &ports, state, cloud)).expect("written");
+            std::fs::write(&path, settings_text(member, &ports, store, cloud))
+                .expect("cannot write the settings");
             path
         });
         let settings = settings.collect();
         let operator = operator.map(|text| {
             let path = folder.join("operator.toml");
-            std::fs::write(&path, text).expect("written");
+            std::fs::write(&path, text).expect("cannot write the settings");
             path
         });
         let fronts = ports.iter().map(|port| ([127, 0, 0, 1], port.0).into());
         let mut service = Service {
             fronts: fronts.collect(),
-            world,
+            backend,
             settings,
             folder,
             operator,
             processes: vec![],
         };
         service.processes = (0..3).map(|member| service.spawn(member)).collect();
-        start_agents(service.world.clone(), service.fronts.clone());
+        start_agents(service.backend.clone(), service.fronts.clone());
         for front in &service.fronts {
             wait_for("a healthy controller", || {
                 call(*front, "GET", "/up", b"").is_some_and(|answer| answer.0 == 200)
@@ -136,7 +139,7 @@
         }
         command.arg("--config").arg(&self.settings[member]);
         command.env("LOG_LEVEL", "error").stdout(Stdio::null());
-        command.spawn().expect("it starts")
+        command.spawn().expect("the program cannot be started")
     }
 
     pub(crate) fn kill(&mut self, member: usize) {
@@ -163,10 +166,10 @@
         });
     }
 
-    /// The member that a key of the store names.
+    /// The number of the member that the value of a key in the store names.
     pub(crate) fn member_in(&self, key: &str) -> Option<usize> {
-        let world = self.world.lock().expect("lock");
-        let stored = world.store.keys.get(key)?;
+        let backend = self.backend.lock().expect("lock is poisoned");
+        let stored = backend.store.keys.get(key)?;
         let fields = stored.value.as_map()?.iter();
         let mut member = fields.filter(|(name, _)| name.as_text() == Some("member"));
         member.next()?.1.as_text()?[1..].parse().ok()
@@ -176,11 +179,11 @@
 fn settings_text(
     member: usize,
     ports: &[(u16, u16)],
-    state: SocketAddr,
+    store: SocketAddr,
     cloud: SocketAddr,
 ) -> String {
     let others = (0..3).filter(|other| *other != member);
-    let known: Vec<String> = others
+    let peers: Vec<String> = others
         .map(|other| {
             let port = ports[other].1;
             format!(r#"{{"member":"c{other}","zone":"a","address":"127.0.0.1:{port}"}}"#)
@@ -189,21 +192,21 @@
     let (front, mesh) = ports[member];
     format!(
         r#"{{"member":"c{member}","zone":"a","front":"127.0.0.1:{front}","mesh_addr":"127.0.0.1:{mesh}","known":[{}],
-        "endpoints":{{"state":"{state}","cloud":"{cloud}"}},"cluster":{{"teams":[{{"name":"t"}}],
+        "endpoints":{{"state":"{store}","cloud":"{cloud}"}},"cluster":{{"teams":[{{"name":"t"}}],
         "workers":{{"report_s":1.0,"lease_s":12.0,"gang_wait_s":12.0,"gang_peer_s":2.0,"cancel_s":20.0}},
         "state":{{"rps":500.0,"write_rps":100.0,"value_kb":16.0,"txn_ops":20}},
         "cloud":{{"rps":20.0,"list_lag_s":0.2}},
         "limits":{{"cpu_share":1.0,"ram_mb":200.0,"fd_limit":500}}}}}}"#,
-        known.join(",")
+        peers.join(",")
     )
 }
 
-fn serve_store(world: &Shared, request: &Message) -> (u16, Vec<u8>) {
+fn serve_store(backend: &SharedBackend, request: &Message) -> (u16, Vec<u8>) {
     let served = {
-        let mut world = world.lock().expect("lock");
-        let now = world.now();
+        let mut backend = backend.lock().expect("lock is poisoned");
+        let now = backend.now();
         let (method, path) = (request.method.as_str(), request.path.as_str());
-        world.store.handle(method, path, &request.body, now)
+        backend.store.handle(method, path, &request.body, now)
     };
     match served {
         Served::Now(status, body) => (status, body),
@@ -213,10 +216,10 @@
             until,
         } => loop {
             std::thread::sleep(Duration::from_millis(5));
-            let mut world = world.lock().expect("lock");
-            let now = world.now();
-            world.store.expire(now);
-            let reply = world.store.changes(&prefix, from_revision);
+            let mut backend = backend.lock().expect("lock is poisoned");
+            let now = backend.now();
+            backend.store.expire(now);
+            let reply = backend.store.changes(&prefix, from_revision);
             if !reply.changes.is_empty() || now >= until {
                 return (200, wire::encode(&reply));
             }
@@ -224,53 +227,58 @@
     }
 }
 
-fn serve_cloud(world: &Shared, request: &Message) -> (u16, Vec<u8>) {
+fn serve_cloud(backend: &SharedBackend, request: &Message) -> (u16, Vec<u8>) {
     let is_order = request.method == "POST";
     if is_order {
-        hold_order(world, request);
+        delay_order(backend, request);
     }
-    let mut world = world.lock().expect("lock");
-    let now = world.now();
+    let mut backend = backend.lock().expect("lock is poisoned");
+    let now = backend.now();
     if is_order {
-        let check = world.cloud.check_token(&request.path, &request.body);
-        world.orders.push(check.clone());
+        let check = backend.cloud.check_token(&request.path, &request.body);
+        backend.orders.push(check.clone());
         if check.refused {
             return (409, vec![]);
         }
     }
     let (method, path) = (request.method.as_str(), request.path.as_str());
-    world.cloud.handle(method, path, &request.body, now)
+    backend.cloud.handle(method, path, &request.body, now)
 }
 
-/// Waits while orders with this token are held back.
-fn hold_order(world: &Shared, request: &Message) {
+/// Blocks while the cloud delays orders with the token of this request.
+fn delay_order(backend: &SharedBackend, request: &Message) {
     let token = Cloud::token_of(&request.body);
-    let is_held = || token.is_some() && world.lock().expect("lock").held_token == token;
-    if !is_held() {
+    let is_delayed =
+        || token.is_some() && backend.lock().expect("lock is poisoned").delayed_token == token;
+    if !is_delayed() {
         return;
     }
-    world.lock().expect("lock").waiting_orders += 1;
-    while is_held() {
+    backend.lock().expect("lock is poisoned").delayed_orders += 1;
+    while is_delayed() {
         std::thread::sleep(Duration::from_millis(5));
     }
-    world.lock().expect("lock").waiting_orders -= 1;
+    backend.lock().expect("lock is poisoned").delayed_orders -= 1;
 }
 
-/// Starts an agent for each machine that comes up.
-fn start_agents(world: Shared, fronts: Vec<SocketAddr>) {
+/// Starts an agent for each machine that has booted.
+fn start_agents(backend: SharedBackend, fronts: Vec<SocketAddr>) {
     std::thread::spawn(move || {
         let mut known = HashSet::new();
         loop {
             let up: Vec<String> = {
-                let world = world.lock().expect("lock");
-                let now = world.now();
-                let up = world.cloud.machines.iter().filter(|(_, m)| now >= m.up_at);
+                let backend = backend.lock().expect("lock is poisoned");
+                let now = backend.now();
+                let up = backend
+                    .cloud
+                    .machines
+                    .iter()
+                    .filter(|(_, m)| now >= m.up_at);
                 up.map(|(name, _)| name.clone()).collect()
             };
             for machine in up {
                 if known.insert(machine.clone()) {
-                    let (world, fronts) = (world.clone(), fronts.clone());
-                    std::thread::spawn(move || Agent::new(machine, fronts).run(&world));
+                    let (backend, fronts) = (backend.clone(), fronts.clone());
+                    std::thread::spawn(move || Agent::new(machine, fronts).run(&backend));
                 }
             }
             std::thread::sleep(Duration::from_millis(20));
@@ -278,27 +286,27 @@
     });
 }
 
-/// A task on a machine.
+/// A task that was started on a machine.
 struct StartedTask {
     name: String,
     attempt: u64,
     started: Instant,
 }
 
-/// One machine's agent.
+/// The agent of a machine.
 struct Agent {
     machine: String,
     fronts: Vec<SocketAddr>,
     serial: u64,
     epoch: Epoch,
-    /// The controller that it reports to.
+    /// The controller to which heartbeats are sent.
     reports_to: usize,
     tasks: Vec<StartedTask>,
 }
 
 impl StartedTask {
     fn status(&self) -> TaskStatus {
-        let is_done = self.started.elapsed() > TASK_TIME;
+        let is_done = self.started.elapsed() > TASK_DURATION;
         TaskStatus {
             task: self.name.clone(),
             attempt: self.attempt,
@@ -325,14 +333,15 @@
         }
     }
 
-    fn run(mut self, world: &Shared) {
-        while let Some(status) = self.next_status(world) {
+    fn run(mut self, backend: &SharedBackend) {
+        while let Some(status) = self.next_status(backend) {
             let to = self.fronts[self.reports_to];
             let next = (self.reports_to + 1) % self.fronts.len();
             match call(to, "POST", wire::HEARTBEAT_PATH, &wire::encode(&status)) {
                 Some((200, body)) => {
-                    let batch: CommandBatch = wire::decode(&body).expect("commands");
-                    self.execute(batch, world);
+                    let batch: CommandBatch = wire::decode(&body)
+                        .expect("the answer to a heartbeat is not a batch of commands");
+                    self.execute(batch, backend);
                 }
                 Some((421, body)) => {
                     let redirect: Option<wire::Redirect> = wire::decode(&body).ok();
@@ -346,10 +355,10 @@
         }
     }
 
-    /// Its next status; `None` once the machine is deleted.
-    fn next_status(&mut self, world: &Shared) -> Option<AgentStatus> {
-        let world = world.lock().expect("lock");
-        let machine = world.cloud.machines.get(&self.machine)?;
+    /// The status for the next heartbeat; `None` once the machine is deleted.
+    fn next_status(&mut self, backend: &SharedBackend) -> Option<AgentStatus> {
+        let backend = backend.lock().expect("lock is poisoned");
+        let machine = backend.cloud.machines.get(&self.machine)?;
         self.serial += 1;
         Some(AgentStatus {
             machine: self.machine.clone(),
@@ -365,19 +374,19 @@
         })
     }
 
-    fn execute(&mut self, batch: CommandBatch, world: &Shared) {
+    fn execute(&mut self, batch: CommandBatch, backend: &SharedBackend) {
         if batch.epoch < self.epoch {
             return;
         }
         self.epoch = batch.epoch;
         for command in batch.commands {
             let (name, attempt) = (command.task, command.attempt);
-            let is_it = |task: &StartedTask| task.name == name && task.attempt == attempt;
+            let is_same = |task: &StartedTask| task.name == name && task.attempt == attempt;
             if command.verb != CommandVerb::Start {
-                self.tasks.retain(|task| !is_it(task));
-            } else if !self.tasks.iter().any(is_it) {
-                let mut world = world.lock().expect("lock");
-                *world.starts.entry(name.clone()).or_insert(0) += 1;
+                self.tasks.retain(|task| !is_same(task));
+            } else if !self.tasks.iter().any(is_same) {
+                let mut backend = backend.lock().expect("lock is poisoned");
+                *backend.starts.entry(name.clone()).or_insert(0) += 1;
                 self.tasks.push(StartedTask {
                     name,
                     attempt,
@@ -388,14 +397,14 @@
     }
 }
 
-/// Waits until a condition holds, and fails if it never does.
+/// Waits until a condition holds; panics after [`WAIT_TIMEOUT`].
 pub(crate) fn wait_for(what: &str, mut holds: impl FnMut() -> bool) {
     let started = Instant::now();
-    while started.elapsed() < WAIT_MAX {
+    while started.elapsed() < WAIT_TIMEOUT {
         if holds() {
             return;
         }
         std::thread::sleep(Duration::from_millis(50));
     }
-    panic!("waited without result for {what}");
+    panic!("timed out waiting for {what}");
 }
--- a/tests/processes/sockets.rs
+++ b/tests/processes/sockets.rs
@@ -1,4 +1,4 @@
-//! The event loop alone: how sockets are divided, and how much is read in a turn.
+//! The event loop alone: how it divides the sockets, and how much it reads in a turn.
 
 use std::collections::HashSet;
 use std::io::{Read, Write};
@@ -19,40 +19,46 @@
     }
 }
 
-/// An event loop, and the address at which it takes the requests of users and agents.
+/// An event loop, and the address at which it serves users and agents.
 fn listen(limits: ConnectionLimits) -> (EventLoop, SocketAddr) {
     let front = SocketAddr::from(([127, 0, 0, 1], free_port()));
     let peers = SocketAddr::from(([127, 0, 0, 1], 0));
-    let event_loop = EventLoop::new(front, peers, limits).expect("it listens");
+    let event_loop = EventLoop::new(front, peers, limits).expect("the event loop cannot listen");
     (event_loop, front)
 }
 
-/// Found with a fleet half as large again: after a mass failure the leader's own
-/// calls to agents took every socket that the agents' and users' connections
-/// left. Each has its share: users' connections are closed before agents', and calls to the
-/// store succeed however many agents are called.
+/// Guards against running out of sockets: in a fleet of 1.5 times the usual size, after a mass
+/// failure, the leader's own calls to agents took every socket that connections of agents and
+/// users left. Each kind has its share: connections of users are closed before those of agents,
+/// and calls to the store succeed however many agents are called.
 #[test]
-#[expect(clippy::too_many_lines, reason = "one scenario, told step by step")]
-fn sockets_are_divided() {
+#[expect(
+    clippy::too_many_lines,
+    reason = "one scenario whose steps share state"
+)]
+fn agents_users_and_calls_have_shares_of_the_sockets() {
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
-    // They accept no connections: calls to them stay in progress.
-    let dead = TcpListener::bind(any).expect("a port");
-    let vital = TcpListener::bind(any).expect("a port");
-    let vital_addresses = HashSet::from([vital.local_addr().expect("an address")]);
+    // These listeners accept no connections, so calls to them stay in flight.
+    let unresponsive = TcpListener::bind(any).expect("cannot listen on a port");
+    let vital = TcpListener::bind(any).expect("cannot listen on a port");
+    let vital_addresses = HashSet::from([vital.local_addr().expect("socket has no local address")]);
     let (mut event_loop, front) = listen(limits(32, vital_addresses));
-    let mut serve = |sockets: &mut [TcpStream], path: &str| {
+    let mut serve_all = |sockets: &mut [TcpStream], path: &str| {
         for socket in sockets.iter_mut() {
             let text = format!("POST {path} HTTP/1.1\r\nContent-Length: 0\r\n\r\n");
             socket
                 .write_all(text.as_bytes())
-                .expect("it takes a request");
+                .expect("cannot send the request");
         }
         let mut left = sockets.len();
         let mut turns = 0;
         while left > 0 {
             turns += 1;
             assert!(turns < 4000, "{left} requests were not read");
-            for event in event_loop.turn(Duration::from_millis(5)).expect("a turn") {
+            for event in event_loop
+                .turn(Duration::from_millis(5))
+                .expect("the turn failed")
+            {
                 if let Event::Request { connection, .. } = event {
                     event_loop.answer(connection, 200, None, &[]);
                     left -= 1;
@@ -64,28 +70,30 @@
             .all(|socket| read_message(socket).is_some())
     };
     let open = |count: usize| -> Vec<TcpStream> {
-        let connect = |_| TcpStream::connect(front).expect("a connection");
+        let connect = |_| TcpStream::connect(front).expect("cannot connect");
         (0..count).map(connect).collect()
     };
     let mut agents = open(16);
-    assert!(serve(&mut agents, "/checkin"));
+    assert!(serve_all(&mut agents, "/checkin"));
     for _ in 0..5 {
-        // Eight connections are left: later users replace earlier ones.
+        // Eight connections are left for users: later users replace earlier ones.
         let mut users = open(8);
-        assert!(serve(&mut users, "/work"));
+        assert!(serve_all(&mut users, "/work"));
     }
     assert!(
-        serve(&mut agents, "/checkin"),
+        serve_all(&mut agents, "/checkin"),
         "an agent lost its connection"
     );
     let mut unsent = 0;
     for tag in 0..20 {
-        let to = dead.local_addr().expect("an address");
+        let to = unresponsive
+            .local_addr()
+            .expect("socket has no local address");
         event_loop.call(tag, to, "GET", "/inspect", &[], Duration::from_secs(60));
     }
-    let to = vital.local_addr().expect("an address");
+    let to = vital.local_addr().expect("socket has no local address");
     event_loop.call(99, to, "GET", "/kv", &[], Duration::from_secs(60));
-    for event in event_loop.turn(Duration::ZERO).expect("a turn") {
+    for event in event_loop.turn(Duration::ZERO).expect("the turn failed") {
         if let Event::Reply { tag, outcome } = event {
             assert_eq!(outcome, Outcome::NotSent);
             assert_ne!(tag, 99);
@@ -93,28 +101,30 @@
         }
     }
     assert_eq!(unsent, 14);
-    vital.accept().expect("the vital call");
+    vital.accept().expect("the vital call does not arrive");
 }
 
-/// Found on lean lenteks, rough: 370 new connections a second were accepted and read before
-/// anything else was handled, and connections of redirected agents stayed open until the agents
-/// closed them. A turn is bounded, and 421 ends the connection.
+/// Guards against an event loop that falls behind: 370 new connections a second were accepted and
+/// read before anything else was handled, and connections of redirected agents stayed open until
+/// the agents closed them. A turn must be bounded, and a 421 must close the connection.
 #[test]
-fn a_turn_is_bounded_and_a_redirect_closes() {
+fn a_turn_is_bounded_and_a_redirect_closes_the_connection() {
     let (mut event_loop, front) = listen(limits(400, HashSet::new()));
     let mut sockets: Vec<TcpStream> = (0..60)
-        .map(|_| TcpStream::connect(front).expect("a connection"))
+        .map(|_| TcpStream::connect(front).expect("cannot connect"))
         .collect();
     for socket in &mut sockets {
         socket
             .write_all(b"POST /checkin HTTP/1.1\r\nContent-Length: 0\r\n\r\n")
-            .expect("it takes a request");
+            .expect("cannot send the request");
     }
     let (mut left, mut turns) = (sockets.len(), 0);
     while left > 0 {
         turns += 1;
         assert!(turns < 4000, "{left} requests were not read");
-        let events = event_loop.turn(Duration::from_millis(5)).expect("a turn");
+        let events = event_loop
+            .turn(Duration::from_millis(5))
+            .expect("the turn failed");
         assert!(events.len() <= 24, "{} events in a turn", events.len());
         for event in events {
             if let Event::Request { connection, .. } = event {
@@ -124,19 +134,21 @@
         }
     }
     for socket in &mut sockets {
-        let answer = read_message(socket).expect("an answer");
+        let answer = read_message(socket).expect("no answer");
         assert_eq!(answer.status, Some(421));
         assert_eq!(
-            socket.read(&mut [0; 1]).expect("an end"),
+            socket
+                .read(&mut [0; 1])
+                .expect("reading failed before the end of the connection"),
             0,
             "the connection stays open"
         );
     }
 }
 
-/// With more machines than sockets, each machine would lose its connection just before its next
-/// heartbeat if the least recently used connection were closed: none would keep one. Existing
-/// connections are kept, and other machines are served on connections of one request.
+/// With more machines than sockets, existing connections must be kept and the other machines be
+/// served on connections of one request. If the least recently used connection were closed, each
+/// machine would lose its connection just before its next heartbeat, and none would keep one.
 #[test]
 fn more_machines_than_sockets() {
     let (mut event_loop, front) = listen(limits(64, HashSet::new()));
@@ -147,24 +159,27 @@
         for kept in &mut machines {
             let mut socket = kept.take().unwrap_or_else(|| {
                 opened += 1;
-                TcpStream::connect(front).expect("a connection")
+                TcpStream::connect(front).expect("cannot connect")
             });
             socket
                 .write_all(b"POST /checkin HTTP/1.1\r\nContent-Length: 0\r\n\r\n")
-                .expect("it takes a request");
+                .expect("cannot send the request");
             let mut answered = false;
             let mut turns = 0;
             while !answered {
                 turns += 1;
                 assert!(turns < 4000, "a request was not read");
-                for event in event_loop.turn(Duration::from_millis(5)).expect("a turn") {
+                for event in event_loop
+                    .turn(Duration::from_millis(5))
+                    .expect("the turn failed")
+                {
                     if let Event::Request { connection, .. } = event {
                         event_loop.answer(connection, 200, None, &[]);
                         answered = true;
                     }
                 }
             }
-            let answer = read_message(&mut socket).expect("an answer");
+            let answer = read_message(&mut socket).expect("no answer");
             *kept = (!answer.closes).then_some(socket);
         }
         connections.push(opened);
@@ -177,16 +192,17 @@
     assert_eq!(connections, [90, 90 - kept, 90 - kept]);
 }
 
-/// An answer of the largest size is received, and a larger one is told apart from none.
+/// An answer of the largest allowed size is received, and a larger one is reported as too large,
+/// not as missing.
 #[test]
-fn answers_of_the_largest_size_and_larger() {
+fn answers_up_to_the_largest_size_are_received() {
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
-    let other = TcpListener::bind(any).expect("a port");
-    let to = other.local_addr().expect("an address");
-    let bound = 100_000;
+    let other = TcpListener::bind(any).expect("cannot listen on a port");
+    let to = other.local_addr().expect("socket has no local address");
+    let largest = 100_000;
     std::thread::spawn(move || {
-        for (socket, length) in other.incoming().zip([bound, bound + 1]) {
-            let mut socket = socket.expect("a connection");
+        for (socket, length) in other.incoming().zip([largest, largest + 1]) {
+            let mut socket = socket.expect("cannot connect");
             let _ = read_message(&mut socket);
             let head =
                 format!("HTTP/1.1 200 X\r\nConnection: close\r\nContent-Length: {length}\r\n\r\n");
@@ -195,13 +211,16 @@
         }
     });
     let (mut event_loop, _) = listen(ConnectionLimits {
-        reply_max: bound,
+        reply_max: largest,
         ..limits(64, HashSet::from([to]))
     });
     let mut outcome_of = |tag: u64| {
         event_loop.call(tag, to, "GET", "/watch", &[], Duration::from_secs(20));
         for _ in 0..8000 {
-            for event in event_loop.turn(Duration::from_millis(5)).expect("a turn") {
+            for event in event_loop
+                .turn(Duration::from_millis(5))
+                .expect("the turn failed")
+            {
                 if let Event::Reply { outcome, .. } = event {
                     return outcome;
                 }
@@ -210,6 +229,6 @@
         panic!("no outcome of call {tag}");
     };
     let first = outcome_of(1);
-    assert!(matches!(first, Outcome::Answer { body, .. } if body.len() == bound));
+    assert!(matches!(first, Outcome::Answer { body, .. } if body.len() == largest));
     assert_eq!(outcome_of(2), Outcome::TooLarge);
 }
