--- a/examples/scheduling_cost.rs
+++ b/examples/scheduling_cost.rs
@@ -83,7 +83,7 @@
 impl Fleet {
     fn new(machines: usize) -> Fleet {
         let cluster = support::cluster(r#"[{"name":"t"}]"#, "[]", "8.0");
-        let scheduler = support::control_from(&cluster, 1, &WatchCache::default(), 1);
+        let scheduler = support::scheduler_from_cache(&cluster, 1, &WatchCache::default(), 1);
         Fleet {
             machines,
             cluster,
@@ -117,7 +117,7 @@
         AgentStatus {
             spot: machine % 3 == 0,
             tasks: self.tasks[machine].clone(),
-            ..support::report(&format!("m-{machine:06}"), serial, epoch)
+            ..support::agent_status(&format!("m-{machine:06}"), serial, epoch)
         }
     }
 
@@ -210,7 +210,7 @@
         for (machine, commands) in commands.into_iter().enumerate() {
             let started = commands
                 .iter()
-                .map(|start| support::task(&start.task, start.attempt, "running", None));
+                .map(|start| support::task_status(&start.task, start.attempt, "running", None));
             self.tasks[machine] = started.collect();
         }
         let started: usize = self.tasks.iter().map(Vec::len).sum();
@@ -315,7 +315,7 @@
         let mut watch_cache = WatchCache::default();
         watch_cache.jobs.extend(std::mem::take(&mut self.records));
         let successor = timed("a successor's state from the records", 1, || {
-            support::control_from(&self.cluster, 2, &watch_cache, self.now)
+            support::scheduler_from_cache(&self.cluster, 2, &watch_cache, self.now)
         });
         let predecessor = std::mem::replace(&mut self.scheduler, successor);
         let listed = self.listed();
--- a/tests/unit/admission.rs
+++ b/tests/unit/admission.rs
@@ -1,9 +1,9 @@
-//! The adaptive limit on requests in progress.
+//! The adaptive limit on requests in flight.
 
 use gaugesill::admission::AdmissionLimit;
 
 #[test]
-fn the_admission_limit_follows_measured_times() {
+fn the_admission_limit_follows_measured_durations() {
     let mut limit = AdmissionLimit::new(500, 800);
     let start = limit.limit();
     for round in 0..20 {
--- a/tests/unit/cloud.rs
+++ b/tests/unit/cloud.rs
@@ -1,4 +1,4 @@
-//! Which machines a scale-out rents.
+//! The choice of the machines that a scale-out rents.
 
 use crate::support::*;
 use gaugesill::cloud::{plan_scale_out, Demand, IncomingMachines, MachineKind, MachinesToRent};
@@ -6,7 +6,7 @@
 use std::collections::{BTreeMap, HashSet};
 use std::sync::Arc;
 
-/// How many machines a plan may rent.
+/// Maximum number of machines that a plan may rent.
 const MACHINES_MAX: u64 = 9;
 
 fn demand(spec: &JobSpec, count: u32) -> Demand {
@@ -18,14 +18,14 @@
     }
 }
 
-/// Tasks of half a small machine that may run on spot machines.
+/// An array that may run on spot machines; each task takes half of a small machine.
 fn spot_array() -> JobSpec {
     let mut array = spec(Shape::Array, 8, 4.0, Priority::Low);
     array.spot = true;
     array
 }
 
-/// Plans for one demand; `is_sold_out`: kinds of machines that are not available.
+/// Plans a scale-out for one demand; `is_sold_out` tells which kinds of machines are unavailable.
 fn plan(
     demand: Demand,
     incoming: Vec<IncomingMachines>,
@@ -39,8 +39,7 @@
     false
 }
 
-/// Eight tasks fill one large machine, which is the cheapest for each; for one task alone a
-/// small machine is.
+/// For eight tasks, one large machine costs the least per task; for a single task, a small one.
 #[test]
 fn the_cheapest_suitable_machines_are_rented() {
     let planned = plan(demand(&spot_array(), 8), vec![], &none_sold_out);
@@ -52,7 +51,7 @@
 }
 
 #[test]
-fn machines_on_their_way_are_used_first() {
+fn incoming_machines_are_used_before_new_ones_are_rented() {
     let planned = plan(demand(&spot_array(), 1), vec![], &none_sold_out);
     let incoming = IncomingMachines {
         kind: planned[0].kind.clone(),
@@ -63,7 +62,7 @@
 }
 
 #[test]
-fn on_demand_machines_are_rented_only_where_it_pays() {
+fn on_demand_machines_are_rented_only_up_to_the_price_ratio() {
     let no_spot = |kind: &MachineKind| kind.spot;
     let planned_at = |on_demand_price_ratio| {
         let demand = Demand {
@@ -77,9 +76,9 @@
     assert_eq!(planned_at(5.5).len(), 1);
 }
 
-/// Machines for a gang in one zone are rented in one zone, for a spread one in two.
+/// Machines for a single-zone gang are rented in one zone, those for a spread gang in two.
 #[test]
-fn machines_are_rented_in_zones_that_suit_the_gang() {
+fn machines_are_rented_in_zones_that_the_gang_allows() {
     let zones = |gang: &JobSpec| {
         let planned = plan(demand(gang, 6), vec![], &none_sold_out);
         let zones = planned.iter().map(|machines| machines.kind.zone.clone());
--- a/tests/unit/duties.rs
+++ b/tests/unit/duties.rs
@@ -1,4 +1,4 @@
-//! How the scheduler follows the records of duties' orders, in any order of events.
+//! How the scheduler tracks the records of duties' orders, for arbitrary sequences of events.
 
 use std::collections::BTreeSet;
 
@@ -7,7 +7,7 @@
 use gaugesill::scheduler::{ProvisioningOutcome, Scheduler, StatusOrigin, TerminationOutcome};
 use proptest::prelude::*;
 
-/// A change of an order's record, or a heartbeat in between.
+/// A change of an order's record, or a heartbeat.
 #[derive(Debug, Clone)]
 enum Observation {
     TerminationRecorded(usize),
@@ -24,7 +24,7 @@
     format!("m-{index}")
 }
 
-/// The machine that a provisioning request brings.
+/// The machine that a provisioning request rents.
 fn rented_name(rental: usize) -> String {
     format!("r-{rental}")
 }
@@ -50,12 +50,12 @@
     ]
 }
 
-/// The leader's scheduler and the state that follows from the observations.
+/// The leader's scheduler, and the state that it should have after the observations.
 struct Leader {
     scheduler: Scheduler,
     now: u64,
     serial: u64,
-    /// Machines whose termination is on record.
+    /// Machines whose termination is recorded.
     terminating: BTreeSet<String>,
     /// Machines that are deleted.
     deleted: BTreeSet<String>,
@@ -66,7 +66,7 @@
 impl Leader {
     fn new() -> Leader {
         let mut leader = Leader {
-            scheduler: control("[]"),
+            scheduler: scheduler_with_objectives("[]"),
             now: 1000,
             serial: 0,
             terminating: BTreeSet::new(),
@@ -74,15 +74,15 @@
             open_provisioning_requests: BTreeSet::new(),
             rented: BTreeSet::new(),
         };
-        (0..MACHINES).for_each(|index| leader.report(&machine_name(index)));
+        (0..MACHINES).for_each(|index| leader.send_heartbeat(&machine_name(index)));
         leader
     }
 
-    fn report(&mut self, name: &str) {
+    fn send_heartbeat(&mut self, name: &str) {
         self.serial += 1;
-        let report = report(name, self.serial, 2);
+        let status = agent_status(name, self.serial, 2);
         self.scheduler
-            .on_agent_status(&report, StatusOrigin::Heartbeat, self.now);
+            .on_agent_status(&status, StatusOrigin::Heartbeat, self.now);
     }
 
     fn observe(&mut self, observation: Observation) {
@@ -133,7 +133,7 @@
                 self.scheduler
                     .on_provisioning_outcome(&idempotency_key, outcome, self.now);
             }
-            Observation::Heartbeat(index) => self.report(&machine_name(index)),
+            Observation::Heartbeat(index) => self.send_heartbeat(&machine_name(index)),
         }
     }
 
@@ -153,11 +153,11 @@
         ..ProptestConfig::default()
     })]
 
-    /// A machine whose termination is on record, or which is deleted, never gets work, whatever
-    /// else is observed; a machine whose termination was rejected gets work again. The
+    /// No tasks are placed on a machine whose termination is recorded, or which is deleted,
+    /// whatever else is observed; a machine whose termination was rejected is usable again. The
     /// scheduler knows each rented machine once, and no others.
     #[test]
-    fn the_scheduler_follows_the_records_of_duties(all in prop::collection::vec(observation(), 1..60)) {
+    fn the_scheduler_tracks_the_records_of_duties(all in prop::collection::vec(observation(), 1..60)) {
         let mut leader = Leader::new();
         for observation in all {
             leader.observe(observation);
--- a/tests/unit/leader_lease.rs
+++ b/tests/unit/leader_lease.rs
@@ -8,7 +8,7 @@
 use gaugesill::settings::OperatorSettings;
 use gaugesill::watch_cache::{VersionedLeaderKey, WatchCache};
 
-/// A watch cache that has read the store and found a leader key, or none.
+/// A watch cache that is loaded, with a leader key or none.
 fn loaded_cache(leader_key: Option<VersionedLeaderKey>) -> WatchCache {
     let mut cache = WatchCache::default();
     cache.loaded = true;
@@ -46,7 +46,7 @@
     );
     assert!(
         lease.is_certain(2000) && !lease.is_certain(2900),
-        "counted from the request for the grant"
+        "the time to live counts from the request for the grant"
     );
     cache.leader_key = own_key();
     assert_eq!(lease.on_cache_event(&cache), None);
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn a_key_of_an_earlier_generation_is_replaced_at_once() {
+fn the_leader_key_of_an_earlier_process_is_replaced_at_once() {
     let mut lease = LeaderLease::new("c0", 3000, 20);
     let cache = loaded_cache(own_key());
     assert_eq!(lease.tick(1, &cache, 0.0), Some(LeaseRequest::Grant));
@@ -73,8 +73,8 @@
     ));
 }
 
-/// Found on lean lenteks, rough: leaders lost their grants because a second or two of work came
-/// at once. A grant outlasts that, however small the share of the processor.
+/// Guards against lost grants of leaders with a small share of a processor, which could not renew
+/// them during bursts of one or two seconds of work. The time to live grows as the share shrinks.
 #[test]
 fn a_grant_outlasts_a_processor_stall() {
     let ttl_ms = |share: f64| {
@@ -91,10 +91,10 @@
     assert_eq!(ttl_ms(0.001), 9000, "a quarter of a lease at most");
 }
 
-/// The fence needs three writes the first time and two from then on; where a transaction
-/// cannot hold three, the lease stays with the key that all versions know.
+/// Raising the fence takes a transaction of three writes; later elections need two. Where a
+/// transaction cannot hold three, the lease keeps using the key that all versions know.
 #[test]
-fn the_fence_is_raised_where_a_transaction_can_hold_it() {
+fn the_fence_is_raised_only_if_a_transaction_can_hold_its_writes() {
     let fence_of = |writes_max: usize, format: u64, superseded: bool| {
         let mut lease = LeaderLease::new("c0", 3000, writes_max);
         let mut watch_cache = WatchCache::default();
--- a/tests/unit/machine.rs
+++ b/tests/unit/machine.rs
@@ -4,11 +4,11 @@
 use gaugesill::machine::BoundTask;
 use gaugesill::plan::Resources;
 
-/// The orphans of a machine are cached, since each plan needs them for all machines; a task that
-/// a record no longer binds becomes an orphan again.
+/// The orphans of a machine are cached, because each plan needs them for all machines. Guards
+/// against a stale cache: a task that no record binds any longer is an orphan again.
 #[test]
-fn orphans_are_found_anew_once_a_record_changes() {
-    let mut scheduler = busy_machines("3.0");
+fn orphans_are_recomputed_when_a_record_changes() {
+    let mut scheduler = scheduler_with_busy_machines("3.0");
     let machine = scheduler.machines.get_mut("m-0").expect("a machine");
     machine.update_orphans();
     assert_eq!(machine.orphans().count(), 1, "no record binds its task");
--- a/tests/unit/plan.rs
+++ b/tests/unit/plan.rs
@@ -6,7 +6,7 @@
 use std::collections::{BTreeMap, HashMap};
 
 #[test]
-fn a_gang_starts_whole_or_not_at_all() {
+fn a_gang_is_placed_completely_or_not_at_all() {
     let gang = job("g", spec(Shape::Gang, 3, 4.0, Priority::Normal));
     let decision = cycle(snapshot(vec![machine("m1", "a", 8.0)], vec![gang.clone()]));
     assert!(decision.placements.is_empty() && decision.stops.is_empty());
@@ -20,9 +20,12 @@
 }
 
 #[test]
-fn victims_are_stopped_only_for_a_gang_that_fits_whole() {
+fn tasks_are_preempted_only_for_a_gang_that_then_fits_completely() {
     let mut m1 = machine("m1", "a", 0.0);
-    m1.tasks = vec![filler("low", 0, 4.0), filler("low", 1, 4.0)];
+    m1.tasks = vec![
+        preemptible_task("low", 0, 4.0),
+        preemptible_task("low", 1, 4.0),
+    ];
     let gang = job("g", spec(Shape::Gang, 3, 4.0, Priority::Normal));
     let decision = cycle(snapshot(vec![m1.clone()], vec![gang.clone()]));
     assert!(decision.stops.is_empty() && decision.reservations.is_empty());
@@ -39,7 +42,7 @@
 #[test]
 fn equal_priority_is_not_preempted_but_borrowed_quota_is() {
     let mut m1 = machine("m1", "a", 0.0);
-    let mut task = filler("other", 0, 8.0);
+    let mut task = preemptible_task("other", 0, 8.0);
     task.priority = Priority::Normal;
     task.team = "u".into();
     m1.tasks = vec![task];
@@ -61,10 +64,10 @@
     assert_eq!(cycle(input).stops.len(), 1);
 }
 
-/// Capacity for one of three jobs: the job that has missed all its objectives goes last, and of
-/// the others the one with the least work left goes first.
+/// There is capacity for one of three jobs. A job that has missed all its objectives is placed
+/// last; of the others, the one with the least remaining work is placed first.
 #[test]
-fn queue_order_puts_lost_jobs_last_and_small_ones_first() {
+fn jobs_without_reachable_objectives_are_placed_last_and_small_ones_first() {
     let one = |id: &str, tasks, start_by_s| {
         let mut job = job(id, spec(Shape::Array, tasks, 8.0, Priority::Low));
         job.start_by_s = start_by_s;
@@ -82,14 +85,14 @@
 }
 
 #[test]
-fn reserved_capacity_waits_for_its_gang_without_new_victims() {
+fn reserved_capacity_is_kept_for_its_gang_without_further_preemptions() {
     let mut m1 = machine("m1", "a", 4.0);
-    let mut leaving = filler("low", 0, 4.0);
+    let mut leaving = preemptible_task("low", 0, 4.0);
     leaving.stoppable = false;
     m1.tasks = vec![leaving];
-    m1.reservations = vec![held("g", 8.0, Priority::Normal)];
+    m1.reservations = vec![reservation("g", 8.0, Priority::Normal)];
     let mut m2 = machine("m2", "a", 0.0);
-    m2.tasks = vec![filler("low", 1, 8.0)];
+    m2.tasks = vec![preemptible_task("low", 1, 8.0)];
     let gang = job("g", spec(Shape::Gang, 1, 8.0, Priority::Normal));
     let small = job("s", spec(Shape::Array, 1, 2.0, Priority::Low));
     let decision = cycle(snapshot(
@@ -97,7 +100,7 @@
         vec![gang.clone(), small],
     ));
     assert!(decision.stops.is_empty() && decision.placements.is_empty());
-    // Other capacity is free now: the gang may use it.
+    // The gang may use other capacity that becomes free.
     let decision = cycle(snapshot(vec![m1, machine("m3", "a", 8.0)], vec![gang]));
     let binding = TaskBinding {
         task: 0,
@@ -107,9 +110,9 @@
 }
 
 #[test]
-fn reserved_capacity_gives_way_to_higher_priority() {
+fn reserved_capacity_is_available_to_higher_priorities() {
     let mut m1 = machine("m1", "a", 8.0);
-    m1.reservations = vec![held("low", 8.0, Priority::Normal)];
+    m1.reservations = vec![reservation("low", 8.0, Priority::Normal)];
     let high = job("high", spec(Shape::Gang, 1, 8.0, Priority::High));
     let equal = job("equal", spec(Shape::Gang, 1, 8.0, Priority::Normal));
     assert!(cycle(snapshot(vec![m1.clone()], vec![equal]))
@@ -118,9 +121,9 @@
     assert_eq!(cycle(snapshot(vec![m1], vec![high])).placements.len(), 1);
 }
 
-/// Found on a quiet day of a large fleet: a tenth of all tasks pulled images, although jobs with
-/// their image on the machine were a little further back in the queue. An array leaves such a
-/// machine to them for a while, uses it if no other job does, and is not passed over for ever.
+/// Guards against needless image pulls: in a large fleet, a tenth of all tasks pulled images
+/// although jobs whose image was cached on the machine were slightly further back in the queue.
+/// An array leaves such a machine to those jobs for a limited time, and uses it if they do not.
 #[test]
 fn arrays_prefer_machines_with_their_image() {
     let mut cached = machine("m1", "a", 4.0);
@@ -140,12 +143,12 @@
     };
     let placed = |jobs: Vec<JobView>| {
         let decision = cycle(snapshot(vec![cached.clone()], jobs));
-        let place = decision
+        let first_placement = decision
             .placements
             .first()
             .map(|placement| (placement.job.to_string(), placement.tasks.len()));
         (
-            place,
+            first_placement,
             decision.arrays_skipping_uncached.len(),
             decision.unmet.iter().map(|demand| demand.count).sum(),
         )
@@ -158,14 +161,14 @@
 }
 
 #[test]
-fn zone_constraints_are_kept() {
+fn zone_constraints_are_enforced() {
     let mut one = spec(Shape::Gang, 2, 4.0, Priority::Normal);
     one.single_zone = true;
     let split = vec![machine("m1", "a", 4.0), machine("m2", "b", 4.0)];
     assert!(cycle(snapshot(split.clone(), vec![job("g", one.clone())]))
         .placements
         .is_empty());
-    // Remaining tasks of an old attempt restrict the others to their zone.
+    // Tasks of an old attempt that still run restrict the others to their zone.
     let mut bound = job("g", one);
     bound.zones = BTreeMap::from([("b".into(), 1)]);
     let decision = cycle(snapshot(
@@ -193,8 +196,8 @@
     assert!((1..=2).contains(&in_a));
 }
 
-/// Found on a day with three teams: while a gang backed off because of the quota limit, arrays of
-/// its team used what became free, again and again.
+/// Guards against starvation of a gang that backs off at the quota limit: arrays of its team
+/// repeatedly used the quota that became free.
 #[test]
 fn a_gang_backing_off_keeps_its_claim_on_the_quota() {
     let mut gang = job("g", spec(Shape::Gang, 2, 4.0, Priority::High));
@@ -213,8 +216,8 @@
     assert!(decision.placements.is_empty() && decision.failed.is_empty());
 }
 
-/// Found in the log of a day that began with eight gangs: no machines were rented for those
-/// that backed off, and the machines on their way were used by later gangs.
+/// Guards against ignoring gangs that back off in a scale-out: with eight gangs at the start, no
+/// machines were rented for those, and later gangs used the incoming machines.
 #[test]
 fn machines_are_rented_for_a_gang_backing_off() {
     let mut gang = job("g", spec(Shape::Gang, 2, 8.0, Priority::Normal));
--- a/tests/unit/scalability.rs
+++ b/tests/unit/scalability.rs
@@ -1,4 +1,4 @@
-//! The cost of work does not grow with the fleet; costs are counted, not timed.
+//! The cost of an operation does not grow with the fleet. Costs are counted, not timed.
 
 use crate::support::*;
 use gaugesill::fleet_capacity::limit_capacities;
@@ -6,25 +6,31 @@
 use gaugesill::plan::{self, JobView, MachineView};
 use gaugesill::scheduler::{Effect, Scheduler, StartPermission, StatusOrigin, WorkCounts};
 
-/// The scheduler of a leader with a task on each machine, and a waiting task of each job.
+/// The scheduler of a leader with one running task on each machine and one pending task of each
+/// job.
 fn busy_fleet(machines: usize) -> Scheduler {
-    let mut scheduler = control("[]");
+    let mut scheduler = scheduler_with_objectives("[]");
     for number in 0..machines {
         let mut record = JobRecord::new(spec(Shape::Array, 2, 20.0, Priority::Low), 1_000_000);
         record.runs = vec![(0, 1, 1, format!("m-{number:06}")).into()];
         record.next_attempt = 2;
         add_record(&mut scheduler, &format!("run-{number:06}"), record);
-        let mut up = report(&format!("m-{number:06}"), 1, 2);
-        up.tasks = vec![task(&format!("run-{number:06}/0"), 1, "running", None)];
-        scheduler.on_agent_status(&up, StatusOrigin::Heartbeat, 1000);
-        scheduler.heartbeat_response_commands(&up, StartPermission::Granted, 1000);
+        let mut status = agent_status(&format!("m-{number:06}"), 1, 2);
+        status.tasks = vec![task_status(
+            &format!("run-{number:06}/0"),
+            1,
+            "running",
+            None,
+        )];
+        scheduler.on_agent_status(&status, StatusOrigin::Heartbeat, 1000);
+        scheduler.heartbeat_response_commands(&status, StartPermission::Granted, 1000);
     }
     scheduler.flush(1000, 1, 0);
     scheduler.take_effects();
     scheduler
 }
 
-/// What a hundred heartbeats cost.
+/// The cost of a hundred heartbeats.
 #[derive(Debug, PartialEq)]
 struct HeartbeatCosts {
     counts: WorkCounts,
@@ -45,13 +51,13 @@
     let mut records = 0;
     for number in 0..100 {
         let name = format!("m-{number:06}");
-        let mut next = report(&name, 2, 2);
+        let mut next = agent_status(&name, 2, 2);
         let (status, cause) = if number % 10 == 0 {
             ("ended", Some("done"))
         } else {
             ("running", None)
         };
-        next.tasks = vec![task(&format!("run-{number:06}/0"), 1, status, cause)];
+        next.tasks = vec![task_status(&format!("run-{number:06}/0"), 1, status, cause)];
         scheduler.on_agent_status(&next, StatusOrigin::Heartbeat, 9000);
         scheduler.heartbeat_response_commands(&next, StartPermission::Granted, 9000);
         scheduler.flush(9000, 1, 0);
@@ -68,9 +74,9 @@
     HeartbeatCosts { counts, records }
 }
 
-/// Found at 4,000 machines: each heartbeat walked all jobs for records to write, and all
-/// machines with starts to send, so that a second's heartbeats cost four times as much at
-/// twice the size.
+/// Guards against a quadratic cost: at 4,000 machines, each heartbeat iterated over all jobs for
+/// records to write and over all machines with starts to send, so the heartbeats of one second
+/// cost four times as much in a fleet of twice the size.
 #[test]
 fn a_heartbeat_costs_the_same_in_a_fleet_of_any_size() {
     let small = cost_of_heartbeats(200);
@@ -82,7 +88,7 @@
 fn full_queue(machines: usize) -> (Vec<MachineView>, Vec<JobView>) {
     let views = (0..machines).map(|number| MachineView {
         images: vec![format!("img-{}", number % 7).as_str().into()],
-        tasks: vec![filler(&format!("low-{number}"), 0, 4.0)],
+        tasks: vec![preemptible_task(&format!("low-{number}"), 0, 4.0)],
         ..machine(&format!("m-{number:06}"), "a", 4.0)
     });
     let jobs = (0..machines / 4).map(|number| {
@@ -97,10 +103,10 @@
     (views.collect(), jobs.collect())
 }
 
-/// Found at 6,000 machines: a plan examined all machines for each job, and took 0.35 s of
-/// a core after the loss of a third of them.
+/// Guards against plans that examine all machines for each job: at 6,000 machines, a plan took
+/// 0.35 s of a core after the loss of a third of them.
 #[test]
-fn a_plan_costs_by_machines_and_tasks() {
+fn the_cost_of_a_plan_is_linear_in_machines_and_tasks() {
     let examined = |machines: usize| {
         let (views, jobs) = full_queue(machines);
         let tasks: usize = jobs.iter().map(|job| job.pending.len()).sum();
@@ -115,10 +121,10 @@
     );
 }
 
-/// A third of 4,000 machines is lost, which takes fourteen calls. Those that the rate limit
-/// postponed waited for as long as an answer may take, so that it took twelve seconds.
+/// The loss of a third of 4,000 machines takes fourteen termination calls. Calls that the rate
+/// limit postponed used to wait for the answer timeout, so that all calls took twelve seconds.
 #[test]
-fn terminations_wait_for_the_limit_and_not_for_an_answer() {
+fn postponed_terminations_are_sent_again_without_an_answer_timeout() {
     let mut scheduler = busy_fleet(1400);
     scheduler.set_redirected_elsewhere(Some(0));
     let terminations = |scheduler: &mut Scheduler| -> Vec<Vec<String>> {
--- a/tests/unit/settings.rs
+++ b/tests/unit/settings.rs
@@ -1,18 +1,18 @@
-//! The checks of settings files.
+//! The validation of settings files.
 
 use gaugesill::settings::{OperatorSettings, Settings};
 use std::path::Path;
 
-const GOOD: &str = r#"{"member":"w0","zone":"z","front":"10.0.0.1:8080","mesh_addr":"10.0.0.1:8081",
+const VALID_SETTINGS: &str = r#"{"member":"w0","zone":"z","front":"10.0.0.1:8080","mesh_addr":"10.0.0.1:8081",
       "known":[],"endpoints":{"cloud":"10.2.0.2:8443","state":"10.2.0.1:2379"},"new":{"x":1},
       "cluster":{"workers":{"report_s":3,"lease_s":36.0,"gang_wait_s":35.0,"gang_peer_s":4.0,
       "cancel_s":66.0},"state":{"rps":100,"write_rps":25.0,"value_kb":16.0,"txn_ops":20},
       "cloud":{"rps":5.0,"list_lag_s":3.0},"limits":{"cpu_share":0.08,"ram_mb":200,"fd_limit":4000}}}"#;
 
-/// Invalid settings of duties are refused at the start, with the name of the field.
+/// Invalid settings of duties are rejected with the name of the field.
 #[test]
-fn invalid_settings_of_duties_are_refused() {
-    let platform: Settings = serde_json::from_str(GOOD).expect("settings");
+fn invalid_settings_of_duties_are_rejected() {
+    let platform: Settings = serde_json::from_str(VALID_SETTINGS).expect("settings");
     let check = |text: &str| {
         let text = format!("[duties]\n{text}");
         let operator =
@@ -63,13 +63,13 @@
 }
 
 #[test]
-fn invalid_settings_are_refused() {
+fn invalid_settings_are_rejected() {
     let check = |text: &str| {
         serde_json::from_str::<Settings>(text)
             .map_err(|error| error.to_string())
             .and_then(|settings| settings.check().map_err(|error| error.to_string()))
     };
-    assert_eq!(check(GOOD), Ok(()));
+    assert_eq!(check(VALID_SETTINGS), Ok(()));
     for (original, replacement, field) in [
         ("\"lease_s\":36.0", "\"lease_s\":-1", "lease_s"),
         ("\"cancel_s\":66.0", "\"cancel_s\":20.0", "cancel_s"),
@@ -77,7 +77,7 @@
         ("10.0.0.1:8080", "nowhere", "invalid socket address"),
         ("\"fd_limit\":4000", "\"fd_limit\":3", "fd_limit"),
     ] {
-        let error = check(&GOOD.replace(original, replacement)).expect_err(replacement);
+        let error = check(&VALID_SETTINGS.replace(original, replacement)).expect_err(replacement);
         assert!(error.contains(field), "{error}");
     }
     let error = Settings::load(Path::new("/nowhere.json")).expect_err("no such file");
--- a/tests/unit/support.rs
+++ b/tests/unit/support.rs
@@ -1,7 +1,6 @@
-//! Settings, jobs, machines and statuses for the tests of the planner and the scheduler.
+//! Test data for the planner and the scheduler: settings, jobs, machines and agent statuses.
 
-// Examples use a part of this module.
-#![allow(dead_code, reason = "an example uses a part of it")]
+#![allow(dead_code, reason = "an example uses only a part of this module")]
 
 use gaugesill::epoch::Epoch;
 use gaugesill::job::{JobRecord, JobSpec, Priority, Shape, TaskRun};
@@ -42,7 +41,7 @@
     }
 }
 
-/// A machine of eight cores, of which `free` are free.
+/// A machine with eight cores, of which `free` are free.
 pub(crate) fn machine(name: &str, zone: &str, free: f64) -> MachineView {
     let resources = |cpus| Resources {
         cpus,
@@ -81,8 +80,8 @@
     }
 }
 
-/// A task of low priority that can be stopped.
-pub(crate) fn filler(job: &str, task: u32, cpus: f64) -> TaskView {
+/// A low-priority task that may be preempted.
+pub(crate) fn preemptible_task(job: &str, task: u32, cpus: f64) -> TaskView {
     TaskView {
         job: job.into(),
         task,
@@ -99,8 +98,8 @@
     }
 }
 
-/// Capacity that is reserved for a job.
-pub(crate) fn held(job: &str, cpus: f64, priority: Priority) -> Reservation {
+/// Capacity reserved for a job.
+pub(crate) fn reservation(job: &str, cpus: f64, priority: Priority) -> Reservation {
     Reservation {
         job: job.into(),
         resources: Resources {
@@ -150,19 +149,19 @@
     ]
 }
 
-/// The scheduler of a leader with objectives, given as JSON.
-pub(crate) fn control(objectives: &str) -> Scheduler {
-    control_with(objectives, "3.0")
+/// The scheduler of a leader; `objectives` is JSON.
+pub(crate) fn scheduler_with_objectives(objectives: &str) -> Scheduler {
+    scheduler_with_heartbeat_interval(objectives, "3.0")
 }
 
-/// The same with another heartbeat interval.
-pub(crate) fn control_with(objectives: &str, report_s: &str) -> Scheduler {
-    control_of(r#"[{"name":"t"}]"#, objectives, report_s)
+/// [`scheduler_with_objectives`] with another heartbeat interval, in seconds.
+pub(crate) fn scheduler_with_heartbeat_interval(objectives: &str, report_s: &str) -> Scheduler {
+    scheduler_with_teams(r#"[{"name":"t"}]"#, objectives, report_s)
 }
 
-/// The same with teams, given as JSON.
-pub(crate) fn control_of(teams: &str, objectives: &str, report_s: &str) -> Scheduler {
-    control_from(
+/// [`scheduler_with_heartbeat_interval`] with other teams, as JSON.
+pub(crate) fn scheduler_with_teams(teams: &str, objectives: &str, report_s: &str) -> Scheduler {
+    scheduler_from_cache(
         &cluster(teams, objectives, report_s),
         2,
         &WatchCache::default(),
@@ -171,7 +170,7 @@
 }
 
 /// The scheduler of a leader that starts from a watch cache.
-pub(crate) fn control_from(
+pub(crate) fn scheduler_from_cache(
     cluster: &ClusterSettings,
     epoch: u64,
     watch_cache: &WatchCache,
@@ -195,7 +194,7 @@
     )
 }
 
-/// The platform's settings.
+/// The platform settings; `teams` and `objectives` are JSON, `report_s` is the heartbeat interval.
 pub(crate) fn cluster(teams: &str, objectives: &str, report_s: &str) -> ClusterSettings {
     let text = format!(
         r#"{{"objectives":{objectives},"teams":{teams},"workers":{{"report_s":{report_s},"lease_s":36.0,
@@ -208,7 +207,7 @@
 }
 
 /// The status of a large machine without tasks.
-pub(crate) fn report(machine: &str, serial: u64, epoch: u64) -> AgentStatus {
+pub(crate) fn agent_status(machine: &str, serial: u64, epoch: u64) -> AgentStatus {
     AgentStatus {
         machine: machine.into(),
         endpoint: "10.1.0.1:9000".into(),
@@ -224,11 +223,11 @@
 }
 
 /// The scheduler of a leader with nine machines, each with a running task.
-pub(crate) fn busy_machines(report_s: &str) -> Scheduler {
-    let mut scheduler = control_with("[]", report_s);
+pub(crate) fn scheduler_with_busy_machines(report_s: &str) -> Scheduler {
+    let mut scheduler = scheduler_with_heartbeat_interval("[]", report_s);
     for number in 0..9 {
-        // They reported at different times.
-        let mut status = report(&format!("m-{number}"), 1, 2);
+        // The agents report at different times.
+        let mut status = agent_status(&format!("m-{number}"), 1, 2);
         status.tasks.push(TaskStatus {
             task: format!("run-{number}/0"),
             attempt: 1,
@@ -242,7 +241,12 @@
 }
 
 /// A task in an agent's status.
-pub(crate) fn task(name: &str, attempt: u64, status: &str, cause: Option<&str>) -> TaskStatus {
+pub(crate) fn task_status(
+    name: &str,
+    attempt: u64,
+    status: &str,
+    cause: Option<&str>,
+) -> TaskStatus {
     TaskStatus {
         task: name.into(),
         attempt,
@@ -252,18 +256,18 @@
     }
 }
 
-/// The status of machine `m-0` with tasks.
-pub(crate) fn reports(serial: u64, epoch: u64, tasks: Vec<TaskStatus>) -> AgentStatus {
+/// The status of machine `m-0` with these tasks.
+pub(crate) fn status_of_m0(serial: u64, epoch: u64, tasks: Vec<TaskStatus>) -> AgentStatus {
     AgentStatus {
         tasks,
-        ..report("m-0", serial, epoch)
+        ..agent_status("m-0", serial, epoch)
     }
 }
 
-/// The scheduler of a new leader: `tasks` of run-1, an array or a gang, are placed on m-0 under
-/// attempt 1.
-pub(crate) fn successor(shape: Shape, tasks: u32) -> Scheduler {
-    let mut scheduler = control("[]");
+/// The scheduler of a new leader whose records place all `tasks` of run-1, an array or a gang, on
+/// m-0 under attempt 1.
+pub(crate) fn scheduler_with_placed_job(shape: Shape, tasks: u32) -> Scheduler {
+    let mut scheduler = scheduler_with_objectives("[]");
     let mut record = JobRecord::new(spec(shape, tasks, 1.0, Priority::Low), 1_000_000);
     record.runs = vec![TaskRun::from((0, tasks, 1, "m-0".into()))];
     record.next_attempt = 2;
@@ -271,7 +275,7 @@
     scheduler
 }
 
-/// Adds a job with its record.
+/// Adds a job with this record to the scheduler.
 pub(crate) fn add_record(scheduler: &mut Scheduler, id: &str, record: JobRecord) {
     let live = LiveJob {
         record: Arc::new(record),
--- a/tests/unit/termination_check.rs
+++ b/tests/unit/termination_check.rs
@@ -1,4 +1,4 @@
-//! Machines that are to be terminated only if empty: each half of the check by itself.
+//! Unit tests of the check of terminations that are allowed only for empty machines.
 
 use std::collections::HashSet;
 
@@ -26,10 +26,10 @@
     TerminationCheck::new(request, REVISION).verdict(&occupied)
 }
 
-/// A task may have been placed on a machine before the request was written, and the records
-/// not hold it yet: that no machine is occupied by them says nothing.
+/// A task may have been placed on a machine before the request was written without being in the
+/// cached records yet. Records older than the request therefore neither allow nor reject it.
 #[test]
-fn records_older_than_the_request_decide_nothing() {
+fn a_termination_is_postponed_while_the_records_are_older_than_the_request() {
     let ahead = termination(REVISION + 1, true);
     assert_eq!(verdict(&ahead, &[]), TerminationVerdict::Postponed);
     assert_eq!(verdict(&ahead, &["m-2"]), TerminationVerdict::Postponed);
@@ -64,6 +64,6 @@
         },
         version: REVISION + 1,
     };
-    let verdict_of_provisioning = verdict(&provisioning, &["m-1"]);
-    assert_eq!(verdict_of_provisioning, TerminationVerdict::Allowed);
+    let provisioning_verdict = verdict(&provisioning, &["m-1"]);
+    assert_eq!(provisioning_verdict, TerminationVerdict::Allowed);
 }
--- a/tests/unit/watch_cache.rs
+++ b/tests/unit/watch_cache.rs
@@ -7,8 +7,8 @@
 use gaugesill::watch_cache::{CacheEvent, VersionedLeaderKey, WatchCache};
 use gaugesill::wire::KeyChange;
 
-/// An own election is known before the watch reports the deletion of the old key: the late
-/// change must not depose the new leader.
+/// A controller learns of its own election before the watch reports the deletion of the old
+/// leader key. The late change must not end the new leadership.
 #[test]
 fn late_changes_of_the_old_leader_key_are_ignored() {
     let mut cache = WatchCache::default();
@@ -43,8 +43,9 @@
     assert!(cache.leader().is_none());
 }
 
-/// Found together with a cancellation at the exit of the last task: the watch reports a job's
-/// record after its end is known from an own commit.
+/// The watch may report a job's record after the controller's own commit has made the job final.
+/// The late record must not add the job again. Seen with a cancellation at the exit of the last
+/// task.
 #[test]
 fn late_changes_of_a_finished_job_are_ignored() {
     let mut cache = WatchCache::default();
--- a/tests/unit/wire.rs
+++ b/tests/unit/wire.rs
@@ -4,7 +4,7 @@
 use gaugesill::epoch::Epoch;
 use gaugesill::wire;
 
-/// A valid submission after a change of its fields.
+/// An encoded valid submission whose fields `change` has modified.
 fn body(change: impl FnOnce(&mut Vec<(Value, Value)>)) -> Vec<u8> {
     let submission = cbor!({
         "nameId" => "run-000412", "jobclass" => "train", "owner" => "vision",
@@ -20,7 +20,7 @@
     wire::encode(&Value::Map(fields))
 }
 
-/// Gives a field another value.
+/// Replaces a field's value.
 fn set(fields: &mut [(Value, Value)], name: &str, value: &Value) {
     for (key, old) in fields {
         if key.as_text() == Some(name) {
@@ -30,15 +30,15 @@
 }
 
 #[test]
-#[expect(clippy::too_many_lines, reason = "one scenario, told step by step")]
-fn malformed_submissions_are_refused() {
+#[expect(clippy::too_many_lines, reason = "one case for each field")]
+fn malformed_submissions_are_rejected() {
     let (id, spec) = wire::parse_submission(&body(|_| {})).expect("a valid submission");
     assert_eq!(
         (id.as_str(), spec.tasks, spec.cpus),
         ("run-000412", 16, 8.0)
     );
     assert_eq!(spec.deadline_s, Some(900.0));
-    let bad: Vec<(&str, Value)> = vec![
+    let invalid_values: Vec<(&str, Value)> = vec![
         ("nameId", Value::Text("job-1".into())),
         ("nameId", Value::Text("run-1/2".into())),
         ("pieces", Value::Integer(0.into())),
@@ -54,7 +54,7 @@
         ("loaner", Value::Integer(1.into())),
         ("dueS", Value::Text("soon".into())),
     ];
-    for (name, value) in bad {
+    for (name, value) in invalid_values {
         let malformed = body(|fields| set(fields, name, &value));
         assert!(
             wire::parse_submission(&malformed).is_err(),
--- a/tests/unit/write_queue.rs
+++ b/tests/unit/write_queue.rs
@@ -22,7 +22,11 @@
     }
     let mut requests = TokenBucket::new(100.0);
     let transaction = queue.next(1, 7, &mut requests).expect("a transaction");
-    assert_eq!(transaction.writes.len(), 3, "writes are grouped");
+    assert_eq!(
+        transaction.writes.len(),
+        3,
+        "all writes share one transaction"
+    );
     let body = cbor!({"failed" => ["k2"], "ledgerRev" => 9}).expect("value");
     let results = queue.on_outcome(
         7,
@@ -47,9 +51,9 @@
         .all(|result| result.1 == CommitResult::Unknown));
 }
 
-/// Found on a day of frequent polls, with jobs cancelled as they end: the leader had a user's
-/// cancellation and the end of the same job in one transaction. Both conditions held, both
-/// writes were reported as committed, and the end undid the cancellation.
+/// Guards against a lost cancellation: the leader grouped a user's cancellation and the end of the
+/// same job into one transaction. Both conditions held, both writes were reported as committed,
+/// and the end overwrote the cancellation. Seen with frequent polls and jobs cancelled as they end.
 #[test]
 fn two_writes_of_a_record_never_share_a_transaction() {
     let mut queue: WriteQueue<u32> = WriteQueue::new(100.0, 50.0, 20);
@@ -88,7 +92,11 @@
     let mut requests = TokenBucket::new(100.0);
     let transaction = queue.next(1, 7, &mut requests).expect("a transaction");
     let keys: Vec<&str> = transaction.writes.iter().map(Write::key).collect();
-    assert_eq!(keys, ["j/1"], "later writes in the queue must wait, too");
+    assert_eq!(
+        keys,
+        ["j/1"],
+        "later writes of the queue are not sent before the blocked one"
+    );
     let transaction = queue.next(1, 8, &mut requests).expect("the next");
     let keys: Vec<&str> = transaction.writes.iter().map(Write::key).collect();
     assert_eq!(keys, ["j/1", "f/1", "j/2"]);
@@ -104,7 +112,7 @@
 }
 
 #[test]
-fn transactions_keep_to_their_limits() {
+fn transactions_respect_the_size_and_rate_limits() {
     let mut queue: WriteQueue<u32> = WriteQueue::new(4.0, 2.0, 3);
     for owner in 0..8u32 {
         queue.push(WriteRequest {
@@ -119,13 +127,17 @@
         .filter_map(|tag| queue.next(1, tag, &mut requests))
         .map(|transaction| transaction.writes.len())
         .collect();
-    assert_eq!(sizes, [3, 1], "three in a transaction, four in a second");
+    assert_eq!(
+        sizes,
+        [3, 1],
+        "three writes in a transaction, four in a second"
+    );
 }
 
-/// Found on days with more load: the leader's many writes used the whole rate, and users of its
-/// controller waited until they gave up.
+/// Guards against starvation of user requests: under load, the leader's writes used the whole
+/// rate, and users of its controller ran into timeouts.
 #[test]
-fn writes_of_users_go_first_within_their_share() {
+fn writes_of_users_are_sent_first_within_their_share() {
     let mut queue: WriteQueue<u32> = WriteQueue::new(6.0, 3.0, 20);
     for owner in 0..20u32 {
         let class = if owner < 10 {
@@ -152,9 +164,9 @@
     assert_eq!(keys, ["k10", "k11", "k12", "k0", "k1", "k2"]);
 }
 
-/// Found on lean aduana with duties on: the leader's job records used the whole rate, and its
-/// scaling requests waited for minutes. Records of duties have a rate of their own, and use
-/// what the others leave while none of those waits; job records lose nothing to them.
+/// Guards against starvation of scaling requests: the leader's job records used the whole write
+/// rate, and its scaling requests waited for minutes. Records of duties have a separate rate, and
+/// may also use the remaining rate while no other write waits; job records lose none of theirs.
 #[test]
 fn records_of_duties_neither_starve_nor_delay_others() {
     let write = |owner: u32, class| WriteRequest {
@@ -180,7 +192,7 @@
     assert_eq!(count(queue.next(1002, 2, &mut requests), 100), (0, 0));
     assert_eq!(count(queue.next(2003, 3, &mut requests), 100), (6, 2));
 
-    // Alone they also have what is left above the reserve.
+    // Alone, records of duties also use the rate above the reserve.
     let mut queue: WriteQueue<u32> = WriteQueue::new(6.0, 3.0, 20);
     queue.set_duty_rate(0, 2.0);
     for owner in 0..30 {
