--- a/crates/duty-lease/examples/measure.rs
+++ b/crates/duty-lease/examples/measure.rs
@@ -1,5 +1,5 @@
-//! How long a duty has no effective holder after a crash, a pause and an orderly handover, as
-//! ratios to the lease's time to live, and how many requests a duty sends to the store.
+//! Measures how long a duty has no effective holder after a crash, a pause and an orderly handover,
+//! in multiples of the lease's time to live, and how many requests a duty sends to the store.
 //!
 //! `cargo run --release -p duty-lease --example measure`
 
@@ -20,12 +20,12 @@
 use world::{Scaling, SentMessages, World, TTL_MS};
 
 const RUNS: u64 = 300;
-/// A run without another holder ends after this time.
+/// Time after which a run without a new holder ends.
 const TAKEOVER_MAX_MS: u64 = 5 * TTL_MS;
-/// The duties of the simulated world.
+/// Number of duties in the simulated world.
 const DUTIES: f64 = 3.0;
 
-/// What ends a holder's time.
+/// The reason for which a holder loses its duty.
 #[derive(Debug, Clone, Copy)]
 enum Cause {
     Crash,
@@ -39,14 +39,16 @@
         let times = measure_takeovers(cause);
         let ratio = |time_ms: u64| time_ms as f64 / TTL_MS as f64;
         println!(
-            "{cause:?}: without an effective holder for {:.2} lives (median), {:.2} (90%), {:.2} (longest)",
+            "{cause:?}: without an effective holder for {:.2} TTLs (median), {:.2} (90%), {:.2} (longest)",
             ratio(times.value_at_quantile(0.5)),
             ratio(times.value_at_quantile(0.9)),
             ratio(times.max())
         );
     }
     let per_ttl = measure_requests();
-    println!("a duty at rest: {per_ttl:.1} requests to the state service in a lease's life, of three controllers");
+    println!(
+        "an idle duty: {per_ttl:.1} requests to the state service per TTL, from three controllers"
+    );
 }
 
 /// The times in milliseconds until another controller is the effective holder.
@@ -66,7 +68,7 @@
     let began_at = world.now;
     match cause {
         Cause::Crash => world.crash(holder),
-        Cause::Pause => world.pause(holder, 5 * TTL_MS, SentMessages::HeldUp),
+        Cause::Pause => world.pause(holder, 5 * TTL_MS, SentMessages::HeldBack),
         Cause::Handover => world.set_candidacy(holder, Duty::Rent, Candidacy::Observer),
     }
     let is_taken_over = |world: &mut World| {
@@ -79,14 +81,14 @@
     world.now - began_at
 }
 
-/// How many requests all controllers send for a duty at rest in a time to live.
+/// Number of requests that all controllers send for an idle duty in one time to live.
 fn measure_requests() -> f64 {
     let mut world = World::new(1, Fence::Token);
     world.scaling = Scaling::Stopped;
     world.run(4 * TTL_MS);
     let before = world.lease_requests;
-    let spent_ms = 100 * TTL_MS;
-    world.run(spent_ms);
+    let measured_ms = 100 * TTL_MS;
+    world.run(measured_ms);
     let requests = (world.lease_requests - before) as f64;
-    requests / (spent_ms / TTL_MS) as f64 / DUTIES
+    requests / (measured_ms / TTL_MS) as f64 / DUTIES
 }
--- a/crates/duty-lease/tests/assignment.rs
+++ b/crates/duty-lease/tests/assignment.rs
@@ -1,4 +1,4 @@
-//! Which controller each duty is assigned to.
+//! The assignment of duties to controllers.
 
 use std::collections::BTreeMap;
 
@@ -34,10 +34,10 @@
     loads
 }
 
-/// A controller that comes and goes within a moment moves nothing; one that stays gets its
-/// share; one that has gone loses its duties, and no other controller loses any.
+/// A controller that is live only briefly gets no duties; one that stays live gets its share. When
+/// a controller is lost, only its own duties move.
 #[test]
-fn duties_move_only_for_a_reason() {
+fn duties_move_only_to_settled_or_from_lost_controllers() {
     let before = assign(&Duty::ALL, &settled(&[0, 1]), &BTreeMap::new(), &rules());
     assert_eq!(loads(&before), BTreeMap::from([("c0", 2), ("c1", 2)]));
     let mut live = settled(&[0, 1]);
@@ -53,9 +53,9 @@
     }
 }
 
-/// Operators move a duty, and it stays there while that controller is live.
+/// A duty that an operator pins to a controller moves there, and stays while it is live.
 #[test]
-fn operators_move_duties() {
+fn pinned_duties_move_to_their_controller() {
     let present = assign(&Duty::ALL, &settled(&[0, 1]), &BTreeMap::new(), &rules());
     let mut rules = rules();
     for duty in Duty::ALL {
@@ -75,8 +75,8 @@
         ..ProptestConfig::default()
     })]
 
-    /// For any live controllers: each duty is assigned to a live controller, no settled one has
-    /// two less than another, and the same assignment again moves nothing.
+    /// For any live controllers: each duty is assigned to a live controller, no settled controller
+    /// has two duties fewer than another, and repeating the assignment moves nothing.
     #[test]
     fn assignments_are_complete_balanced_and_stable(
         live in prop::collection::btree_map(0..5u8, 0..2 * SETTLE_MS, 1..5),
--- a/crates/duty-lease/tests/model.rs
+++ b/crates/duty-lease/tests/model.rs
@@ -1,6 +1,6 @@
-//! The lease protocol at small size, explored exhaustively: two controllers and the store, in
-//! steps of a tenth of a time to live, with every choice of where a few pauses, lost answers
-//! and late requests fall.
+//! Exhaustive exploration of a small model of the lease protocol: two controllers and the store, in
+//! steps of a tenth of the time to live, with all possible placements of a few pauses, lost
+//! answers and late requests.
 
 #[allow(dead_code, reason = "the store is shared with the simulation")]
 #[path = "simulation/store/mod.rs"]
@@ -13,24 +13,24 @@
 
 const TTL_MS: u64 = 1000;
 const STEP_MS: u64 = 100;
-/// How many steps are explored.
-const HORIZON: u64 = 26;
-/// How many troubles there may be in a run.
-const TROUBLES: u8 = 2;
-/// How many steps late a delayed request arrives.
+/// Number of steps that are explored.
+const STEPS_MAX: u64 = 26;
+/// Maximum number of faults in a run.
+const FAULTS_MAX: u8 = 2;
+/// Delay of a late request, in steps.
 const LATE_STEPS: u64 = 8;
-/// How many steps a paused controller stands still: longer than its lease.
+/// Duration of a pause, in steps: longer than a lease.
 const PAUSE_STEPS: u64 = TTL_MS / STEP_MS + 2;
 const CONTROLLERS: usize = 2;
 const DUTY: Duty = Duty::Rent;
 
-/// What the adversary does to one controller's step.
+/// The fault that is injected into one controller's step.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Choice {
     Nothing,
-    /// It stands still for longer than its lease.
+    /// The controller is paused for longer than its lease.
     Pause,
-    /// Its request is carried out and the answer lost.
+    /// Its request is executed, but the answer is lost.
     LoseAnswer,
     /// Its request arrives late, and the answer is lost.
     Delay,
@@ -44,13 +44,13 @@
         Choice::Delay,
     ];
 
-    /// Whether the choice means anything only if a request is sent.
-    fn requires_request(self) -> bool {
+    /// Whether the choice has an effect only if a request is sent.
+    fn needs_request(self) -> bool {
         matches!(self, Choice::LoseAnswer | Choice::Delay)
     }
 }
 
-/// A request on its way to the store.
+/// A request in flight to the store.
 #[derive(Debug, Clone)]
 struct Message {
     /// The step in which it arrives.
@@ -65,10 +65,10 @@
 #[derive(Debug, Clone)]
 struct Model {
     step: u64,
-    troubles_left: u8,
+    faults_left: u8,
     store: Store,
     leases: [DutyLease; CONTROLLERS],
-    /// For how many more steps each controller stands still.
+    /// For how many more steps each controller is paused.
     paused: [u64; CONTROLLERS],
     messages: Vec<Message>,
 }
@@ -76,13 +76,13 @@
 impl Model {
     fn new() -> Model {
         let timing = LeaseTiming {
-            // A step is no pause.
+            // With this share, the time of one step does not count as a pause.
             pause_share: 0.15,
             ..LeaseTiming::new(TTL_MS)
         };
         Model {
             step: 1,
-            troubles_left: TROUBLES,
+            faults_left: FAULTS_MAX,
             store: Store::default(),
             leases: ["a", "b"].map(|name| DutyLease::new(name, timing)),
             paused: [0; CONTROLLERS],
@@ -94,14 +94,14 @@
         self.step * STEP_MS
     }
 
-    /// The state after one step with these choices; `None` if one of them means nothing, or
-    /// too many troubles were chosen.
+    /// The state after one step with these choices; `None` if one of them has no effect, or the
+    /// faults exceed the maximum.
     fn next(&self, choices: [Choice; CONTROLLERS]) -> Option<Model> {
         let mut model = self.clone();
         model.step += 1;
         for (index, choice) in choices.into_iter().enumerate() {
             if choice != Choice::Nothing {
-                model.troubles_left = model.troubles_left.checked_sub(1)?;
+                model.faults_left = model.faults_left.checked_sub(1)?;
             }
             model.step_controller(index, choice)?;
         }
@@ -123,7 +123,7 @@
                 self.send(index, numbered, choice);
                 Some(())
             }
-            None => (!choice.requires_request()).then_some(()),
+            None => (!choice.needs_request()).then_some(()),
         }
     }
 
@@ -138,7 +138,7 @@
             from,
             id: numbered.id,
             request: numbered.request,
-            is_answer_lost: choice.requires_request(),
+            is_answer_lost: choice.needs_request(),
         });
     }
 
@@ -160,8 +160,8 @@
         }
     }
 
-    /// Controllers that could give an order now. One that stands still gives none; its orders
-    /// on their way are the provider's responsibility.
+    /// Controllers that are allowed to send orders now. A paused one sends none; the provider has to
+    /// handle its orders in flight.
     fn effective_holders(&self) -> Vec<usize> {
         let now = self.now();
         let may_send_orders = |index: &usize| {
@@ -193,7 +193,7 @@
             has_held[index] = true;
         }
         states += 1;
-        if model.step >= HORIZON {
+        if model.step >= STEPS_MAX {
             continue;
         }
         for next in model.successors() {
--- a/crates/duty-lease/tests/order_book.rs
+++ b/crates/duty-lease/tests/order_book.rs
@@ -1,4 +1,4 @@
-//! The order book over arbitrary outcomes of its requests.
+//! The order book under arbitrary outcomes of its requests.
 
 use std::collections::BTreeSet;
 
@@ -14,7 +14,7 @@
 const TOKEN: Token = 5;
 const GUARD: WriteGuard = WriteGuard { holder_version: 9 };
 
-/// What comes of a request.
+/// The outcome of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Outcome {
     Done,
@@ -23,7 +23,7 @@
 }
 
 impl Outcome {
-    /// Most requests are carried out.
+    /// Most numbers map to `Done`.
     fn from_number(number: u8) -> Outcome {
         match number {
             0..=3 => Outcome::Done,
@@ -48,13 +48,13 @@
     }
 }
 
-/// An order book, and what was carried out of its requests.
+/// An order book, and its requests that were executed.
 struct Run {
     book: OrderBook,
     now: u64,
     recorded: BTreeSet<OrderId>,
     done: BTreeSet<OrderId>,
-    /// The names of scaling requests.
+    /// The IDs of the satisfied scaling requests.
     satisfied: BTreeSet<String>,
 }
 
@@ -71,14 +71,14 @@
         }
     }
 
-    /// Shows the book the scaling requests that are not satisfied.
-    fn show(&mut self, requests: &[ScalingRequest]) {
+    /// Passes the unsatisfied scaling requests to the book.
+    fn update_view(&mut self, requests: &[ScalingRequest]) {
         let is_open = |request: &&ScalingRequest| !self.satisfied.contains(&request.id);
         let open: Vec<ScalingRequest> = requests.iter().filter(is_open).cloned().collect();
         self.book.on_view(&[], &open);
     }
 
-    /// Orders are allowed in two steps of three.
+    /// Orders are allowed in two of three steps.
     fn order_token(&self) -> Option<Token> {
         (self.now % (3 * STEP_MS) != 0).then_some(TOKEN)
     }
@@ -92,9 +92,12 @@
             } => {
                 prop_assert_eq!(guard.holder_version, GUARD.holder_version);
                 if outcome == Outcome::Done {
-                    prop_assert!(self.recorded.insert(intent.id), "a name is used once");
+                    prop_assert!(
+                        self.recorded.insert(intent.id),
+                        "an order ID was used twice"
+                    );
                     let is_first = self.satisfied.insert(request.id);
-                    prop_assert!(is_first, "a scaling request is satisfied once");
+                    prop_assert!(is_first, "a scaling request was satisfied twice");
                 }
                 let written = outcome.of_write(self.now);
                 self.book.on_recorded(intent.id, written, self.now);
@@ -126,8 +129,8 @@
         ..ProptestConfig::default()
     })]
 
-    /// Each order has a name of its own, is sent only after its intent was recorded and
-    /// under the present token, and is completed only after it was carried out.
+    /// Each order has a unique ID, is sent only after its intent was recorded and under the current
+    /// token, and is completed only after it was executed.
     #[test]
     fn orders_follow_their_intents(outcomes in prop::collection::vec(0..6u8, 0..300)) {
         let requests: Vec<ScalingRequest> = (0..20).map(request).collect();
@@ -135,7 +138,7 @@
         let mut run = Run::new();
         for _ in 0..60 {
             run.now += STEP_MS;
-            run.show(&requests);
+            run.update_view(&requests);
             for request in run.book.tick(run.order_token(), run.now) {
                 run.answer(request, outcomes.next().unwrap_or(Outcome::Done))?;
             }
--- a/crates/duty-lease/tests/properties.rs
+++ b/crates/duty-lease/tests/properties.rs
@@ -1,4 +1,4 @@
-//! The lease over arbitrary orders of events.
+//! The lease under arbitrary sequences of events.
 
 use duty_lease::{
     Candidacy, DutyLease, HolderKey, LeaseRequest, LeaseResponse, LeaseTiming, LeaseView,
@@ -9,16 +9,16 @@
 
 const TTL_MS: u64 = 1000;
 
-/// What may happen to a lease.
+/// An event of a lease.
 #[derive(Debug, Clone)]
 enum Step {
-    /// Time passes, or goes back.
+    /// The clock advances, or jumps back.
     Clock(i64),
-    /// The request in flight is answered, regularly or not.
+    /// The request in flight is answered, successfully or not.
     Answer(Answer),
-    /// Time passes in small parts without any answer.
-    Silence,
-    /// An answer to a request of long ago.
+    /// Time passes in small steps without any answer.
+    NoAnswers,
+    /// An answer to an old request arrives.
     LateAnswer(Answer),
     /// The watch shows a lease key with this version, and this token.
     View {
@@ -59,7 +59,7 @@
         8 => (1..60i64).prop_map(Step::Clock),
         1 => (-500..3000i64).prop_map(Step::Clock),
         8 => answers().prop_map(Step::Answer),
-        1 => Just(Step::Silence),
+        1 => Just(Step::NoAnswers),
         1 => answers().prop_map(Step::LateAnswer),
         1 => (0..9u64, 0..9u64)
             .prop_map(|(holder_version, token)| Step::View { holder_version, token }),
@@ -69,7 +69,7 @@
     prop::collection::vec(step, 0..200)
 }
 
-/// The response to a request. `last_token` is the last token that was issued.
+/// The response to a request; `last_token` is the last token that was issued.
 fn respond(request: &LeaseRequest, answer: Answer, last_token: &mut Token) -> LeaseResponse {
     match answer {
         Answer::Regular => {}
@@ -96,7 +96,7 @@
     }
 }
 
-/// A request of the lease.
+/// A request that the lease has sent.
 #[derive(Debug, Clone)]
 struct SentRequest {
     id: u64,
@@ -104,14 +104,14 @@
     sent_at: u64,
 }
 
-/// A lease, and what is known of it without its code.
+/// A lease, and its expected state, tracked independently of its code.
 struct Run {
     timing: LeaseTiming,
     lease: DutyLease,
     now: u64,
     last_reading: u64,
-    /// The last pause or leap of the clock.
-    unsure_since: u64,
+    /// When the clock last paused or jumped.
+    clock_unreliable_since: u64,
     /// When the last confirmed renewal was sent.
     renewed_at: Option<u64>,
     in_flight: Option<SentRequest>,
@@ -128,7 +128,7 @@
             lease: DutyLease::new("c0", timing),
             now,
             last_reading: now,
-            unsure_since: 0,
+            clock_unreliable_since: 0,
             renewed_at: None,
             in_flight: None,
             last_token: 0,
@@ -140,7 +140,7 @@
         match step {
             Step::Clock(by_ms) => self.now = self.now.saturating_add_signed(by_ms),
             Step::Answer(answer) => self.answer(answer),
-            Step::Silence => self.stay_silent()?,
+            Step::NoAnswers => self.pass_time_without_answers()?,
             Step::LateAnswer(answer) => self.answer_late(answer)?,
             Step::View {
                 holder_version,
@@ -172,7 +172,7 @@
         }
     }
 
-    fn stay_silent(&mut self) -> Result<(), TestCaseError> {
+    fn pass_time_without_answers(&mut self) -> Result<(), TestCaseError> {
         self.in_flight = None;
         for _ in 0..40 {
             self.now += TTL_MS / 30;
@@ -197,7 +197,7 @@
     fn read_clock(&mut self) {
         let went_back = self.now < self.last_reading;
         if went_back || self.now - self.last_reading > self.timing.pause_ms() {
-            self.unsure_since = self.now;
+            self.clock_unreliable_since = self.now;
         }
         self.last_reading = self.now;
     }
@@ -222,7 +222,7 @@
         };
         let renewed_at = self.renewed_at.expect("a renewal");
         prop_assert!(self.now < renewed_at + self.timing.order_window_ms());
-        prop_assert!(renewed_at >= self.unsure_since);
+        prop_assert!(renewed_at >= self.clock_unreliable_since);
         prop_assert!(token >= self.highest_held);
         self.highest_held = token;
         Ok(())
@@ -237,8 +237,8 @@
         ..ProptestConfig::default()
     })]
 
-    /// Orders are allowed only while a renewal is confirmed that was sent within the window
-    /// and after the last pause or leap; tokens only rise.
+    /// Orders are allowed only if a confirmed renewal was sent within the window and after the last
+    /// pause or clock jump. Tokens never decrease.
     #[test]
     fn orders_need_a_recent_confirmed_renewal(steps in steps()) {
         let mut run = Run::new();
@@ -251,7 +251,7 @@
     }
 }
 
-/// Lets time pass until the lease sends a request.
+/// Advances the clock until the lease sends a request.
 fn next_request(lease: &mut DutyLease, now: &mut u64) -> SentRequest {
     loop {
         *now += 10;
@@ -266,7 +266,7 @@
     }
 }
 
-/// A lease whose acquisition under token 8 got no answer.
+/// A lease whose acquisition under token 8 was not answered.
 fn unanswered_acquisition(now: &mut u64) -> DutyLease {
     let mut lease = DutyLease::new("c0", LeaseTiming::new(TTL_MS));
     let mut last_token = 7;
@@ -282,14 +282,19 @@
     }
 }
 
-/// An acquisition without an answer is read, never assumed: if it is found, the duty is held,
-/// and if not, its grant is ended, so that it can't be carried out later.
+/// After an unanswered acquisition, the lease reads the key instead of assuming an outcome. If the
+/// key is found, the duty is held; if not, the grant is released, so that the acquisition cannot
+/// be executed later.
 #[test]
-fn an_unanswered_acquisition_is_read() {
+fn an_unanswered_acquisition_is_resolved_by_a_read() {
     for is_found in [true, false] {
         let mut now = 1;
         let mut lease = unanswered_acquisition(&mut now);
-        assert_eq!(lease.token(), None, "nothing is assumed");
+        assert_eq!(
+            lease.token(),
+            None,
+            "the outcome of the acquisition is unknown"
+        );
         let read = next_request(&mut lease, &mut now);
         assert_eq!(read.request, LeaseRequest::Read);
         let holder = HolderKey {
@@ -306,7 +311,11 @@
         let next = next_request(&mut lease, &mut now);
         if is_found {
             assert_eq!(lease.token(), Some(8));
-            assert_eq!(lease.order_token(now), None, "not before a renewal");
+            assert_eq!(
+                lease.order_token(now),
+                None,
+                "orders are not allowed before a renewal"
+            );
             assert_eq!(next.request, LeaseRequest::Renew { grant: 1 });
         } else {
             assert_eq!(next.request, LeaseRequest::Release { grant: 1 });
--- a/crates/duty-lease/tests/simulation/checker.rs
+++ b/crates/duty-lease/tests/simulation/checker.rs
@@ -1,4 +1,4 @@
-//! Checks a history by itself: it knows what happened, and nothing of the code under test.
+//! Checks a history of events independently of the code under test.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::AddAssign;
@@ -7,8 +7,8 @@
 
 #[derive(Debug, Clone)]
 pub(crate) enum Event {
-    /// A controller could have given an order at this moment.
-    MayOrder {
+    /// A controller was allowed to send orders at this moment.
+    OrderAllowed {
         duty: Duty,
         controller: usize,
         token: Token,
@@ -19,8 +19,8 @@
         token: Token,
         refused: bool,
     },
-    /// A name was used for two orders.
-    NameReused(String),
+    /// An idempotency key was used for two orders.
+    IdempotencyKeyReused(String),
     /// A machine was deleted.
     Deleted(String),
     /// A task was placed on a machine.
@@ -40,22 +40,21 @@
     events: Vec<TimedEvent>,
 }
 
-/// The rules that hold in a world beside those that always do.
+/// The rules that apply to a run in addition to those that always apply.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Rules {
-    /// The provider refuses lower tokens.
+    /// The provider refuses tokens that are lower than an earlier one.
     pub tokens_refused: bool,
-    /// All clocks keep within the drift that is allowed: there are never two effective
-    /// holders.
-    pub clocks_sound: bool,
+    /// All clocks stay within the allowed drift, so that there are never two effective holders.
+    pub clocks_correct: bool,
 }
 
-/// What a history shows beside broken rules.
+/// Counts of events in a history.
 #[derive(Debug, Default, Clone, Copy)]
 pub(crate) struct Summary {
     pub orders: usize,
     pub refused: usize,
-    pub changes_of_hands: usize,
+    pub holder_changes: usize,
     pub tasks: usize,
     pub deletions: usize,
 }
@@ -64,7 +63,7 @@
     fn add_assign(&mut self, other: Summary) {
         self.orders += other.orders;
         self.refused += other.refused;
-        self.changes_of_hands += other.changes_of_hands;
+        self.holder_changes += other.holder_changes;
         self.tasks += other.tasks;
         self.deletions += other.deletions;
     }
@@ -73,7 +72,7 @@
 /// The result of a check.
 #[derive(Debug, Default)]
 pub(crate) struct Verdict {
-    pub broken: Vec<String>,
+    pub violations: Vec<String>,
     pub summary: Summary,
 }
 
@@ -91,14 +90,14 @@
     }
 }
 
-/// The last moment in which a controller could have given an order.
+/// The last moment at which a controller was allowed to send orders.
 #[derive(Debug, Clone, Copy)]
 struct Effective {
     at: u64,
     controller: usize,
 }
 
-/// What the events so far imply for the next.
+/// The state that follows from the events so far.
 struct Checker<'a> {
     rules: Rules,
     verdict: Verdict,
@@ -123,7 +122,7 @@
 
     fn check(&mut self, at: u64, event: &'a Event) {
         match event {
-            Event::MayOrder {
+            Event::OrderAllowed {
                 duty,
                 controller,
                 token,
@@ -136,7 +135,9 @@
                 token,
                 refused,
             } => self.check_order(at, *duty, *token, *refused),
-            Event::NameReused(name) => self.report(format!("{at}: {name} was used twice")),
+            Event::IdempotencyKeyReused(name) => self.report(format!(
+                "{at}: idempotency key {name} was used for two orders"
+            )),
             Event::Deleted(machine) => self.check_deletion(at, machine),
             Event::TaskPlaced(machine) => {
                 self.verdict.summary.tasks += 1;
@@ -148,17 +149,19 @@
         }
     }
 
-    fn report(&mut self, broken: String) {
-        self.verdict.broken.push(broken);
+    fn report(&mut self, violation: String) {
+        self.verdict.violations.push(violation);
     }
 
     fn check_token_owner(&mut self, at: u64, duty: Duty, token: Token, controller: usize) {
         let owner = *self.owners.entry((duty, token)).or_insert_with(|| {
-            self.verdict.summary.changes_of_hands += 1;
+            self.verdict.summary.holder_changes += 1;
             controller
         });
         if owner != controller {
-            self.report(format!("{at}: token {token} of {duty:?} given out twice"));
+            self.report(format!(
+                "{at}: token {token} of {duty:?} was issued to two controllers"
+            ));
         }
     }
 
@@ -166,8 +169,8 @@
         let effective = Effective { at, controller };
         let last = self.effective.insert(duty, effective);
         let are_two = last.is_some_and(|last| last.at == at && last.controller != controller);
-        if are_two && self.rules.clocks_sound {
-            self.report(format!("{at}: two effective holders of {duty:?}"));
+        if are_two && self.rules.clocks_correct {
+            self.report(format!("{at}: {duty:?} has two effective holders"));
         }
     }
 
@@ -178,7 +181,9 @@
         let is_fenced = token < *highest;
         *highest = token.max(*highest);
         if is_fenced && !refused && self.rules.tokens_refused {
-            self.report(format!("{at}: an order of a fenced holder of {duty:?}"));
+            self.report(format!(
+                "{at}: the provider accepted an order of a fenced holder of {duty:?}"
+            ));
         }
     }
 
--- a/crates/duty-lease/tests/simulation/main.rs
+++ b/crates/duty-lease/tests/simulation/main.rs
@@ -1,5 +1,5 @@
-//! Three controllers, a store and a provider on one simulated clock, under seeded
-//! random troubles. The history is checked by a checker that knows nothing of the code.
+//! Three controllers, a store and a provider on one simulated clock, with seeded random faults.
+//! A checker that is independent of the code under test checks the history.
 
 mod checker;
 mod provider;
@@ -10,41 +10,41 @@
 use checker::Summary;
 use duty_lease::{Candidacy, Duty};
 use provider::Fence;
-use scenario::{assert_sound, settle, troubled_run, Clocks};
+use scenario::{assert_no_violations, run_with_random_faults, settle, Clocks};
 use world::{SentMessages, World, TTL_MS};
 
-const FENCES: [Fence; 2] = [Fence::Token, Fence::Names];
+const FENCES: [Fence; 2] = [Fence::Token, Fence::IdempotencyKeys];
 
-/// Under random troubles an order of a fenced holder is refused, there are never two effective
-/// holders, no machine with a task on it is returned, and at the end each machine has an
-/// owner and no order is open.
+/// Under random faults, orders of fenced holders are refused, there are never two effective
+/// holders, and no machine with a task on it is deleted. At the end, each machine has an owner
+/// and no order is open.
 #[test]
-fn random_troubles_break_no_rule() {
+fn random_faults_cause_no_violations() {
     for fence in FENCES {
         let mut total = Summary::default();
         for seed in 0..60 {
-            total += troubled_run(seed, fence, Clocks::Sound);
+            total += run_with_random_faults(seed, fence, Clocks::Correct);
         }
-        assert!(total.changes_of_hands > 400, "{total:?}");
+        assert!(total.holder_changes > 400, "{total:?}");
         assert!(total.tasks > 400 && total.deletions > 100, "{total:?}");
         let refusals = fence == Fence::Token;
         assert_eq!(total.refused > 0, refusals, "{total:?}");
     }
 }
 
-/// The same with steady clocks that leap forward and back and stand still. Two controllers
-/// may then take themselves for the holder; their orders do no harm all the same.
+/// Random faults, and steady clocks that jump forward or back or stop. Two controllers may then
+/// consider themselves the holder, but their orders must cause no violation.
 #[test]
-fn clocks_that_leap_break_no_rule() {
+fn clocks_that_jump_cause_no_violations() {
     for fence in FENCES {
         for seed in 1000..1040 {
-            troubled_run(seed, fence, Clocks::Leaping);
+            run_with_random_faults(seed, fence, Clocks::Jumping);
         }
     }
 }
 
-/// A holder is paused for longer than its lease, with orders on the way, and goes on: its
-/// late orders are refused, each of them, and it gives none before it has the lease again.
+/// A holder with orders in flight is paused for longer than its lease and then resumes. All of its
+/// late orders are refused, and it sends none before it holds the lease again.
 #[test]
 fn orders_of_a_paused_holder_are_refused() {
     let mut refused = 0;
@@ -54,17 +54,17 @@
         let Some(holder) = world.holder(Duty::Return) else {
             continue;
         };
-        world.pause(holder, 2 * TTL_MS + 100 * seed, SentMessages::HeldUp);
+        world.pause(holder, 2 * TTL_MS + 100 * seed, SentMessages::HeldBack);
         world.run(6 * TTL_MS);
         let what = format!("seed {seed}");
-        refused += assert_sound(&world, &what).refused;
+        refused += assert_no_violations(&world, &what).refused;
         settle(&mut world, &what);
     }
-    assert!(refused > 0, "some orders came late");
+    assert!(refused > 0, "no order of a paused holder was refused");
 }
 
-/// The holder crashes at each moment between scaling request, intent, order and completion;
-/// it may be back within a fraction of a second, and all controllers may be restarted.
+/// The holder crashes at many moments between scaling request, intent, order and completion. It
+/// restarts after a fraction of a second or two leases, or all controllers are restarted.
 #[test]
 fn the_holder_crashes_at_every_step() {
     for fence in FENCES {
@@ -82,15 +82,15 @@
             world.run(4 * TTL_MS);
             let what = format!("moment {moment}, {fence:?}");
             settle(&mut world, &what);
-            assert_sound(&world, &what);
+            assert_no_violations(&world, &what);
         }
     }
 }
 
-/// A duty is handed over in an orderly way, ten times in two minutes: the next holder has it
-/// well within the lease's time to live, since no candidate waits for the lease to end.
+/// A duty is released and acquired by another controller ten times in two minutes. Each handover
+/// takes less than the lease's time to live, because no candidate waits for the lease to expire.
 #[test]
-fn ten_orderly_changes_of_hands() {
+fn ten_handovers_are_shorter_than_a_lease() {
     let mut world = World::new(3, Fence::Token);
     world.run(2 * TTL_MS);
     let mut longest_ms = 0;
@@ -107,7 +107,7 @@
             world.run(20);
             assert!(
                 world.now < released_at + 2 * TTL_MS,
-                "no controller takes over"
+                "no other controller acquired the duty within two leases"
             );
         }
         longest_ms = longest_ms.max(world.now - released_at);
@@ -115,42 +115,45 @@
         world.run(4 * TTL_MS);
     }
     assert!(longest_ms < TTL_MS, "{longest_ms}");
-    settle(&mut world, "ten changes");
-    assert_sound(&world, "ten changes");
+    settle(&mut world, "ten handovers");
+    assert_no_violations(&world, "ten handovers");
 }
 
-/// The store refuses the holder alone for longer than its lease: it stops giving orders
-/// before another controller holds the duty.
+/// The store refuses only the holder, for longer than its lease: it stops sending orders before
+/// another controller holds the duty.
 #[test]
-fn a_holder_refused_alone_stops_in_time() {
+fn a_holder_that_the_store_refuses_stops_in_time() {
     for seed in 0..20 {
-        let mut world = World::new(seed, Fence::Names);
+        let mut world = World::new(seed, Fence::IdempotencyKeys);
         world.run(2 * TTL_MS);
         let holder = world.holder(Duty::Rent);
-        world.troubles.store_refuses = holder;
+        world.faults.store_refuses = holder;
         world.run(4 * TTL_MS);
         let what = format!("seed {seed}");
         assert_ne!(world.effective_holder(Duty::Rent), holder, "{what}");
         settle(&mut world, &what);
-        let summary = assert_sound(&world, &what);
-        assert!(summary.changes_of_hands > 3, "{what}: another took over");
+        let summary = assert_no_violations(&world, &what);
+        assert!(
+            summary.holder_changes > 3,
+            "{what}: no other controller took over"
+        );
     }
 }
 
-/// The store refuses the holder alone, and then all controllers for longer than the lease:
-/// the holder stops in time, and goes on or is replaced afterwards.
+/// The store refuses only the holder, and then all controllers for longer than the lease: the
+/// holder stops in time, and resumes or is replaced after the outage.
 #[test]
-fn a_holder_refused_alone_and_then_an_outage() {
+fn a_holder_that_the_store_refuses_stops_in_time_before_an_outage() {
     for seed in 0..20 {
-        let mut world = World::new(seed, Fence::Names);
+        let mut world = World::new(seed, Fence::IdempotencyKeys);
         world.run(2 * TTL_MS);
-        world.troubles.store_refuses = world.holder(Duty::Return);
+        world.faults.store_refuses = world.holder(Duty::Return);
         world.run(TTL_MS / 3 + 50 * seed);
-        world.troubles.is_store_out = true;
+        world.faults.is_store_down = true;
         world.run(3 * TTL_MS);
         world.end_store_outage();
         let what = format!("seed {seed}");
         settle(&mut world, &what);
-        assert_sound(&world, &what);
+        assert_no_violations(&world, &what);
     }
 }
--- a/crates/duty-lease/tests/simulation/provider.rs
+++ b/crates/duty-lease/tests/simulation/provider.rs
@@ -1,4 +1,4 @@
-//! A stand-in of the provider of machines.
+//! A simulated provider of machines.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -6,19 +6,19 @@
 
 use crate::checker::{Event, History};
 
-/// Most machines at a time.
-const CAPACITY: usize = 6;
+/// Maximum number of machines that are rented at the same time.
+const MACHINES_MAX: usize = 6;
 
-/// Whether the provider checks tokens.
+/// How the provider rejects or deduplicates orders.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Fence {
-    /// It refuses an order whose token is lower than one that it has seen.
+    /// It refuses an order whose token is lower than an earlier one of the same duty.
     Token,
-    /// It knows no tokens; an order's name is carried out once.
-    Names,
+    /// It ignores tokens, but executes an order only once per idempotency key.
+    IdempotencyKeys,
 }
 
-/// An order as it is sent.
+/// An order as sent to the provider.
 #[derive(Debug, Clone)]
 pub(crate) struct ProviderOrder {
     pub id: OrderId,
@@ -27,7 +27,7 @@
     pub token: Token,
 }
 
-/// The machines that were rented under a name.
+/// The machines that were rented under an idempotency key.
 #[derive(Debug)]
 struct Rental {
     id: OrderId,
@@ -39,7 +39,7 @@
     pub fence: Fence,
     pub machines: BTreeSet<String>,
     highest_tokens: BTreeMap<Duty, Token>,
-    /// By the name of the order.
+    /// By the order's idempotency key.
     rentals: BTreeMap<String, Rental>,
     next_machine: u64,
 }
@@ -78,7 +78,7 @@
         })
     }
 
-    /// Whether an order's token is too low. Remembers the highest one.
+    /// Whether an order is refused for its token; updates the highest token.
     fn is_fenced(&mut self, duty: Duty, token: Token) -> bool {
         let highest = self.highest_tokens.entry(duty).or_insert(0);
         let is_old = token < *highest;
@@ -86,16 +86,16 @@
         is_old && self.fence == Fence::Token
     }
 
-    /// The same name gets the same answer and rents nothing more.
+    /// A repeated idempotency key returns the same answer and rents nothing.
     fn rent(&mut self, id: OrderId, count: usize, now: u64, history: &mut History) -> OrderResult {
         let name = id.to_string();
         if let Some(rental) = self.rentals.get(&name) {
             if rental.id != id {
-                history.add(now, Event::NameReused(name));
+                history.add(now, Event::IdempotencyKeyReused(name));
             }
             return OrderResult::Rented(rental.machines.clone());
         }
-        let count = count.min(CAPACITY.saturating_sub(self.machines.len()));
+        let count = count.min(MACHINES_MAX.saturating_sub(self.machines.len()));
         if count == 0 {
             return OrderResult::NoCapacity;
         }
--- a/crates/duty-lease/tests/simulation/store/keys.rs
+++ b/crates/duty-lease/tests/simulation/store/keys.rs
@@ -34,7 +34,7 @@
     format!("{TASKS}{machine}")
 }
 
-/// A machine that is to be returned.
+/// A requested termination of a machine.
 pub(crate) fn termination(machine: &str) -> String {
     format!("{TERMINATIONS}{machine}")
 }
--- a/crates/duty-lease/tests/simulation/store/lease_requests.rs
+++ b/crates/duty-lease/tests/simulation/store/lease_requests.rs
@@ -1,4 +1,4 @@
-//! How the store carries out the requests of duties' leases.
+//! The store's handling of the requests of duties' leases.
 
 use duty_lease::{Duty, HolderKey, LeaseRequest, LeaseResponse, LeaseView};
 
@@ -63,7 +63,10 @@
         };
         match self.commit(&transaction) {
             TransactionOutcome::Written(version) => {
-                assert!(token > last_token, "a token is issued once");
+                assert!(
+                    token > last_token,
+                    "token {token} was issued after {last_token}"
+                );
                 LeaseResponse::Acquired { version }
             }
             TransactionOutcome::Conflict => LeaseResponse::Conflict,
--- a/crates/duty-lease/tests/simulation/store/mod.rs
+++ b/crates/duty-lease/tests/simulation/store/mod.rs
@@ -1,4 +1,4 @@
-//! A stand-in of the store: versioned keys, grants, and transactions on conditions.
+//! A simulated store with versioned keys, grants and conditional transactions.
 //!
 //! Shared by the simulation, the exhaustive model and the example.
 
@@ -16,10 +16,10 @@
     ScalingRequest(ScalingRequest),
     Intent(Intent),
     /// A machine that the controllers own, a task on one, or a termination of one.
-    Mark,
+    Marker,
 }
 
-/// A key must have this version; 0: it must not exist.
+/// Requires that a key has this version, or does not exist if it is 0.
 #[derive(Debug, Clone)]
 pub(crate) struct Condition {
     key: String,
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Sets a key that vanishes with a grant.
+    /// Sets a key that is deleted when the grant ends.
     pub(crate) fn set_attached(key: String, value: Value, grant: u64) -> Write {
         Write::Set {
             key,
@@ -75,7 +75,7 @@
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum TransactionOutcome {
-    /// Carried out at this revision.
+    /// Committed at this revision.
     Written(u64),
     Conflict,
     NoSuchGrant,
@@ -125,7 +125,7 @@
         entries.map(|(key, entry)| (key.as_str(), entry))
     }
 
-    /// Ends grants that were not renewed in time.
+    /// Ends expired grants.
     pub(crate) fn expire(&mut self, now: u64) {
         let grants = self.grants.iter();
         let ended = grants.filter(|(_, grant)| now >= grant.expires_at);
@@ -135,7 +135,7 @@
         }
     }
 
-    /// After an outage every grant has its full time again.
+    /// Renews every grant for its full time to live, as after an outage.
     pub(crate) fn refresh(&mut self, now: u64) {
         for grant in self.grants.values_mut() {
             grant.renew(now);
--- a/crates/duty-lease/tests/simulation/world/controller.rs
+++ b/crates/duty-lease/tests/simulation/world/controller.rs
@@ -1,4 +1,4 @@
-//! One simulated controller: its leases, its order books and what it knows of the store.
+//! A simulated controller: its leases, its order books and its view of the store.
 
 use std::collections::BTreeMap;
 
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Starts a new process, which knows nothing of the one before.
+    /// Starts a new process, which has no state of the previous one.
     pub(super) fn start(&mut self) {
         self.process += 1;
         self.is_alive = true;
@@ -73,14 +73,14 @@
         self.is_alive && now >= self.paused_until
     }
 
-    /// Whether it may give orders of a duty now.
-    pub(super) fn may_order(&mut self, duty: Duty, now: u64) -> bool {
+    /// Whether it is allowed to send orders of a duty now.
+    pub(super) fn may_send_orders(&mut self, duty: Duty, now: u64) -> bool {
         let local = self.clock.read(now);
         let lease = self.leases.get_mut(&duty);
         lease.is_some_and(|lease| lease.order_token(local).is_some())
     }
 
-    /// Requests of the leases, and the next read.
+    /// The leases' requests that are due, and the next read.
     pub(super) fn due_store_requests(&mut self, now: u64) -> Vec<StoreRequest> {
         let local = self.clock.read(now);
         let mut requests = Vec::new();
@@ -102,7 +102,8 @@
         requests
     }
 
-    /// Requests of the order books. That this controller may give orders becomes history.
+    /// The order books' requests that are due. Adds to the history that this controller is allowed
+    /// to send orders.
     pub(super) fn due_order_requests(
         &mut self,
         now: u64,
@@ -113,7 +114,7 @@
         for (duty, lease) in &mut self.leases {
             let token = lease.order_token(local);
             if let Some(token) = token {
-                let event = Event::MayOrder {
+                let event = Event::OrderAllowed {
                     duty: *duty,
                     controller: self.index,
                     token,
@@ -127,8 +128,8 @@
         requests
     }
 
-    /// What the planner's writes depend on, if this controller is the planner now and has
-    /// read the store since it is.
+    /// The lease that the planner's writes depend on, if this controller holds it and has read the
+    /// store since it acquired it.
     pub(super) fn planner_lease(&mut self, now: u64) -> Option<PlannerLease> {
         let local = self.clock.read(now);
         let lease = self.leases.get_mut(&PLANNER)?;
@@ -138,7 +139,7 @@
         (view.holder_version == version).then_some(PlannerLease { token, version })
     }
 
-    /// A name's part that no other plan of this controller under the token has.
+    /// A suffix that is unique among the plans of this controller under the token.
     pub(super) fn next_plan_suffix(&mut self, token: u64) -> String {
         self.plans += 1;
         format!("{token}-{}", self.plans)
@@ -199,7 +200,7 @@
         self.forward_lease_events();
     }
 
-    /// Notifies the order books of changes of the holder.
+    /// Notifies the order books of gained and lost leases.
     pub(super) fn forward_lease_events(&mut self) {
         for (duty, lease) in &mut self.leases {
             let events = lease.take_events();
--- a/crates/duty-lease/tests/simulation/world/delivery.rs
+++ b/crates/duty-lease/tests/simulation/world/delivery.rs
@@ -1,4 +1,4 @@
-//! What happens when a message arrives.
+//! Delivery of messages to the store, the provider and the controllers.
 
 use duty_lease::OrderOutcome;
 use rand::Rng;
@@ -10,9 +10,9 @@
 use crate::provider::ProviderOrder;
 use crate::store::{keys, Transaction, TransactionOutcome, Write};
 
-/// How long an answer of the provider takes.
+/// Network delay of the provider's answers.
 const PROVIDER_DELAY_MS: u64 = 20;
-/// After this time without an answer of the provider the outcome is unknown.
+/// Time without an answer of the provider after which the outcome is unknown.
 const PROVIDER_TIMEOUT_MS: u64 = TTL_MS / 4;
 
 impl World {
@@ -37,8 +37,8 @@
         }
     }
 
-    /// A process that is paused would get its messages when it goes on; in this world they
-    /// are lost, which it has to tolerate as well.
+    /// Whether a process receives messages. A real paused process would receive them when it
+    /// resumes; here they are lost, which controllers must tolerate as well.
     fn is_running(&self, process: Process) -> bool {
         let controller = &self.controllers[process.controller];
         controller.process() == process && controller.is_running(self.now)
@@ -46,8 +46,8 @@
 
     fn deliver_to_store(&mut self, from: Process, request: StoreRequest, answer: Answer) {
         let StoreRequest { reply, operation } = request;
-        let refuses = self.troubles.store_refuses == Some(from.controller);
-        let result = if self.troubles.is_store_out || refuses {
+        let refuses = self.faults.store_refuses == Some(from.controller);
+        let result = if self.faults.is_store_down || refuses {
             StoreResult::Refused
         } else {
             self.execute(operation)
@@ -73,7 +73,7 @@
         }
     }
 
-    /// Tasks that are placed or end become history.
+    /// Commits a transaction, and adds the tasks that it places or ends to the history.
     fn commit(&mut self, transaction: &Transaction) -> TransactionOutcome {
         let outcome = self.store.commit(transaction);
         if matches!(outcome, TransactionOutcome::Written(_)) {
@@ -85,7 +85,7 @@
     }
 
     fn deliver_to_provider(&mut self, from: Process, order: ProviderOrder) {
-        let is_lost = self.rng.random_range(0..100) < self.troubles.provider_lost_percent;
+        let is_lost = self.rng.random_range(0..100) < self.faults.provider_lost_percent;
         if is_lost {
             return self.lose_order(from, order);
         }
@@ -98,7 +98,7 @@
         self.send(PROVIDER_DELAY_MS, answer);
     }
 
-    /// The order gets no answer; half of them are carried out, up to four times to live
+    /// The order gets no answer; half of such orders are executed late, up to four times to live
     /// later.
     fn lose_order(&mut self, from: Process, order: ProviderOrder) {
         let answer = Message::FromProvider {
--- a/crates/duty-lease/tests/simulation/world/mod.rs
+++ b/crates/duty-lease/tests/simulation/world/mod.rs
@@ -1,18 +1,17 @@
 //! Controllers, the store and the provider on one simulated clock.
 //!
-//! [`World`] owns all of them, the messages on their way, and the history that the checker
-//! examines. A run is determined by its seed: each random choice is drawn from one generator
-//! in the order of events.
+//! [`World`] owns all of them, the messages in flight, and the history for the checker. A run is
+//! determined by its seed: all random choices are drawn from one generator in the order of events.
 
 mod clock;
 mod controller;
 mod delivery;
+mod faults;
 mod network;
 mod planner;
 mod sending;
 mod snapshot;
 mod transactions;
-mod troubles;
 
 use duty_lease::Duty;
 use rand::rngs::StdRng;
@@ -26,8 +25,8 @@
 use network::{Network, Reply};
 use planner::PLANNER;
 
+pub(crate) use faults::{Faults, SentMessages};
 pub(crate) use planner::Scaling;
-pub(crate) use troubles::{SentMessages, Troubles};
 
 pub(crate) const TTL_MS: u64 = 3000;
 pub(crate) const CONTROLLERS: usize = 3;
@@ -40,11 +39,11 @@
     pub store: Store,
     pub provider: Provider,
     pub history: History,
-    pub troubles: Troubles,
-    /// All clocks have kept within the drift that is allowed.
-    pub clocks_sound: bool,
+    pub faults: Faults,
+    /// Whether all clocks have stayed within the allowed drift.
+    pub clocks_correct: bool,
     pub scaling: Scaling,
-    /// Requests of leases to the store.
+    /// How many requests of leases were sent to the store.
     pub lease_requests: u64,
     controllers: Vec<Controller>,
     network: Network,
@@ -62,8 +61,8 @@
             store: Store::default(),
             provider: Provider::new(fence),
             history: History::default(),
-            troubles: Troubles::default(),
-            clocks_sound: true,
+            faults: Faults::default(),
+            clocks_correct: true,
             scaling: Scaling::Active,
             lease_requests: 0,
             controllers,
@@ -77,7 +76,7 @@
         let end = self.now + for_ms;
         while self.now < end {
             self.now += STEP_MS;
-            if !self.troubles.is_store_out {
+            if !self.faults.is_store_down {
                 self.store.expire(self.now);
             }
             while let Some(message) = self.network.next_due(self.now) {
@@ -98,14 +97,14 @@
         for request in controller.due_store_requests(self.now) {
             let is_lease_request = matches!(request.reply, Reply::Lease { .. });
             self.lease_requests += u64::from(is_lease_request);
-            self.ask_store(from, request);
+            self.send_to_store(from, request);
         }
         self.controllers[index].forward_lease_events();
         self.send_order_requests(index);
         self.plan(index);
     }
 
-    /// The controller that holds a duty by its own account.
+    /// The first controller that considers itself the holder of a duty.
     pub(crate) fn holder(&self, duty: Duty) -> Option<usize> {
         let holds = |controller: &Controller| {
             controller.is_alive && controller.leases[&duty].token().is_some()
@@ -113,13 +112,14 @@
         self.controllers.iter().position(holds)
     }
 
-    /// The controllers that could give an order now.
+    /// The controllers that are allowed to send orders of a duty now.
     pub(crate) fn effective_holders(&mut self, duty: Duty) -> Vec<usize> {
         let now = self.now;
         let controllers = self.controllers.iter_mut().enumerate();
         controllers
             .filter_map(|(index, controller)| {
-                let is_effective = controller.is_running(now) && controller.may_order(duty, now);
+                let is_effective =
+                    controller.is_running(now) && controller.may_send_orders(duty, now);
                 is_effective.then_some(index)
             })
             .collect()
@@ -129,8 +129,8 @@
         self.effective_holders(duty).first().copied()
     }
 
-    /// Scaling requests and intents that are open, and machines that no controller owns.
-    pub(crate) fn loose_ends(&self) -> Vec<String> {
+    /// Open scaling requests and intents, and rented machines without an owner.
+    pub(crate) fn unsettled_items(&self) -> Vec<String> {
         let is_open =
             |key: &&str| key.starts_with(keys::REQUESTS) || key.starts_with(keys::INTENTS);
         let all_keys = self.store.entries().map(|(key, _)| key);
@@ -138,7 +138,7 @@
         let is_owned = |machine: &&String| self.store.version(&keys::machine(machine)) > 0;
         let machines = self.provider.machines.iter();
         let unowned = machines.filter(|machine| !is_owned(machine));
-        open.chain(unowned.map(|machine| format!("{machine} is paid for without owner")))
+        open.chain(unowned.map(|machine| format!("{machine} is rented but has no owner")))
             .collect()
     }
 }
--- a/crates/duty-lease/tests/simulation/world/network.rs
+++ b/crates/duty-lease/tests/simulation/world/network.rs
@@ -8,8 +8,8 @@
 use crate::provider::ProviderOrder;
 use crate::store::{Transaction, TransactionOutcome};
 
-/// A controller's process: a controller that starts again does not get the answers to its
-/// earlier process.
+/// A controller's process. A restarted controller does not receive answers to its earlier
+/// process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct Process {
     pub controller: usize,
@@ -17,7 +17,7 @@
 }
 
 impl Process {
-    /// An ended process of that controller: answers to it are dropped.
+    /// An ended process of a controller: answers to it are dropped.
     pub(super) fn ended(controller: usize) -> Process {
         Process {
             controller,
@@ -26,7 +26,7 @@
     }
 }
 
-/// What an answer of the store is for.
+/// The purpose of a request to the store, which routes its answer.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(super) enum Reply {
     Lease { duty: Duty, id: u64 },
@@ -70,14 +70,14 @@
     }
 }
 
-/// Whether the sender of a request gets the answer.
+/// Whether the sender of a request receives the answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Answer {
     Delivered,
     Lost,
 }
 
-/// A request to the store, with what its answer is for.
+/// A request to the store, with its purpose.
 #[derive(Debug, Clone)]
 pub(super) struct StoreRequest {
     pub reply: Reply,
@@ -118,7 +118,7 @@
     }
 }
 
-/// When a message arrives; those that arrive together, in the order of their sending.
+/// Arrival time of a message; messages with the same time arrive in the order of sending.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Arrival {
     at: u64,
@@ -143,8 +143,8 @@
         (entry.key().at <= now).then(|| entry.remove())
     }
 
-    /// Holds up what a controller has sent until this time.
-    pub(super) fn hold_up(&mut self, controller: usize, until: u64) {
+    /// Delays the messages that a controller has sent until `until`.
+    pub(super) fn hold_back(&mut self, controller: usize, until: u64) {
         let messages = self.messages.iter();
         let held = messages.filter(|(_, message)| message.sender() == Some(controller));
         let held: Vec<Arrival> = held.map(|(arrival, _)| *arrival).collect();
--- a/crates/duty-lease/tests/simulation/world/planner.rs
+++ b/crates/duty-lease/tests/simulation/world/planner.rs
@@ -1,5 +1,5 @@
-//! What the planning leader does next: own an unknown machine, request one, place a task, end
-//! one, or request the termination of an idle machine.
+//! The simulated planner: it adopts unknown machines, requests machines, places and ends tasks, and
+//! requests the termination of idle machines.
 
 use duty_lease::{Duty, Order, ScalingRequest};
 use rand::rngs::StdRng;
@@ -9,7 +9,7 @@
 use crate::provider::Provider;
 use crate::store::{keys, Condition, Transaction, Value, Write};
 
-/// The duty whose holder plans.
+/// The duty whose holder is the planner.
 pub(super) const PLANNER: Duty = Duty::ReclaimIdle;
 const MACHINES_WANTED: usize = 4;
 const TERMINATION_PROBABILITY: f64 = 0.3;
@@ -24,7 +24,7 @@
 pub(super) struct Plan<'a> {
     pub view: &'a Snapshot,
     pub scaling: Scaling,
-    /// A part of the scaling request's name that is not used again.
+    /// A unique suffix for the name of the scaling request.
     pub request_suffix: String,
 }
 
@@ -48,7 +48,7 @@
         let writes = if is_scaling && rng.random_bool(TERMINATION_PROBABILITY) {
             termination_writes(machine)
         } else {
-            vec![Write::set(keys::task(machine), Value::Mark)]
+            vec![Write::set(keys::task(machine), Value::Marker)]
         };
         let conditions = self.idle_conditions(machine);
         Some(Transaction { conditions, writes })
@@ -72,7 +72,7 @@
         }
     }
 
-    /// A machine that is not to be returned.
+    /// A random machine whose termination is not requested.
     fn random_machine(&self, rng: &mut StdRng) -> Option<&str> {
         let is_usable = |machine: &&String| !self.view.terminations.contains(*machine);
         let machines: Vec<&String> = self.view.machines.keys().filter(is_usable).collect();
@@ -82,8 +82,8 @@
         Some(machines[rng.random_range(0..machines.len())])
     }
 
-    /// The machine has no task and is not to be returned: what is returned gets no work
-    /// again.
+    /// Conditions that the machine is owned, has no task, and its termination is not requested: no
+    /// task may be placed on a machine that is being terminated.
     fn idle_conditions(&self, machine: &str) -> Vec<Condition> {
         vec![
             Condition::new(keys::machine(machine), self.view.machines[machine]),
@@ -93,12 +93,12 @@
     }
 }
 
-/// Owns a machine that the provider has and no controller knows.
+/// Adopts a rented machine that no controller owns.
 fn adopt(machine: &str) -> Transaction {
     let key = keys::machine(machine);
     Transaction {
         conditions: vec![Condition::new(key.clone(), 0)],
-        writes: vec![Write::set(key, Value::Mark)],
+        writes: vec![Write::set(key, Value::Marker)],
     }
 }
 
@@ -120,7 +120,7 @@
         version: 0,
     };
     vec![
-        Write::set(keys::termination(machine), Value::Mark),
+        Write::set(keys::termination(machine), Value::Marker),
         Write::set(keys::request(&request.id), Value::ScalingRequest(request)),
     ]
 }
--- a/crates/duty-lease/tests/simulation/world/sending.rs
+++ b/crates/duty-lease/tests/simulation/world/sending.rs
@@ -1,4 +1,5 @@
-//! What controllers send: requests to the store, orders, and the planner's transactions.
+//! Sending of the controllers' messages: requests to the store, orders, and the planner's
+//! transactions.
 
 use duty_lease::OrderRequest;
 use rand::Rng;
@@ -9,7 +10,7 @@
 use crate::provider::ProviderOrder;
 use crate::store::{keys, Condition, Transaction};
 
-/// How often the planner plans, in each step.
+/// Probability that the planner plans in a step.
 const PLAN_PROBABILITY: f64 = 0.1;
 
 impl World {
@@ -17,14 +18,14 @@
         self.network.send(self.now + after_ms, message);
     }
 
-    /// How long a message takes to the store or back.
+    /// Network delay of a message to or from the store.
     pub(super) fn store_delay_ms(&mut self) -> u64 {
-        self.rng.random_range(1..30) + self.troubles.store_delay_ms
+        self.rng.random_range(1..30) + self.faults.store_delay_ms
     }
 
-    pub(super) fn ask_store(&mut self, from: Process, request: StoreRequest) {
+    pub(super) fn send_to_store(&mut self, from: Process, request: StoreRequest) {
         let mut delay_ms = self.store_delay_ms();
-        let is_lost = self.rng.random_range(0..100) < self.troubles.lost_percent;
+        let is_lost = self.rng.random_range(0..100) < self.faults.lost_percent;
         let is_late = is_lost && self.rng.random_bool(0.5);
         if is_late {
             delay_ms += self.rng.random_range(TTL_MS / 4..2 * TTL_MS);
@@ -44,7 +45,7 @@
 
     fn commit_at_store(&mut self, from: Process, reply: Reply, transaction: Transaction) {
         let operation = StoreOperation::Commit(transaction);
-        self.ask_store(from, StoreRequest { reply, operation });
+        self.send_to_store(from, StoreRequest { reply, operation });
     }
 
     pub(super) fn send_order_requests(&mut self, index: usize) {
@@ -83,7 +84,7 @@
         }
     }
 
-    /// The planning leader: its writes are carried out only while it holds its lease.
+    /// Sends the planner's next transaction, which is committed only while it holds its lease.
     pub(super) fn plan(&mut self, index: usize) {
         let controller = &mut self.controllers[index];
         let Some(lease) = controller.planner_lease(self.now) else {
--- a/crates/duty-lease/tests/simulation/world/snapshot.rs
+++ b/crates/duty-lease/tests/simulation/world/snapshot.rs
@@ -1,4 +1,4 @@
-//! What a controller knows of the store from its last read.
+//! A controller's view of the store, as of its last read.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -12,9 +12,9 @@
     pub leases: BTreeMap<Duty, LeaseView>,
     /// Machines that the controllers own, with the versions of their keys.
     pub machines: BTreeMap<String, u64>,
-    /// Machines with a task, with the versions of its key.
+    /// Machines with a task, with the versions of the tasks' keys.
     pub tasks: BTreeMap<String, u64>,
-    /// Machines that are to be returned.
+    /// Machines whose termination is requested.
     pub terminations: BTreeSet<String>,
     pub requests: Vec<ScalingRequest>,
     pub intents: Vec<Intent>,
@@ -28,7 +28,7 @@
         }
         for (key, entry) in store.entries() {
             snapshot.add_value(&entry.value, entry.version);
-            snapshot.add_mark(key, entry.version);
+            snapshot.add_marker(key, entry.version);
         }
         snapshot
     }
@@ -43,11 +43,11 @@
                 version,
                 ..intent.clone()
             }),
-            Value::Holder(_) | Value::Token(_) | Value::Mark => {}
+            Value::Holder(_) | Value::Token(_) | Value::Marker => {}
         }
     }
 
-    fn add_mark(&mut self, key: &str, version: u64) {
+    fn add_marker(&mut self, key: &str, version: u64) {
         if let Some(machine) = key.strip_prefix(keys::MACHINES) {
             self.machines.insert(machine.to_string(), version);
         } else if let Some(machine) = key.strip_prefix(keys::TASKS) {
@@ -66,7 +66,7 @@
             .collect()
     }
 
-    /// The scaling requests that a duty satisfies.
+    /// The open scaling requests for a duty.
     pub(super) fn requests_of(&self, duty: Duty) -> Vec<ScalingRequest> {
         let requests = self.requests.iter();
         requests
@@ -75,7 +75,7 @@
             .collect()
     }
 
-    /// How many orders to rent machines are requested or recorded.
+    /// Number of orders to rent machines that are requested or recorded.
     pub(super) fn open_rentals(&self) -> usize {
         let requested = self.requests.iter().map(|request| &request.order);
         let recorded = self.intents.iter().map(|intent| &intent.order);
@@ -84,7 +84,7 @@
     }
 }
 
-/// The duty that carries out an order.
+/// The duty that is responsible for an order.
 fn duty_of(order: &Order) -> Duty {
     match order {
         Order::Rent { .. } => Duty::Rent,
--- a/crates/duty-lease/tests/simulation/world/transactions.rs
+++ b/crates/duty-lease/tests/simulation/world/transactions.rs
@@ -37,7 +37,7 @@
 fn result_writes(order: &Order, result: &OrderResult) -> Vec<Write> {
     match (order, result) {
         (_, OrderResult::Rented(machines)) => {
-            let own = |machine: &String| Write::set(keys::machine(machine), Value::Mark);
+            let own = |machine: &String| Write::set(keys::machine(machine), Value::Marker);
             machines.iter().map(own).collect()
         }
         (Order::Delete { machines, .. }, OrderResult::Deleted) => {
--- a/crates/duty-lease/tests/suspension.rs
+++ b/crates/duty-lease/tests/suspension.rs
@@ -1,4 +1,4 @@
-//! What confirms a lease after a suspension.
+//! The confirmation of a lease after a suspension.
 
 use duty_lease::{
     DutyLease, HolderKey, LeaseEvent, LeaseRequest, LeaseResponse, LeaseTiming, LeaseView,
@@ -6,13 +6,13 @@
 };
 
 const TTL_MS: u64 = 1000;
-/// The time between two calls while the process runs: no pause.
+/// Time between two calls while the process runs; short enough not to count as a pause.
 const STEP_MS: u64 = 10;
 const TOKEN: Token = 1;
 const GRANT: u64 = 4;
 const HOLDER_VERSION: u64 = 3;
 
-/// Lets time pass until the lease sends a request.
+/// Advances the clock until the lease sends a request.
 fn next_request(lease: &mut DutyLease, now: &mut u64) -> NumberedRequest {
     loop {
         *now += STEP_MS;
@@ -22,7 +22,7 @@
     }
 }
 
-/// A lease that is held and confirmed, with its next renewal on the way.
+/// A lease that is held and confirmed, with its next renewal in flight.
 fn lease_with_renewal_in_flight(now: &mut u64) -> (DutyLease, NumberedRequest) {
     let mut lease = DutyLease::new("c0", LeaseTiming::new(TTL_MS));
     loop {
@@ -48,8 +48,8 @@
     }
 }
 
-/// A renewal that was sent before a pause says nothing of the time after it, however soon its
-/// answer is read: orders are allowed again only by one that was sent since.
+/// A renewal that was sent before a pause does not confirm the lease after it, however soon its
+/// answer is read: orders are allowed again only after a renewal that was sent after the pause.
 #[test]
 fn a_renewal_sent_before_a_suspension_does_not_confirm_the_lease() {
     let timing = LeaseTiming::new(TTL_MS);
@@ -67,10 +67,10 @@
     assert_eq!(lease.take_events(), [suspended]);
     assert_eq!(lease.order_token(now), None, "sent before the pause");
 
-    let sent_since = lease.tick(now).expect("another renewal at once");
-    assert_eq!(sent_since.request, LeaseRequest::Renew { grant: GRANT });
+    let sent_after = lease.tick(now).expect("another renewal at once");
+    assert_eq!(sent_after.request, LeaseRequest::Renew { grant: GRANT });
     now += STEP_MS;
-    lease.on_response(sent_since.id, LeaseResponse::Renewed, now);
+    lease.on_response(sent_after.id, LeaseResponse::Renewed, now);
     assert_eq!(lease.take_events(), [LeaseEvent::Resumed(TOKEN)]);
     assert_eq!(lease.order_token(now), Some(TOKEN));
 }
