--- a/tests/common/cloud_orders.rs
+++ b/tests/common/cloud_orders.rs
@@ -105,7 +105,9 @@
                 let due_at = self.now + delay_ms;
                 self.held.late_cloud_orders.push(LateCall { due_at, call });
             }
-            CloudOrders::Trouble => self.respond_status(CLOUD_ANSWER_DELAY_MS, call.ticket, 503),
+            CloudOrders::Trouble => {
+                self.respond_status(CLOUD_ANSWER_DELAY_MS, call.ticket, 503);
+            }
             CloudOrders::Unanswered => drop(self.execute_at_cloud(&call)),
             CloudOrders::Answered => {
                 let outcome = self.execute_at_cloud(&call);
--- a/tests/unit/write_queue.rs
+++ b/tests/unit/write_queue.rs
@@ -92,11 +92,7 @@
     let mut requests = TokenBucket::new(100.0);
     let transaction = queue.next(1, 7, &mut requests).expect("a transaction");
     let keys: Vec<&str> = transaction.writes.iter().map(Write::key).collect();
-    assert_eq!(
-        keys,
-        ["j/1"],
-        "later writes of the queue are not sent before the blocked one"
-    );
+    assert_eq!(keys, ["j/1"], "later writes of the queue wait as well");
     let transaction = queue.next(1, 8, &mut requests).expect("the next");
     let keys: Vec<&str> = transaction.writes.iter().map(Write::key).collect();
     assert_eq!(keys, ["j/1", "f/1", "j/2"]);
