--- a/src/controller/agent_gateway.rs
+++ b/src/controller/agent_gateway.rs
@@ -53,7 +53,7 @@
         self.deferred.insert(heartbeat)
     }
 
-    /// Removes and returns the deferred heartbeats that can be answered now: first those of
+    /// Removes and returns the deferred heartbeats whose responses are due: first those of
     /// machines that have starts, then those whose deferral is over.
     pub(super) fn take_answerable(
         &mut self,
--- a/src/controller/calls.rs
+++ b/src/controller/calls.rs
@@ -27,10 +27,10 @@
     /// An order that this controller sent as a duty's holder.
     DutyOrder(SentOrder),
     /// The final state of a job that a user queries.
-    ReadFinalState { user: u64 },
+    ReadFinalState { request_id: u64 },
     /// A record of a job that a submission names as a dependency.
     ReadDependency {
-        user: u64,
+        request_id: u64,
         dependency: String,
         record: DependencyRecord,
     },
@@ -51,8 +51,8 @@
     Agent(AgentCall),
     /// The exchange of statuses with another controller.
     PeerStatus { member: String, sent_at: u64 },
-    /// A user request forwarded to another controller.
-    Forward { user: u64 },
+    /// A user's request forwarded to another controller.
+    Forward { request_id: u64 },
 }
 
 /// A call to an agent.
--- a/src/controller/commits.rs
+++ b/src/controller/commits.rs
@@ -11,7 +11,7 @@
 /// The originator of a write.
 #[derive(Debug, Clone)]
 pub(super) enum WriteOwner {
-    /// The user request with this number.
+    /// The user request with this id.
     User(u64),
     /// The announcement of this controller's version, or an upgrade of the stored format.
     FormatVersion,
@@ -54,7 +54,7 @@
 
     fn on_commit(&mut self, owner: WriteOwner, result: &CommitResult) {
         match owner {
-            WriteOwner::User(user) => self.on_user_commit(user, result),
+            WriteOwner::User(request_id) => self.on_user_commit(request_id, result),
             WriteOwner::FormatVersion => {}
             WriteOwner::Duty(write) => self.on_duty_commit(*write, result),
             WriteOwner::Job(write) => self.on_job_commit(&write, result),
--- a/src/controller/deferred_heartbeats.rs
+++ b/src/controller/deferred_heartbeats.rs
@@ -9,7 +9,7 @@
 pub(super) struct DeferredHeartbeat {
     pub connection: usize,
     pub status: AgentStatus,
-    /// When the heartbeat is answered in any case, in milliseconds of the steady clock.
+    /// When the response is sent at the latest, in milliseconds of the steady clock.
     pub until: u64,
 }
 
--- a/src/controller/dependencies.rs
+++ b/src/controller/dependencies.rs
@@ -93,8 +93,8 @@
     /// Accepts a new job if all its dependencies are known to have been accepted; otherwise
     /// reads the first unknown one from the store, because another controller may have accepted
     /// it a moment ago: first its live record, then its final state.
-    pub(super) fn resolve_dependencies(&mut self, user: u64) {
-        let Some(pending) = self.users.get(user) else {
+    pub(super) fn resolve_dependencies(&mut self, request_id: u64) {
+        let Some(pending) = self.users.get(request_id) else {
             return;
         };
         let UserRequest::Submit(spec) = &pending.request else {
@@ -107,19 +107,19 @@
         let has_dependencies = !spec.dependencies.is_empty();
         let unknown = spec.dependencies.iter().find(is_unknown).cloned();
         if let Some(dependency) = unknown {
-            self.users.set_stage(user, RequestStage::Read);
-            return self.read_dependency(user, dependency, DependencyRecord::Live);
+            self.users.set_stage(request_id, RequestStage::Read);
+            return self.read_dependency(request_id, dependency, DependencyRecord::Live);
         }
         if has_dependencies {
             self.confirm_packed_format(FormatProof::Dependencies);
         }
-        self.create_job(user);
+        self.create_job(request_id);
     }
 
-    fn read_dependency(&mut self, user: u64, dependency: String, record: DependencyRecord) {
+    fn read_dependency(&mut self, request_id: u64, dependency: String, record: DependencyRecord) {
         let call = HttpCall::get_key(&record.key(&dependency));
         let pending = PendingCall::ReadDependency {
-            user,
+            request_id,
             dependency,
             record,
         };
@@ -128,7 +128,7 @@
 
     pub(super) fn on_dependency_read(
         &mut self,
-        user: u64,
+        request_id: u64,
         dependency: String,
         record: DependencyRecord,
         outcome: &Outcome,
@@ -138,17 +138,17 @@
                 if record == DependencyRecord::Final {
                     self.record_final_reply(&dependency, body);
                 }
-                self.users.add_found_dependency(user, dependency);
-                self.resolve_dependencies(user);
+                self.users.add_found_dependency(request_id, dependency);
+                self.resolve_dependencies(request_id);
             }
             (KeyRead::NotFound, DependencyRecord::Live) => {
-                self.read_dependency(user, dependency, DependencyRecord::Final);
+                self.read_dependency(request_id, dependency, DependencyRecord::Final);
             }
             (KeyRead::NotFound, DependencyRecord::Final) => {
                 let after = self.clock.sequence();
-                self.users.mark_unknown_dependency(user, after);
+                self.users.mark_unknown_dependency(request_id, after);
             }
-            (KeyRead::Failed, _) => self.forward_request(user),
+            (KeyRead::Failed, _) => self.forward_request(request_id),
         }
     }
 
--- a/src/controller/dispatch.rs
+++ b/src/controller/dispatch.rs
@@ -75,12 +75,12 @@
             PendingCall::Revoke => {}
             PendingCall::DutyLease(call) => self.on_duty_lease_outcome(&call, &outcome),
             PendingCall::DutyOrder(sent) => self.on_duty_order_reply(sent, &outcome),
-            PendingCall::ReadFinalState { user } => self.on_final_read(user, &outcome),
+            PendingCall::ReadFinalState { request_id } => self.on_final_read(request_id, &outcome),
             PendingCall::ReadDependency {
-                user,
+                request_id,
                 dependency,
                 record,
-            } => self.on_dependency_read(user, dependency, record, &outcome),
+            } => self.on_dependency_read(request_id, dependency, record, &outcome),
             PendingCall::LookUpDependency { dependency } => {
                 self.on_dependency_lookup(&dependency, &outcome);
             }
@@ -99,7 +99,7 @@
             PendingCall::PeerStatus { member, sent_at } => {
                 self.on_status_outcome(&member, sent_at, &outcome);
             }
-            PendingCall::Forward { user } => self.on_forward_outcome(user, &outcome),
+            PendingCall::Forward { request_id } => self.on_forward_outcome(request_id, &outcome),
         }
     }
 }
--- a/src/controller/format_version.rs
+++ b/src/controller/format_version.rs
@@ -1,8 +1,7 @@
 //! Compatibility with the previous version, which is in production, and with store limits that
 //! are lowered without notice.
 //!
-//! Data that the previous version cannot read is written only once no controller runs it any
-//! more. Each controller announces its version under a key of its own. Once every controller of
+//! Data that the previous version cannot read is written only once no controller runs it. Each controller announces its version under a key of its own. Once every controller of
 //! the settings has done so, and each recently reported that it runs this version, the leader
 //! raises the stored format, which never decreases. A controller that is down or cut off counts
 //! as old, and so does one that was rolled back. A submission that names dependencies, or a
--- a/src/controller/heartbeats.rs
+++ b/src/controller/heartbeats.rs
@@ -1,4 +1,5 @@
-//! Handling of agents' heartbeats: they are answered, deferred, or redirected to the leader.
+//! Handling of agents' heartbeats: the controller responds, defers its response, or redirects
+//! the agent to the leader.
 
 use tracing::{debug, trace};
 
@@ -13,8 +14,8 @@
 /// For how long the response to a heartbeat waits for start commands, as a ratio of the heartbeat
 /// interval.
 const DEFERRAL_INTERVAL_RATIO: f64 = 0.1;
-/// For how long heartbeats are answered although there may be newer cancellations that this
-/// controller does not know of, as a ratio of the time between the lease and `cancel_s`.
+/// For how long the controller responds to heartbeats although there may be newer cancellations
+/// that it does not know of, as a ratio of the time between the lease and `cancel_s`.
 const CANCELLATIONS_AGE_RATIO: f64 = 0.75;
 
 impl Controller {
@@ -40,7 +41,7 @@
         self.accept_heartbeat(connection, agent_status);
     }
 
-    /// Whether the known cancellations are recent enough to answer a heartbeat. If they are, an
+    /// Whether the known cancellations are recent enough to respond to a heartbeat. If they are, an
     /// agent that gets no further response loses its lease and ends its tasks before `cancel_s`
     /// has passed for any cancellation that this controller does not know of.
     fn has_recent_cancellations(&self) -> bool {
@@ -53,14 +54,14 @@
 
     fn accept_heartbeat(&mut self, connection: usize, agent_status: AgentStatus) {
         let now = self.clock.steady_ms();
-        let certain = self.leadership.is_certain(now);
+        let has_valid_lease = self.leadership.is_certain(now);
         let Some(scheduler) = &mut self.scheduler else {
             return;
         };
         let origin = StatusOrigin::Heartbeat;
         let freed = scheduler.on_agent_status(&agent_status, origin, now);
         let has_freed_capacity = freed == FreedCapacity::UsableByPendingTasks;
-        let may_get_starts = certain
+        let may_get_starts = has_valid_lease
             && has_freed_capacity
             && !scheduler.may_have_unsent_starts(&agent_status.machine);
         self.agents.record_accepted_heartbeat(now);
@@ -91,7 +92,7 @@
         self.outbox.respond(connection, response);
     }
 
-    /// Answers an accepted heartbeat with the pending commands for the agent.
+    /// Responds to an accepted heartbeat with the pending commands for the agent.
     fn answer_heartbeat(&mut self, connection: usize, agent_status: &AgentStatus) {
         let now = self.clock.steady_ms();
         let permission = self.start_permission();
@@ -117,7 +118,7 @@
         self.outbox.respond(connection, response);
     }
 
-    /// Answers deferred heartbeats as soon as starts for their machines are persisted, or
+    /// Responds to deferred heartbeats as soon as starts for their machines are persisted, or
     /// without starts when their deferral is over.
     pub(super) fn answer_deferred_heartbeats(&mut self) {
         let now = self.clock.steady_ms();
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -165,7 +165,7 @@
         self.store.set_share(role, &limits, self.clock.steady_ms());
     }
 
-    /// Whether the store answered recently enough to count as reachable.
+    /// Whether the store responded recently enough to count as reachable.
     fn is_store_reachable(&self) -> bool {
         self.store.is_reachable(self.clock.steady_ms())
     }
--- a/src/controller/stats.rs
+++ b/src/controller/stats.rs
@@ -15,7 +15,7 @@
 #[derive(Debug, Default)]
 struct Traffic {
     heartbeats: u64,
-    users: u64,
+    user_requests: u64,
     peers: u64,
     plans: u64,
     plan_ms: u64,
@@ -48,7 +48,7 @@
         let count = match (listener, path) {
             (Listener::Peers, _) => &mut self.traffic.peers,
             (Listener::Front, wire::HEARTBEAT_PATH) => &mut self.traffic.heartbeats,
-            (Listener::Front, _) => &mut self.traffic.users,
+            (Listener::Front, _) => &mut self.traffic.user_requests,
         };
         *count += 1;
     }
@@ -134,7 +134,7 @@
         let calls = self.outbox.take_stats();
         info!(
             heartbeats = traffic.heartbeats,
-            users = traffic.users,
+            users = traffic.user_requests,
             peers = traffic.peers,
             replies = calls.replies,
             store_calls = calls.store_calls,
--- a/src/controller/store_client.rs
+++ b/src/controller/store_client.rs
@@ -1,5 +1,5 @@
 //! Client of the store. Owns this controller's share of the store's rate limits, the write
-//! queue, and the time at which the store last answered.
+//! queue, and the time at which the store last responded.
 
 use super::calls::PendingCall;
 use super::commits::WriteOwner;
@@ -14,7 +14,7 @@
 pub(super) const STORE_TIMEOUT_MS: u64 = 1500;
 /// How long the store holds a watch open while nothing changes.
 pub(super) const WATCH_HOLD_MS: u64 = 1000;
-/// The store counts as reachable for this long after an answer: a reachable store answers a
+/// The store counts as reachable for this long after a response: a reachable store responds to a
 /// watch within it.
 pub(super) const REACHABLE_TIMEOUT_MS: u64 = WATCH_HOLD_MS + STORE_TIMEOUT_MS;
 /// HTTP statuses from this one on report a failure of the store itself.
@@ -47,7 +47,7 @@
     peer_count: usize,
     request_limit: TokenBucket,
     writes: WriteQueue<WriteOwner>,
-    /// When the store last answered with neither a rate-limit refusal nor a server error.
+    /// When the store last sent a response that was neither a rate-limit refusal nor a server error.
     answered_at: Option<u64>,
 }
 
@@ -92,7 +92,7 @@
         let _ = self.request_limit.try_take(now, 1.0, 0.0);
     }
 
-    /// Whether the store has answered within the reachability timeout.
+    /// Whether the store has responded within the reachability timeout.
     pub(super) fn is_reachable(&self, now: u64) -> bool {
         self.answered_at
             .is_some_and(|at| now < at + REACHABLE_TIMEOUT_MS)
--- a/src/controller/user_requests.rs
+++ b/src/controller/user_requests.rs
@@ -105,7 +105,7 @@
         self.users.set_stage(request_id, RequestStage::Forwarded);
         let call = HttpCall::post(FORWARD_PATH, body, FORWARD_TIMEOUT_MS);
         self.outbox
-            .call(PendingCall::Forward { user: request_id }, address, call);
+            .call(PendingCall::Forward { request_id }, address, call);
     }
 
     /// Forwards the requests that wait for a read of the store, after it has failed.
@@ -182,7 +182,7 @@
         self.users.set_stage(request_id, RequestStage::Read);
         let call = HttpCall::get_key(&final_state_key(job_id));
         self.outbox
-            .call_store(PendingCall::ReadFinalState { user: request_id }, call);
+            .call_store(PendingCall::ReadFinalState { request_id }, call);
     }
 
     pub(super) fn on_final_read(&mut self, request_id: u64, outcome: &Outcome) {
--- a/src/scheduler/machine_views.rs
+++ b/src/scheduler/machine_views.rs
@@ -24,7 +24,7 @@
 impl Scheduler {
     /// Whether tasks may be placed on a machine. Its latest status must show this leader's epoch:
     /// one with an older epoch may be a late copy from a machine that no longer exists, or come
-    /// from a machine that this controller's answers do not reach.
+    /// from a machine that this controller's responses do not reach.
     pub(super) fn accepts_tasks(&self, machine: &Machine, now: u64) -> bool {
         let silence_tolerance_ms = self.silence_tolerance_ms();
         let last_heartbeat_at = machine
--- a/src/scheduler/probes.rs
+++ b/src/scheduler/probes.rs
@@ -62,7 +62,7 @@
 
 impl Scheduler {
     /// Probes machines that should send heartbeats and do not. This also raises the epoch of
-    /// agents that another controller still answers. A new leader probes all machines that have
+    /// agents to which another controller still responds. A new leader probes all machines that have
     /// not sent a heartbeat, in batches, since it cannot place their tasks again before it knows
     /// their status.
     pub(super) fn probe_machines(&mut self, now: u64) {
--- a/src/scheduler/provisioning.rs
+++ b/src/scheduler/provisioning.rs
@@ -1,4 +1,4 @@
-//! Provisioning requests, from the scale-out decision to the cloud's answer.
+//! Provisioning requests, from the scale-out decision to the cloud's response.
 //!
 //! [`ProvisioningRequests`] owns the open requests and the kinds of machine that the cloud has
 //! refused; the scheduler adds the machines that a request provisions.
@@ -45,7 +45,7 @@
     }
 }
 
-/// How the cloud has answered a provisioning request.
+/// How the cloud has responded to a provisioning request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ProvisioningOutcome {
     /// Machines were rented, perhaps fewer than requested.
--- a/src/scheduler/termination_review.rs
+++ b/src/scheduler/termination_review.rs
@@ -9,7 +9,7 @@
 use crate::machine::{BoundTask, CloudStatus, ExitCause, Machine, TaskPhase, TerminationReason};
 use crate::settings::{AgentTimings, OperatorSettings};
 
-/// Consecutive heartbeats showing that the answers had no effect, after which a machine counts
+/// Consecutive heartbeats showing that the responses had no effect, after which a machine counts
 /// as unreachable.
 const INEFFECTIVE_ANSWERS_MAX: u32 = 2;
 /// Agent leases after which a silent machine is terminated even during a network partition.
