--- a/crates/duty-lease/src/lease/mod.rs
+++ b/crates/duty-lease/src/lease/mod.rs
@@ -17,7 +17,7 @@
 //! - Orders are allowed only while a confirmed renewal is recent and was sent after the last
 //!   pause ([`DutyLease::order_token`]).
 //! - After an acquisition with an unknown outcome the keys are read before anything is
-//!   assumed. If the acquisition was not carried out, its grant is ended, so that the store
+//!   assumed. If the acquisition was not carried out, its grant is revoked, so that the store
 //!   can't carry it out late.
 //! - An acquisition uses the versions of the view that it began with: those of a newer view
 //!   could overwrite the key of another holder.
@@ -51,7 +51,7 @@
     Verifying(Acquisition),
     /// Holding the lease.
     Holding(Holding),
-    /// Ending the grant, after a release or an abandoned acquisition.
+    /// Revoking the grant, after a release or an abandoned acquisition.
     Releasing { grant: u64 },
 }
 
@@ -109,7 +109,7 @@
     }
 
     /// Whether this controller neither holds the lease nor is acquiring or releasing it. Its
-    /// reads may then be answered from the watch cache.
+    /// reads may then be served from the watch cache.
     pub fn is_following(&self) -> bool {
         self.state == State::Following
     }
--- a/crates/duty-lease/src/lease/protocol.rs
+++ b/crates/duty-lease/src/lease/protocol.rs
@@ -58,7 +58,7 @@
         /// The id of the grant.
         grant: u64,
     },
-    /// End a grant, which deletes the lease key attached to it.
+    /// Revoke a grant, which deletes the lease key attached to it.
     Release {
         /// The id of the grant.
         grant: u64,
@@ -90,9 +90,9 @@
     Conflict,
     /// The grant was renewed.
     Renewed,
-    /// The grant does not exist any more.
+    /// The grant no longer exists.
     GrantEnded,
-    /// The grant was ended.
+    /// The grant was revoked.
     Released,
     /// The request was not carried out.
     Refused,
--- a/crates/duty-lease/src/lease/responses.rs
+++ b/crates/duty-lease/src/lease/responses.rs
@@ -73,7 +73,7 @@
         }
     }
 
-    /// Ends the grant of an acquisition that was not carried out so far: without the grant it
+    /// Revokes the grant of an acquisition that was not carried out so far: without the grant it
     /// can't be carried out late.
     fn abandon_acquisition(&mut self, acquisition: Acquisition, now: u64) {
         self.state = State::Releasing {
--- a/crates/duty-lease/src/lib.rs
+++ b/crates/duty-lease/src/lib.rs
@@ -50,7 +50,7 @@
     Return,
     /// Find idle machines.
     ReclaimIdle,
-    /// Remove order records that no leader processes any more.
+    /// Remove order records that no leader will process.
     CleanState,
 }
 
--- a/src/admission.rs
+++ b/src/admission.rs
@@ -21,8 +21,8 @@
 /// The limit rises only while at least this ratio of it is in use.
 const INCREASE_USAGE_RATIO: f64 = 0.5;
 
-/// A limit on requests in progress. It rises by one for each full window of requests that were
-/// answered in time, and falls by a tenth when responses are slow.
+/// A limit on requests in progress. It rises by one for each full window of requests that got
+/// their response in time, and falls by a tenth when responses are slow.
 #[derive(Debug)]
 pub struct AdmissionLimit {
     limit: f64,
--- a/src/controller/dispatch.rs
+++ b/src/controller/dispatch.rs
@@ -1,4 +1,4 @@
-//! Routes events: requests to the module that answers them, outcomes of calls to the module
+//! Routes events: requests to the module that handles them, outcomes of calls to the module
 //! that made the call.
 
 use prost::Message;
--- a/src/controller/duties/cleaning.rs
+++ b/src/controller/duties/cleaning.rs
@@ -154,9 +154,9 @@
     }
 }
 
-/// Whether no controller needs a record any more once it has been unchanged for long enough. A
-/// provisioning request without a recorded order was never sent, and each new leader plans its
-/// own requests.
+/// Whether a record may be removed once it has been unchanged for long enough, as no controller
+/// needs it. A provisioning request without a recorded order was never sent, and each new leader
+/// plans its own requests.
 fn is_removable(record: &OrderRecord) -> bool {
     match record.phase {
         OrderPhase::Completed(_) => true,
--- a/src/controller/duties/runtime.rs
+++ b/src/controller/duties/runtime.rs
@@ -98,7 +98,7 @@
             self.lease.on_view(&records.lease(self.duty), now);
         }
         let NumberedRequest { id, request } = self.lease.tick(now)?;
-        // While this controller only follows, the watch cache answers its reads.
+        // While this controller only follows, the watch cache serves its reads.
         if request == LeaseRequest::Read && self.lease.is_following() {
             let view = LeaseResponse::View(records.lease(self.duty));
             self.lease.on_response(id, view, now);
--- a/src/controller/format_version.rs
+++ b/src/controller/format_version.rs
@@ -1,7 +1,8 @@
 //! Compatibility with the previous version, which is in production, and with store limits that
 //! are lowered without notice.
 //!
-//! Data that the previous version cannot read is written only once no controller runs it. Each controller announces its version under a key of its own. Once every controller of
+//! Data that the previous version cannot read is written only once no controller runs that
+//! version. Each controller announces its version under a separate key. Once every controller of
 //! the settings has done so, and each recently reported that it runs this version, the leader
 //! raises the stored format, which never decreases. A controller that is down or cut off counts
 //! as old, and so does one that was rolled back. A submission that names dependencies, or a
@@ -99,7 +100,7 @@
     }
 
     /// Whether the store holds data that only a later version can read. An outdated controller
-    /// neither leads nor answers users, whom it would tell that existing jobs are unknown.
+    /// neither leads nor serves users, whom it would tell that existing jobs are unknown.
     pub(super) fn is_outdated(&self) -> bool {
         self.watch_cache.format > LATEST_FORMAT
     }
--- a/src/controller/http.rs
+++ b/src/controller/http.rs
@@ -3,7 +3,7 @@
 use crate::net::status;
 use crate::wire;
 
-/// Delay in seconds after which clients are asked to retry. They wait at least as long in any case.
+/// Delay in seconds after which clients are asked to retry. They wait at least as long without it.
 pub(super) const RETRY_AFTER_S: u32 = 1;
 /// Timeout of a read of a single key of the store, and of a watch request that does not block.
 pub(super) const READ_TIMEOUT_MS: u64 = 1000;
@@ -74,7 +74,7 @@
         HttpCall::post(wire::renewal_path(grant), vec![], timeout_ms)
     }
 
-    /// Ends a grant of the store before it expires.
+    /// Revokes a grant of the store, so that it ends before it expires.
     pub(super) fn end_grant(grant: u64, timeout_ms: u64) -> HttpCall {
         HttpCall {
             method: DELETE,
--- a/src/controller/leadership.rs
+++ b/src/controller/leadership.rs
@@ -153,7 +153,7 @@
         self.lease.resign(now, standby_ms)
     }
 
-    /// Gives up a lease that another controller has already taken, so no grant is revoked.
+    /// Gives up a lease that another controller has already acquired, so no grant is revoked.
     pub(super) fn abandon(&mut self, now: u64) {
         let _ = self.lease.resign(now, 0);
     }
--- a/src/controller/peers.rs
+++ b/src/controller/peers.rs
@@ -21,7 +21,7 @@
 /// heartbeat.
 const ROUND_HEARTBEAT_INTERVALS: f64 = 1.5;
 /// Acknowledged cancellations are kept for this multiple of `cancel_s`, after which no task of
-/// the job runs any more.
+/// the job can still be running.
 const CANCELLATION_RETENTION_MULTIPLIER: f64 = 2.0;
 /// How long a leader that resigned because no agent reaches it does not campaign, as a share of
 /// `lease_s`.
--- a/src/controller/user_types.rs
+++ b/src/controller/user_types.rs
@@ -105,7 +105,7 @@
     /// not have them yet.
     pub found_dependencies: Vec<String>,
     /// Whether a submission depends on a job that was never accepted. If the submission itself
-    /// was accepted earlier, the response reports its state all the same.
+    /// was accepted earlier, the response still reports its state.
     pub has_unknown_dependency: bool,
 }
 
--- a/src/dependencies.rs
+++ b/src/dependencies.rs
@@ -1,7 +1,7 @@
 //! The dependency graph of live jobs.
 //!
 //! The graph tracks which live jobs wait for others to be done, and which are cancelled because
-//! a job that they depend on is cancelled. Users see such a cancellation at once, before it is
+//! a job that they depend on is cancelled. Users see such a cancellation immediately, before it is
 //! persisted in the job's own record. The cost of each change is proportional to the number of
 //! jobs that it affects.
 //!
--- a/src/duties/keys.rs
+++ b/src/duties/keys.rs
@@ -12,7 +12,7 @@
 use duty_lease::Duty;
 
 /// The first stored format in which the holders of leases, not the leader, carry out duties.
-/// Versions without duties neither lead nor answer users at this format.
+/// Versions without duties neither lead nor serve users at this format.
 pub const DUTIES_FORMAT: u64 = 2;
 /// Prefix of all duty records.
 pub const DUTIES_PREFIX: &str = "g/d/";
--- a/src/duties/records/values.rs
+++ b/src/duties/records/values.rs
@@ -37,7 +37,7 @@
     /// The order may have been sent under this name, and is retried until the provider
     /// responds.
     Recorded(OrderId),
-    /// The order has a result and is not sent any more.
+    /// The order has a result and is no longer sent.
     Completed(OrderResult),
 }
 
--- a/src/leader_lease.rs
+++ b/src/leader_lease.rs
@@ -29,9 +29,9 @@
 const TTL_AGENT_LEASE_RATIO_MAX: f64 = 0.25;
 /// Shortest time to live of a grant that the store supports.
 const TTL_MIN_MS: u64 = 100;
-/// The grant is renewed at this fraction of its time to live.
+/// Renewals of the grant per time to live.
 const RENEWALS_PER_TTL: u64 = 4;
-/// A failed request is retried after this fraction of the time to live.
+/// Retries of a failed request per time to live.
 const RETRIES_PER_TTL: u64 = 20;
 /// Tenths of the time to live for which the grant is certain to be valid, counted from when the
 /// last renewal was sent. The rest allows for clock drift.
@@ -222,7 +222,7 @@
     }
 
     /// Returns whether another controller holds the leader key. A key that an earlier process of
-    /// this controller holds can be taken over at once.
+    /// this controller holds can be taken over immediately.
     fn is_led_by_another(&self, watch_cache: &WatchCache) -> bool {
         let leader = watch_cache.leader();
         leader.is_some_and(|leader| leader.key.member != self.member)
--- a/src/machine/heartbeat_responses.rs
+++ b/src/machine/heartbeat_responses.rs
@@ -12,7 +12,8 @@
 use crate::wire::AgentStatus;
 use crate::wire::Incarnation;
 
-/// An agent whose heartbeat was responded to within this part of a lease still holds its lease.
+/// An agent whose heartbeat was responded to within this percentage of a lease still holds its
+/// lease.
 const LEASE_HELD_PERCENT: u64 = 75;
 
 /// What an agent's next heartbeat shows if it received the last response.
--- a/src/net/connection.rs
+++ b/src/net/connection.rs
@@ -113,7 +113,7 @@
         matches!(&self.role, Role::Server(state) if state.is_agent())
     }
 
-    /// Whether input is read at once: replies from critical callees, and requests from other
+    /// Whether input is read immediately: replies from critical callees, and requests from other
     /// controllers.
     pub(super) fn is_urgent(&self) -> bool {
         match &self.role {
--- a/src/net/event_loop.rs
+++ b/src/net/event_loop.rs
@@ -1,4 +1,4 @@
-//! The event loop: accepts, reads, answers and closes connections, in a fixed order.
+//! The event loop: accepts, reads, writes and closes connections, in a fixed order.
 //!
 //! One thread drives all sockets of the process in turns ([`EventLoop::turn`]). A turn does a
 //! bounded amount of work, so that urgent input (replies from the store, the cloud and other
@@ -170,7 +170,7 @@
         }
     }
 
-    /// Reads urgent input at once; queues the connection otherwise.
+    /// Reads urgent input immediately; queues the connection otherwise.
     fn read_or_queue(&mut self, id: ConnectionId) {
         if self.is_urgent(id) {
             return self.read(id);
--- a/src/net/listeners.rs
+++ b/src/net/listeners.rs
@@ -96,7 +96,7 @@
     }
 
     /// Accepts a connection. Returns `None` on failure; the listener remains pending only if
-    /// another attempt may succeed at once.
+    /// another attempt may succeed immediately.
     pub(super) fn accept(&mut self, listener: Listener) -> Option<TcpStream> {
         let listening = self.socket_mut(listener);
         let error = match listening.socket.accept() {
--- a/src/net/read_queue.rs
+++ b/src/net/read_queue.rs
@@ -32,7 +32,7 @@
 /// Which of the two queues a connection waits in.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum ReadClass {
-    /// A request has been answered on the server connection.
+    /// A server connection that has already served a request.
     Served,
     /// Any other connection, client connections to agents included.
     New,
--- a/src/net/server_state.rs
+++ b/src/net/server_state.rs
@@ -27,7 +27,7 @@
     /// A request was reported to the controller, which has not responded yet.
     awaits_response: bool,
     closes_after_response: bool,
-    /// A request has been answered on this connection.
+    /// This connection has served a request.
     was_served: bool,
     /// When the first byte of an incomplete request was received.
     request_started_at: Option<Instant>,
@@ -59,7 +59,7 @@
         self.awaits_response
     }
 
-    /// Whether a request has been answered on this connection.
+    /// Whether this connection has served a request.
     pub(super) fn was_served(&self) -> bool {
         self.was_served
     }
@@ -114,8 +114,8 @@
         self.closes_after_response = true;
     }
 
-    /// Marks the request as answered with `response_status`. Returns whether the connection is
-    /// kept, or `None` if no request awaits a response.
+    /// Records the response to the request, with `response_status`. Returns whether the connection
+    /// is kept, or `None` if no request awaits a response.
     pub(super) fn finish_request(
         &mut self,
         response_status: u16,
--- a/src/scheduler/agent_status.rs
+++ b/src/scheduler/agent_status.rs
@@ -30,9 +30,9 @@
 /// Whether a status shows that its machine has newly free capacity.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FreedCapacity {
-    /// It has, and pending tasks could use it: their starts may be committed soon.
+    /// The machine has, and pending tasks could use it: their starts may be committed soon.
     UsableByPendingTasks,
-    /// It has none, or no pending task could use it.
+    /// The machine has none, or no pending task could use it.
     Unused,
 }
 
--- a/src/scheduler/dirty_jobs.rs
+++ b/src/scheduler/dirty_jobs.rs
@@ -12,7 +12,7 @@
 /// consistent.
 #[derive(Debug, Default)]
 pub(super) struct DirtyJobs {
-    /// Jobs whose changes are to be written at once.
+    /// Jobs whose changes are to be written immediately.
     urgent: BTreeSet<Arc<str>>,
     /// Jobs whose changes may be deferred, by the time since when they are pending.
     deferred: BTreeSet<(u64, Arc<str>)>,
--- a/src/scheduler/job_views.rs
+++ b/src/scheduler/job_views.rs
@@ -53,7 +53,8 @@
         }
         let is_overdue = self.is_overdue(job, context.time.now_s());
         if is_overdue && !is_gang {
-            // Going first is meant to get the job started, not to let it displace all others.
+            // An overdue array goes first so that it starts at all; it must not displace all
+            // other jobs.
             pending.truncate(job.spec.tasks.div_ceil(OVERDUE_ARRAY_DIVISOR) as usize);
         }
         let zones = self.zone_counts(job, context)?;
--- a/src/scheduler/machine_list.rs
+++ b/src/scheduler/machine_list.rs
@@ -8,7 +8,7 @@
 use crate::machine::{CloudStatus, Machine};
 use crate::wire::ListedMachine;
 
-/// Added to twice the usual lag of the machine list.
+/// Margin that is added to twice the usual lag of the machine list.
 const LIST_LAG_MARGIN_MS: u64 = 1000;
 
 impl Scheduler {
--- a/src/scheduler/partition.rs
+++ b/src/scheduler/partition.rs
@@ -33,7 +33,7 @@
     /// Whether so many machines are silent at once that this controller is probably the one
     /// that is cut off. It certainly is if their agents contacted other controllers. It is not if
     /// some machines still report here, or if the other controllers get no reports either: then
-    /// the machines are gone, or a whole zone of them, and there is no use in waiting for them.
+    /// the machines, perhaps those of a whole zone, have failed and are not waited for.
     pub(super) fn is_partitioned(
         &self,
         reachability: Reachability,
--- a/src/scheduler/placement.rs
+++ b/src/scheduler/placement.rs
@@ -45,7 +45,7 @@
 /// How a start command was sent.
 #[derive(Debug, Clone, Copy)]
 pub(super) enum StartDelivery {
-    /// In the response to this heartbeat. The agent accepts such a response at once or never, so
+    /// In the response to this heartbeat. The agent accepts such a response on arrival or never, so
     /// a later heartbeat shows the outcome.
     HeartbeatResponse {
         incarnation: Incarnation,
--- a/src/scheduler/probes.rs
+++ b/src/scheduler/probes.rs
@@ -62,9 +62,9 @@
 
 impl Scheduler {
     /// Probes machines that should send heartbeats and do not. This also raises the epoch of
-    /// agents to which another controller still responds. A new leader probes all machines that have
-    /// not sent a heartbeat, in batches, since it cannot place their tasks again before it knows
-    /// their status.
+    /// agents to which another controller still responds. A new leader probes all machines that
+    /// have not sent a heartbeat, in batches, since it cannot place their tasks again before it
+    /// knows their status.
     pub(super) fn probe_machines(&mut self, now: u64) {
         if self.is_overloaded(now) {
             return;
--- a/src/scheduler/record_state.rs
+++ b/src/scheduler/record_state.rs
@@ -17,7 +17,7 @@
 pub(super) enum WriteState {
     /// All changes are committed, or a write is in flight.
     None,
-    /// A change is to be written at once, because a further step waits until it is committed.
+    /// A change is to be written immediately, because a further step waits until it is committed.
     Urgent,
     /// A change may be written later, together with others; since when it is pending.
     Deferred(u64),
@@ -39,7 +39,7 @@
     key_version: u64,
     /// Number of changes in this term.
     change: u64,
-    /// Changes up to this one are to be written at once; later ones may be deferred and written
+    /// Changes up to this one are to be written immediately; later ones may be deferred and written
     /// together.
     urgent_change: u64,
     /// The last change that is committed; 0 if none of this term is.
@@ -99,7 +99,7 @@
         self.change
     }
 
-    /// Adds a change that is to be written at once. Returns its number.
+    /// Adds a change that is to be written immediately. Returns its number.
     pub(super) fn add_urgent_change(&mut self, now: u64) -> u64 {
         self.urgent_change = self.add_change(now);
         self.urgent_change
--- a/src/scheduler/scale_in.rs
+++ b/src/scheduler/scale_in.rs
@@ -25,7 +25,7 @@
         self.terminations.has_terminated_unreachable()
     }
 
-    /// Terminates machines that are gone, silent, unreachable, drained or idle.
+    /// Terminates machines that have stopped, or that are silent, unreachable, drained or idle.
     pub(super) fn terminate_machines(&mut self, now: u64) {
         self.drain_recorded_terminations();
         for machine in self.machines.values_mut() {
--- a/src/scheduler/stops.rs
+++ b/src/scheduler/stops.rs
@@ -1,4 +1,4 @@
-//! Stops tasks, at once or with a grace period for a checkpoint.
+//! Stops tasks, immediately or with a grace period for a checkpoint.
 
 use super::placement::{StopRequest, TaskKey};
 use super::Scheduler;
@@ -9,7 +9,7 @@
 const CHECKPOINT_MARGIN_S: f64 = 0.5;
 
 impl Scheduler {
-    /// Stops all tasks of a cancelled job at once.
+    /// Stops all tasks of a cancelled job immediately.
     pub(super) fn stop_cancelled(&mut self, id: &str, now: u64) {
         self.release_reservations(id);
         self.needs_planning = true;
--- a/src/scheduler/terminations.rs
+++ b/src/scheduler/terminations.rs
@@ -59,7 +59,7 @@
     }
 
     /// Removes confirmed terminations of machines that neither the cloud's list nor a late status
-    /// can show any more.
+    /// can still show.
     pub(super) fn remove_expired(&mut self, list_lag_ms: u64, now: u64) {
         let retention_ms = 4 * list_lag_ms + TERMINATED_RETENTION_MS;
         self.confirmed_at.retain(|_, at| now < *at + retention_ms);
--- a/src/settings/platform.rs
+++ b/src/settings/platform.rs
@@ -99,7 +99,7 @@
 pub struct AgentTimings {
     /// Interval of heartbeats.
     pub report_s: f64,
-    /// Time after the last answered heartbeat at which an agent kills its tasks.
+    /// Time after the last heartbeat that got a response, at which an agent kills its tasks.
     pub lease_s: f64,
     /// Time that a gang's tasks wait for the gang to be complete.
     pub gang_wait_s: f64,
--- a/src/watch_cache/keys.rs
+++ b/src/watch_cache/keys.rs
@@ -28,7 +28,7 @@
     format!("{FINAL_STATES_PREFIX}{id}")
 }
 
-/// The key of a leadership claim.
+/// A key that names the leader.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum ClaimKey {
     /// [`LEADER_KEY`]
@@ -52,7 +52,7 @@
     },
     /// A record of duties, which [`crate::duties::DutyRecords`] reads.
     Duties,
-    /// A claim to leadership.
+    /// The id and epoch of the leader.
     Claim(ClaimKey),
     /// The announcement of a controller that runs this version.
     Member {
--- a/src/watch_cache/mod.rs
+++ b/src/watch_cache/mod.rs
@@ -322,8 +322,8 @@
         claim.take().map(|_| CacheEvent::LeaderChanged)
     }
 
-    /// Returns the cached claim, unless it has this version or a later one: an own election may
-    /// be applied before the watch reports the deletion of the preceding leader's key.
+    /// Returns the cached value of a leader key, unless it has this version or a later one: an own
+    /// election may be applied before the watch reports the deletion of the preceding leader's key.
     fn claim_older_than(
         &mut self,
         key: ClaimKey,
