--- a/src/controller/leadership.rs
+++ b/src/controller/leadership.rs
@@ -66,7 +66,7 @@
         self.lease.epoch().is_some()
     }
 
-    /// Whether this controller holds the lease and it cannot have expired at `now`.
+    /// Whether this controller holds the lease, which cannot have expired at `now`.
     pub(super) fn is_certain(&self, now: u64) -> bool {
         self.lease.holds_valid_lease(now)
     }
--- a/src/controller/provider_client.rs
+++ b/src/controller/provider_client.rs
@@ -102,7 +102,7 @@
         }
     }
 
-    /// Sets this controller's share of the rate limit, by its role.
+    /// Sets this controller's share of the rate limit to that of a role.
     pub(super) fn set_share(&mut self, role: ProviderRole, now: u64) {
         let share = match role {
             ProviderRole::LeaderAndHolder => USED_LIMIT_RATIO,
--- a/src/controller/store_client.rs
+++ b/src/controller/store_client.rs
@@ -47,7 +47,7 @@
     peer_count: usize,
     request_limit: TokenBucket,
     writes: WriteQueue<WriteOwner>,
-    /// When the store last sent a response that was neither a rate-limit refusal nor a server error.
+    /// When the store last responded with neither a rate-limit refusal nor a server error.
     answered_at: Option<u64>,
 }
 
--- a/src/scheduler/dirty_jobs.rs
+++ b/src/scheduler/dirty_jobs.rs
@@ -48,8 +48,8 @@
         };
     }
 
-    /// The jobs to write now: all urgent ones, and up to `spare_writes` of those that have been
-    /// deferred for `max_wait_ms`, longest first. `may_write` tells whether a job's record may
+    /// The jobs to write now: all urgent ones, and up to `spare_writes` of those
+    /// that have been deferred for `max_wait_ms`, longest first. `may_write` tells whether a job's record may
     /// be written now.
     pub(super) fn due(
         &mut self,
--- a/src/scheduler/reconcile.rs
+++ b/src/scheduler/reconcile.rs
@@ -12,8 +12,8 @@
 const INTERRUPTION_MARGIN_MS: u64 = 500;
 
 impl Scheduler {
-    /// Performs the periodic work that is due. At most `spare_writes` deferrable record changes
-    /// are written.
+    /// Performs the periodic work that is due. At most `spare_writes` deferrable
+    /// record changes are written.
     pub fn tick(&mut self, now: u64, revision: u64, spare_writes: usize) {
         if now >= self.next_reconcile_at {
             let interval_ms = to_ms(self.cluster.workers.gang_peer_s * RECONCILE_INTERVAL_RATIO);
--- a/src/scheduler/records.rs
+++ b/src/scheduler/records.rs
@@ -154,8 +154,8 @@
         }
     }
 
-    /// Writes changes: all urgent ones, and up to `spare_writes` deferred ones, longest deferred
-    /// first.
+    /// Writes changes: all urgent ones, and up to `spare_writes` deferred ones,
+    /// longest deferred first.
     pub(super) fn write_changes(&mut self, now: u64, revision: u64, spare_writes: usize) {
         let jobs = &self.jobs;
         let may_write = |id: &str| {
