--- a/src/controller/leadership.rs
+++ b/src/controller/leadership.rs
@@ -66,7 +66,7 @@
         self.lease.epoch().is_some()
     }
 
-    /// Whether this controller holds the lease and it cannot have expired at `now`.
+    /// Whether this controller holds the lease, which cannot have expired at `now`.
     pub(super) fn is_certain(&self, now: u64) -> bool {
         self.lease.holds_valid_lease(now)
     }
@@ -153,7 +153,7 @@
         self.lease.resign(now, standby_ms)
     }
 
-    /// Gives up a lease that another controller has already taken, so no grant is revoked.
+    /// Gives up a lease that another controller has already acquired, so no grant is revoked.
     pub(super) fn abandon(&mut self, now: u64) {
         let _ = self.lease.resign(now, 0);
     }
--- a/src/scheduler/dirty_jobs.rs
+++ b/src/scheduler/dirty_jobs.rs
@@ -12,7 +12,7 @@
 /// consistent.
 #[derive(Debug, Default)]
 pub(super) struct DirtyJobs {
-    /// Jobs whose changes are to be written at once.
+    /// Jobs whose changes are to be written immediately.
     urgent: BTreeSet<Arc<str>>,
     /// Jobs whose changes may be deferred, by the time since when they are pending.
     deferred: BTreeSet<(u64, Arc<str>)>,
@@ -48,8 +48,8 @@
         };
     }
 
-    /// The jobs to write now: all urgent ones, and up to `spare_writes` of those that have been
-    /// deferred for `max_wait_ms`, longest first. `may_write` tells whether a job's record may
+    /// The jobs to write now: all urgent ones, and up to `spare_writes` of those
+    /// that have been deferred for `max_wait_ms`, longest first. `may_write` tells whether a job's record may
     /// be written now.
     pub(super) fn due(
         &mut self,
