--- a/crates/duty-lease/src/lease/mod.rs
+++ b/crates/duty-lease/src/lease/mod.rs
@@ -31,7 +31,7 @@
 mod responses;
 
 pub use events::{LeaseEvent, LossReason, SuspensionReason};
-pub use protocol::{HolderKey, LeaseRequest, LeaseResponse, LeaseView, NumberedRequest};
+pub use protocol::{HolderKey, LeaseRequest, LeaseResponse, LeaseView, OutgoingLeaseRequest};
 
 use crate::{LeaseTiming, Token};
 use clock::PauseDetector;
@@ -144,7 +144,7 @@
     /// Returns the request that is due, if any. Pass its response to
     /// [`DutyLease::on_response`] with the request's number. Call this often: gaps between
     /// the calls are how pauses of the process are detected.
-    pub fn tick(&mut self, now: u64) -> Option<NumberedRequest> {
+    pub fn tick(&mut self, now: u64) -> Option<OutgoingLeaseRequest> {
         self.check_clock(now);
         self.expire_request(now);
         if !self.requests.is_due(now) {
@@ -152,7 +152,7 @@
         }
         let request = self.next_request(now)?;
         let id = self.requests.begin(now);
-        Some(NumberedRequest { id, request })
+        Some(OutgoingLeaseRequest { id, request })
     }
 
     /// Handles the response to a request; late and duplicate responses are ignored.
--- a/crates/duty-lease/src/lease/protocol.rs
+++ b/crates/duty-lease/src/lease/protocol.rs
@@ -67,7 +67,7 @@
 
 /// A request with the number that identifies its response.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct NumberedRequest {
+pub struct OutgoingLeaseRequest {
     /// The number, unique within one [`super::DutyLease`].
     pub id: u64,
     /// The request.
--- a/crates/duty-lease/src/lib.rs
+++ b/crates/duty-lease/src/lib.rs
@@ -27,7 +27,7 @@
 pub use intent::{Intent, Order, OrderId, OrderResult, ScalingRequest};
 pub use lease::{
     Candidacy, DutyLease, HolderKey, LeaseEvent, LeaseRequest, LeaseResponse, LeaseView,
-    LossReason, NumberedRequest, SuspensionReason,
+    LossReason, OutgoingLeaseRequest, SuspensionReason,
 };
 pub use order_book::{
     FencingStatus, OrderBook, OrderOutcome, OrderRequest, RecordOutcome, WriteGuard,
--- a/crates/duty-lease/tests/model.rs
+++ b/crates/duty-lease/tests/model.rs
@@ -8,7 +8,7 @@
 
 use std::collections::{HashSet, VecDeque};
 
-use duty_lease::{Duty, DutyLease, LeaseRequest, LeaseTiming, NumberedRequest};
+use duty_lease::{Duty, DutyLease, LeaseRequest, LeaseTiming, OutgoingLeaseRequest};
 use store::Store;
 
 const TTL_MS: u64 = 1000;
@@ -127,7 +127,7 @@
         }
     }
 
-    fn send(&mut self, from: usize, numbered: NumberedRequest, choice: Choice) {
+    fn send(&mut self, from: usize, numbered: OutgoingLeaseRequest, choice: Choice) {
         let late_steps = if choice == Choice::Delay {
             LATE_STEPS
         } else {
--- a/crates/duty-lease/tests/properties.rs
+++ b/crates/duty-lease/tests/properties.rs
@@ -2,7 +2,7 @@
 
 use duty_lease::{
     Candidacy, DutyLease, HolderKey, LeaseRequest, LeaseResponse, LeaseTiming, LeaseView,
-    NumberedRequest, Token,
+    OutgoingLeaseRequest, Token,
 };
 use proptest::prelude::*;
 use proptest::test_runner::TestCaseError;
@@ -203,7 +203,7 @@
     }
 
     fn tick(&mut self) {
-        let Some(NumberedRequest { id, request }) = self.lease.tick(self.now) else {
+        let Some(OutgoingLeaseRequest { id, request }) = self.lease.tick(self.now) else {
             return;
         };
         if matches!(request, LeaseRequest::CreateGrant { .. }) {
@@ -255,7 +255,7 @@
 fn next_request(lease: &mut DutyLease, now: &mut u64) -> SentRequest {
     loop {
         *now += 10;
-        if let Some(NumberedRequest { id, request }) = lease.tick(*now) {
+        if let Some(OutgoingLeaseRequest { id, request }) = lease.tick(*now) {
             let sent_at = *now;
             return SentRequest {
                 id,
--- a/crates/duty-lease/tests/simulation/world/controller.rs
+++ b/crates/duty-lease/tests/simulation/world/controller.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeMap;
 
 use duty_lease::{
-    Duty, DutyLease, FencingStatus, LeaseEvent, LeaseResponse, LeaseTiming, NumberedRequest,
-    OrderBook, OrderId, OrderOutcome, OrderRequest, WriteGuard,
+    Duty, DutyLease, FencingStatus, LeaseEvent, LeaseResponse, LeaseTiming, OrderBook, OrderId,
+    OrderOutcome, OrderRequest, OutgoingLeaseRequest, WriteGuard,
 };
 
 use super::clock::Clock;
@@ -85,7 +85,7 @@
         let local = self.clock.read(now);
         let mut requests = Vec::new();
         for (duty, lease) in &mut self.leases {
-            if let Some(NumberedRequest { id, request }) = lease.tick(local) {
+            if let Some(OutgoingLeaseRequest { id, request }) = lease.tick(local) {
                 requests.push(StoreRequest {
                     reply: Reply::Lease { duty: *duty, id },
                     operation: StoreOperation::Lease(*duty, request),
--- a/crates/duty-lease/tests/suspension.rs
+++ b/crates/duty-lease/tests/suspension.rs
@@ -2,7 +2,7 @@
 
 use duty_lease::{
     DutyLease, HolderKey, LeaseEvent, LeaseRequest, LeaseResponse, LeaseTiming, LeaseView,
-    NumberedRequest, SuspensionReason, Token,
+    OutgoingLeaseRequest, SuspensionReason, Token,
 };
 
 const TTL_MS: u64 = 1000;
@@ -13,7 +13,7 @@
 const HOLDER_VERSION: u64 = 3;
 
 /// Advances the clock until the lease sends a request.
-fn next_request(lease: &mut DutyLease, now: &mut u64) -> NumberedRequest {
+fn next_request(lease: &mut DutyLease, now: &mut u64) -> OutgoingLeaseRequest {
     loop {
         *now += STEP_MS;
         if let Some(request) = lease.tick(*now) {
@@ -23,7 +23,7 @@
 }
 
 /// A lease that is held and confirmed, with its next renewal in flight.
-fn lease_with_renewal_in_flight(now: &mut u64) -> (DutyLease, NumberedRequest) {
+fn lease_with_renewal_in_flight(now: &mut u64) -> (DutyLease, OutgoingLeaseRequest) {
     let mut lease = DutyLease::new("c0", LeaseTiming::new(TTL_MS));
     loop {
         let numbered = next_request(&mut lease, now);
--- a/src/controller/agent_gateway.rs
+++ b/src/controller/agent_gateway.rs
@@ -55,11 +55,7 @@
 
     /// Removes and returns the deferred heartbeats whose responses are due: first those of
     /// machines that have starts, then those whose deferral is over.
-    pub(super) fn take_answerable(
-        &mut self,
-        startable: &[Arc<str>],
-        now: u64,
-    ) -> Vec<DeferredHeartbeat> {
+    pub(super) fn take_due(&mut self, startable: &[Arc<str>], now: u64) -> Vec<DeferredHeartbeat> {
         let machines = startable.iter().map(|machine| &**machine);
         let mut heartbeats = self.deferred.take_for_machines(machines);
         heartbeats.extend(self.deferred.take_due(now));
--- a/src/controller/store_sync.rs
+++ b/src/controller/cache_reads.rs
@@ -96,7 +96,7 @@
 
 /// The reads in flight, and when the next ones are due.
 #[derive(Debug)]
-pub(super) struct StoreSync {
+pub(super) struct CacheReads {
     /// An initial load is in progress.
     is_loading: bool,
     next_load_at: u64,
@@ -105,38 +105,38 @@
     watch: RepeatedRead,
     /// Immediate reads of changes for waiting requests.
     user_read: RepeatedRead,
-    complete_as_of: Option<EventTime>,
+    up_to_date_as_of: Option<EventTime>,
 }
 
-impl StoreSync {
+impl CacheReads {
     /// Starts with nothing read. `controller_count` is how many controllers share the store.
-    pub(super) fn new(cluster: &ClusterSettings, controller_count: usize) -> StoreSync {
-        StoreSync {
+    pub(super) fn new(cluster: &ClusterSettings, controller_count: usize) -> CacheReads {
+        CacheReads {
             is_loading: false,
             next_load_at: 0,
             last_key: None,
             watch: RepeatedRead::new(cluster, controller_count, WATCH_REQUEST_RATIO),
             user_read: RepeatedRead::new(cluster, controller_count, USER_READ_REQUEST_RATIO),
-            complete_as_of: None,
+            up_to_date_as_of: None,
         }
     }
 
     /// The time as of which the watch cache is complete; `None` before the first response.
-    pub(super) fn complete_as_of(&self) -> Option<EventTime> {
-        self.complete_as_of
+    pub(super) fn up_to_date_as_of(&self) -> Option<EventTime> {
+        self.up_to_date_as_of
     }
 
     /// Whether the watch cache is recent enough that the store still counts as reachable.
     pub(super) fn is_recent(&self, now: u64) -> bool {
-        let complete = self.complete_as_of;
+        let complete = self.up_to_date_as_of;
         complete.is_some_and(|complete| now < complete.at + REACHABLE_TIMEOUT_MS)
     }
 
     /// Records that the watch cache holds every change committed before `requested_at`.
-    pub(super) fn record_complete(&mut self, requested_at: EventTime) {
-        let complete = self.complete_as_of;
+    pub(super) fn record_up_to_date(&mut self, requested_at: EventTime) {
+        let complete = self.up_to_date_as_of;
         if complete.is_none_or(|complete| complete.sequence < requested_at.sequence) {
-            self.complete_as_of = Some(requested_at);
+            self.up_to_date_as_of = Some(requested_at);
         }
     }
 
--- a/src/controller/cache_updates.rs
+++ b/src/controller/cache_updates.rs
@@ -3,8 +3,8 @@
 
 use tracing::{debug, error, info, warn};
 
+use super::cache_reads::{ChangeRead, ChangesCall, KeyRange};
 use super::responses::{self, CallError};
-use super::store_sync::{ChangeRead, ChangesCall, KeyRange};
 use super::{Controller, StepDownReason};
 use crate::net::{status, Outcome};
 use crate::scheduler::StartPermission;
@@ -16,24 +16,24 @@
     /// watch cache.
     pub(super) fn start_permission(&self) -> StartPermission {
         let now = self.clock.steady_ms();
-        if self.store_sync.is_recent(now) && self.leadership.is_certain(now) {
+        if self.cache_reads.is_recent(now) && self.leadership.holds_valid_lease(now) {
             StartPermission::Granted
         } else {
             StartPermission::Withheld
         }
     }
 
-    pub(super) fn load_tick(&mut self) {
+    pub(super) fn tick_cache_load(&mut self) {
         let now = self.clock.steady_ms();
-        if self.watch_cache.loaded || !self.store_sync.begin_load_if_due(now) {
+        if self.watch_cache.loaded || !self.cache_reads.begin_load_if_due(now) {
             return;
         }
-        self.watch_cache.restart();
+        self.watch_cache.clear_for_reload();
         self.read_range(KeyRange::Leadership);
     }
 
     fn read_range(&mut self, range: KeyRange) {
-        self.store_sync.read_range(&mut self.outbox, range);
+        self.cache_reads.read_range(&mut self.outbox, range);
     }
 
     pub(super) fn on_page(&mut self, range: KeyRange, outcome: &Outcome) {
@@ -41,7 +41,7 @@
             Ok(page) => page,
             Err(error) => {
                 debug!(%error, "loading a page from the store failed; retrying the load");
-                return self.store_sync.retry_load(self.clock.steady_ms());
+                return self.cache_reads.retry_load(self.clock.steady_ms());
             }
         };
         self.watch_cache.apply_page(&page);
@@ -67,17 +67,17 @@
 
     fn read_next_page(&mut self, range: KeyRange, page: &wire::Page) {
         let outbox = &mut self.outbox;
-        if !self.store_sync.read_next_page(outbox, range, page) {
+        if !self.cache_reads.read_next_page(outbox, range, page) {
             error!(
                 ?range,
                 "page from the store did not advance; retrying the load"
             );
-            self.store_sync.retry_load(self.clock.steady_ms());
+            self.cache_reads.retry_load(self.clock.steady_ms());
         }
     }
 
     fn on_loaded(&mut self) {
-        self.store_sync.end_load();
+        self.cache_reads.end_load();
         self.watch_cache.loaded = true;
         info!(
             revision = self.watch_cache.revision,
@@ -87,23 +87,23 @@
         if self.is_outdated() {
             self.on_format_changed();
         }
-        self.lease_tick();
+        self.tick_leader_lease();
     }
 
-    pub(super) fn watch_tick(&mut self) {
+    pub(super) fn tick_watch(&mut self) {
         if !self.watch_cache.loaded {
             return;
         }
         let requested_at = self.clock.event_time();
         let after_revision = self.watch_cache.revision;
-        self.store_sync.watch_if_due(
+        self.cache_reads.watch_if_due(
             &mut self.store,
             &mut self.outbox,
             after_revision,
             requested_at,
         );
-        if self.store_sync.is_user_read_due(requested_at.at) && self.has_waiting_readers() {
-            self.store_sync.read_for_users(
+        if self.cache_reads.is_user_read_due(requested_at.at) && self.has_waiting_readers() {
+            self.cache_reads.read_for_users(
                 &mut self.store,
                 &mut self.outbox,
                 after_revision,
@@ -114,12 +114,13 @@
 
     /// Whether a user request or a pending term waits for a newer watch cache.
     fn has_waiting_readers(&self) -> bool {
-        self.leadership.has_pending_term() || self.users.needs_newer_cache(self.cache_freshness())
+        self.leadership.has_pending_term()
+            || self.user_requests.needs_newer_cache(self.cache_freshness())
     }
 
     /// Applies the response to a read of changes.
     pub(super) fn on_changes(&mut self, call: ChangesCall, outcome: &Outcome) {
-        self.store_sync.complete_read(call.read);
+        self.cache_reads.complete_read(call.read);
         match responses::decode_success::<wire::WatchReply>(outcome) {
             Ok(reply) => self.apply_changes(&reply, call),
             Err(CallError::Malformed(error)) => {
@@ -141,14 +142,14 @@
                 if call.read == ChangeRead::ForWaitingUsers {
                     self.forward_waiting_requests();
                 }
-                self.store_sync.pause_reads(self.clock.steady_ms());
+                self.cache_reads.pause_reads(self.clock.steady_ms());
             }
         }
     }
 
     fn reload_watch_cache(&mut self) {
         self.watch_cache.loaded = false;
-        self.store_sync.request_load();
+        self.cache_reads.request_load();
         if self.leadership.has_lease() {
             self.resign(StepDownReason::CacheReload, 0);
         }
@@ -160,7 +161,7 @@
             self.watch_cache
                 .apply_changes(reply.revision, call.after_revision, &reply.changes);
         if self.watch_cache.revision >= reply.revision {
-            self.store_sync.record_complete(call.requested_at);
+            self.cache_reads.record_up_to_date(call.requested_at);
         }
         for event in events {
             self.on_cache_event(event);
@@ -185,7 +186,7 @@
                 if self.leadership.on_keys_changed(&self.watch_cache) {
                     self.step_down(StepDownReason::LeaderKeyLost);
                 }
-                self.lease_tick();
+                self.tick_leader_lease();
             }
         }
     }
--- a/src/controller/calls.rs
+++ b/src/controller/calls.rs
@@ -2,9 +2,9 @@
 
 use std::sync::Arc;
 
+use super::cache_reads::{ChangesCall, KeyRange};
 use super::dependencies::DependencyRecord;
 use super::duties::{DutyLeaseCall, SentOrder};
-use super::store_sync::{ChangesCall, KeyRange};
 use crate::epoch::Epoch;
 use crate::leader_lease::LeaseRequest;
 use crate::scheduler::DirectStart;
--- a/src/controller/commits.rs
+++ b/src/controller/commits.rs
@@ -23,10 +23,10 @@
 
 impl WriteOwner {
     /// Whether the write is only valid within the leader's term.
-    pub(super) fn is_of_leader(&self) -> bool {
+    pub(super) fn requires_leadership(&self) -> bool {
         match self {
             WriteOwner::Job(_) => true,
-            WriteOwner::Duty(write) => write.is_of_leader(),
+            WriteOwner::Duty(write) => write.requires_leadership(),
             WriteOwner::User(_) | WriteOwner::FormatVersion => false,
         }
     }
--- a/src/controller/dependencies.rs
+++ b/src/controller/dependencies.rs
@@ -94,7 +94,7 @@
     /// reads the first unknown one from the store, because another controller may have accepted
     /// it a moment ago: first its live record, then its final state.
     pub(super) fn resolve_dependencies(&mut self, request_id: u64) {
-        let Some(pending) = self.users.get(request_id) else {
+        let Some(pending) = self.user_requests.get(request_id) else {
             return;
         };
         let UserRequest::Submit(spec) = &pending.request else {
@@ -107,7 +107,7 @@
         let has_dependencies = !spec.dependencies.is_empty();
         let unknown = spec.dependencies.iter().find(is_unknown).cloned();
         if let Some(dependency) = unknown {
-            self.users.set_stage(request_id, RequestStage::Read);
+            self.user_requests.set_stage(request_id, RequestStage::Read);
             return self.read_dependency(request_id, dependency, DependencyRecord::Live);
         }
         if has_dependencies {
@@ -136,9 +136,10 @@
         match (responses::key_read(outcome), record) {
             (KeyRead::Found(body), _) => {
                 if record == DependencyRecord::Final {
-                    self.record_final_reply(&dependency, body);
+                    self.record_final_state_reply(&dependency, body);
                 }
-                self.users.add_found_dependency(request_id, dependency);
+                self.user_requests
+                    .add_found_dependency(request_id, dependency);
                 self.resolve_dependencies(request_id);
             }
             (KeyRead::NotFound, DependencyRecord::Live) => {
@@ -146,14 +147,15 @@
             }
             (KeyRead::NotFound, DependencyRecord::Final) => {
                 let after = self.clock.sequence();
-                self.users.mark_unknown_dependency(request_id, after);
+                self.user_requests
+                    .mark_unknown_dependency(request_id, after);
             }
             (KeyRead::Failed, _) => self.forward_request(request_id),
         }
     }
 
     /// Looks up the final states of unresolved dependencies of live jobs.
-    pub(super) fn lookup_tick(&mut self) {
+    pub(super) fn tick_dependency_lookups(&mut self) {
         let now = self.clock.steady_ms();
         if !self.watch_cache.loaded || !self.dependency_lookups.are_due(now) {
             return;
@@ -174,7 +176,7 @@
         self.dependency_lookups.complete(dependency);
         match responses::key_read(outcome) {
             KeyRead::Found(body) => {
-                self.record_final_reply(dependency, body);
+                self.record_final_state_reply(dependency, body);
             }
             // Either the job is live but not in the watch cache yet, or the store failed.
             KeyRead::NotFound | KeyRead::Failed => {
@@ -184,7 +186,7 @@
     }
 
     /// Decodes and records a job's final state. `None` if the response cannot be decoded.
-    pub(super) fn record_final_reply(&mut self, id: &str, body: &[u8]) -> Option<FinalState> {
+    pub(super) fn record_final_state_reply(&mut self, id: &str, body: &[u8]) -> Option<FinalState> {
         let state = match wire::parse_final_state_reply(body) {
             Ok(state) => state,
             Err(error) => {
--- a/src/controller/dispatch.rs
+++ b/src/controller/dispatch.rs
@@ -75,7 +75,7 @@
             PendingCall::Revoke => {}
             PendingCall::DutyLease(call) => self.on_duty_lease_outcome(&call, &outcome),
             PendingCall::DutyOrder(sent) => self.on_duty_order_reply(sent, &outcome),
-            PendingCall::ReadFinalState { request_id } => self.on_final_read(request_id, &outcome),
+            PendingCall::ReadFinalState { request_id } => self.on_final_state(request_id, &outcome),
             PendingCall::ReadDependency {
                 request_id,
                 dependency,
--- a/src/controller/duties/assignment.rs
+++ b/src/controller/duties/assignment.rs
@@ -138,7 +138,7 @@
         for peer in self.peers.iter() {
             let status = peer.recent_status(now);
             let can_hold =
-                status.is_some_and(|s| s.store_reachable && s.known_format >= DUTIES_FORMAT);
+                status.is_some_and(|s| s.store_reachable && s.supported_format >= DUTIES_FORMAT);
             if can_hold {
                 names.push(peer.member.clone());
             }
--- a/src/controller/duties/leases.rs
+++ b/src/controller/duties/leases.rs
@@ -94,7 +94,7 @@
             HttpCall::transaction(&transaction, timeout_ms)
         }
         LeaseRequest::Renew { grant } => HttpCall::renew_grant(*grant, timeout_ms),
-        LeaseRequest::Release { grant } => HttpCall::end_grant(*grant, timeout_ms),
+        LeaseRequest::Release { grant } => HttpCall::revoke_grant(*grant, timeout_ms),
     }
 }
 
--- a/src/controller/duties/mod.rs
+++ b/src/controller/duties/mod.rs
@@ -101,7 +101,7 @@
 
 impl Controller {
     /// The latest stored format that this controller supports and may raise the store to.
-    pub(super) fn known_format(&self) -> u64 {
+    pub(super) fn supported_format(&self) -> u64 {
         if self.duties.control.is_some() {
             DUTIES_FORMAT
         } else {
@@ -116,7 +116,7 @@
 
     /// Runs periodic work. Call this often: it reads the clock, and long gaps between readings
     /// suspend the holders' orders.
-    pub(super) fn duties_tick(&mut self) {
+    pub(super) fn tick_duties(&mut self) {
         if !self.are_duties_active() || !self.watch_cache.loaded {
             return;
         }
@@ -124,11 +124,11 @@
         self.warn_about_missing_holders();
         self.remove_processed_results();
         self.clean_records();
-        self.set_provider_share();
+        self.apply_provider_role();
     }
 
     /// Sends requests that became due between ticks.
-    pub(super) fn duties_flush(&mut self) {
+    pub(super) fn send_due_duty_requests(&mut self) {
         if !self.are_duties_active() || !self.watch_cache.loaded {
             return;
         }
@@ -147,7 +147,7 @@
         runtime.is_some_and(|runtime| runtime.may_send_orders(now))
     }
 
-    fn set_provider_share(&mut self) {
+    fn apply_provider_role(&mut self) {
         let now = self.clock.steady_ms();
         let is_holder = self.duties.holds(Duty::Rent) || self.duties.holds(Duty::Return);
         let role = match (is_holder, self.scheduler.is_some()) {
@@ -155,6 +155,6 @@
             (true, false) => ProviderRole::Holder,
             (false, _) => ProviderRole::Reader,
         };
-        self.provider.set_share(role, now);
+        self.provider.apply_role_limits(role, now);
     }
 }
--- a/src/controller/duties/runtime.rs
+++ b/src/controller/duties/runtime.rs
@@ -3,8 +3,8 @@
 
 use duty_lease::{
     Candidacy, Duty, DutyLease, FencingStatus, Intent, LeaseEvent, LeaseRequest, LeaseResponse,
-    LeaseTiming, NumberedRequest, OrderBook, OrderId, OrderOutcome, OrderRequest, RecordOutcome,
-    ScalingRequest, SuspensionReason, WriteGuard,
+    LeaseTiming, OrderBook, OrderId, OrderOutcome, OrderRequest, OutgoingLeaseRequest,
+    RecordOutcome, ScalingRequest, SuspensionReason, WriteGuard,
 };
 use tracing::{debug, info, warn};
 
@@ -97,7 +97,7 @@
             self.lease_generation = Some(generation);
             self.lease.on_view(&records.lease(self.duty), now);
         }
-        let NumberedRequest { id, request } = self.lease.tick(now)?;
+        let OutgoingLeaseRequest { id, request } = self.lease.tick(now)?;
         // While this controller only follows, the watch cache serves its reads.
         if request == LeaseRequest::Read && self.lease.is_following() {
             let view = LeaseResponse::View(records.lease(self.duty));
--- a/src/controller/duties/writes.rs
+++ b/src/controller/duties/writes.rs
@@ -62,7 +62,7 @@
     }
 
     /// Whether the write is conditional on the leader's term.
-    pub(crate) fn is_of_leader(&self) -> bool {
+    pub(crate) fn requires_leadership(&self) -> bool {
         let purpose = &self.purpose;
         matches!(
             purpose,
--- a/src/controller/format_version.rs
+++ b/src/controller/format_version.rs
@@ -149,11 +149,11 @@
             Some(_) => StoreRole::Leader,
             None => StoreRole::Follower,
         };
-        self.set_store_share(role);
+        self.apply_store_role(role);
     }
 
     /// Announces this version or raises the stored format, if due.
-    pub(super) fn format_tick(&mut self) {
+    pub(super) fn tick_stored_format(&mut self) {
         let now = self.clock.steady_ms();
         if self.format_state.end_throttling_if_over(now) {
             self.on_format_changed();
@@ -204,7 +204,7 @@
     /// the lease is first moved to a key that such a version cannot acquire.
     fn activate_duties(&mut self) {
         let is_ready = self.watch_cache.format < DUTIES_FORMAT
-            && self.known_format() >= DUTIES_FORMAT
+            && self.supported_format() >= DUTIES_FORMAT
             && self.scheduler.is_some()
             && self.all_peers_support(DUTIES_FORMAT);
         if !is_ready {
@@ -234,7 +234,7 @@
         let now = self.clock.steady_ms();
         self.peers.iter().all(|peer| {
             let status = peer.recent_status(now);
-            let is_supported = status.is_some_and(|status| status.known_format >= format);
+            let is_supported = status.is_some_and(|status| status.supported_format >= format);
             is_supported && self.watch_cache.members.contains(&peer.member)
         })
     }
--- a/src/controller/heartbeats.rs
+++ b/src/controller/heartbeats.rs
@@ -54,7 +54,7 @@
 
     fn accept_heartbeat(&mut self, connection: usize, agent_status: AgentStatus) {
         let now = self.clock.steady_ms();
-        let has_valid_lease = self.leadership.is_certain(now);
+        let has_valid_lease = self.leadership.holds_valid_lease(now);
         let Some(scheduler) = &mut self.scheduler else {
             return;
         };
@@ -66,7 +66,7 @@
             && !scheduler.may_have_unsent_starts(&agent_status.machine);
         self.agents.record_accepted_heartbeat(now);
         if !may_get_starts {
-            return self.answer_heartbeat(connection, &agent_status);
+            return self.respond_to_heartbeat(connection, &agent_status);
         }
         let defer_s = self.settings.cluster.workers.report_s * DEFERRAL_INTERVAL_RATIO;
         let earlier = self.agents.defer(DeferredHeartbeat {
@@ -75,7 +75,7 @@
             until: now + to_ms(defer_s),
         });
         if let Some(earlier) = earlier {
-            self.answer_heartbeat(earlier.connection, &earlier.status);
+            self.respond_to_heartbeat(earlier.connection, &earlier.status);
         }
     }
 
@@ -93,7 +93,7 @@
     }
 
     /// Responds to an accepted heartbeat with the pending commands for the agent.
-    fn answer_heartbeat(&mut self, connection: usize, agent_status: &AgentStatus) {
+    fn respond_to_heartbeat(&mut self, connection: usize, agent_status: &AgentStatus) {
         let now = self.clock.steady_ms();
         let permission = self.start_permission();
         let Some(scheduler) = &mut self.scheduler else {
@@ -120,17 +120,17 @@
 
     /// Responds to deferred heartbeats as soon as starts for their machines are persisted, or
     /// without starts when their deferral is over.
-    pub(super) fn answer_deferred_heartbeats(&mut self) {
+    pub(super) fn respond_to_deferred_heartbeats(&mut self) {
         let now = self.clock.steady_ms();
         let heartbeats = match &mut self.scheduler {
             Some(scheduler) => {
                 let startable = scheduler.take_machines_with_new_starts();
-                self.agents.take_answerable(&startable, now)
+                self.agents.take_due(&startable, now)
             }
             None => self.agents.take_deferred(),
         };
         for heartbeat in heartbeats {
-            self.answer_heartbeat(heartbeat.connection, &heartbeat.status);
+            self.respond_to_heartbeat(heartbeat.connection, &heartbeat.status);
         }
     }
 }
--- a/src/controller/http.rs
+++ b/src/controller/http.rs
@@ -75,7 +75,7 @@
     }
 
     /// Revokes a grant of the store, so that it ends before it expires.
-    pub(super) fn end_grant(grant: u64, timeout_ms: u64) -> HttpCall {
+    pub(super) fn revoke_grant(grant: u64, timeout_ms: u64) -> HttpCall {
         HttpCall {
             method: DELETE,
             path: wire::grant_path(grant),
--- a/src/controller/leadership.rs
+++ b/src/controller/leadership.rs
@@ -1,6 +1,6 @@
 //! The client side of leader election: sends requests for the leader lease, interprets their
 //! outcomes, and holds a term that was won but has not begun. Owns the lease and the random
-//! numbers for backoff jitter. `terms` applies a change of leadership to the other modules.
+//! numbers for backoff jitter. `term_changes` applies a change of leadership to the other modules.
 
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -14,7 +14,7 @@
 };
 use crate::leadership_keys::{LeaderKey, VersionFence, EPOCH_KEY, LEADER_KEY, LEASE_KEY};
 use crate::net::{status, Outcome};
-use crate::scheduler::Term;
+use crate::scheduler::LeaderTerm;
 use crate::watch_cache::WatchCache;
 use crate::wire::{self, Condition, Transaction, Write};
 
@@ -45,7 +45,7 @@
     member: String,
     lease: LeaderLease,
     /// A term whose election was won but has not reached the watch cache yet.
-    pending_term: Option<Term>,
+    pending_term: Option<LeaderTerm>,
     rng: StdRng,
 }
 
@@ -67,7 +67,7 @@
     }
 
     /// Whether this controller holds the lease, which cannot have expired at `now`.
-    pub(super) fn is_certain(&self, now: u64) -> bool {
+    pub(super) fn holds_valid_lease(&self, now: u64) -> bool {
         self.lease.holds_valid_lease(now)
     }
 
@@ -83,7 +83,7 @@
         match request {
             LeaseRequest::Grant => HttpCall::create_grant(self.lease.ttl_ms, timeout_ms),
             LeaseRequest::Renew(grant) => HttpCall::renew_grant(*grant, timeout_ms),
-            LeaseRequest::Revoke(grant) => HttpCall::end_grant(*grant, timeout_ms),
+            LeaseRequest::Revoke(grant) => HttpCall::revoke_grant(*grant, timeout_ms),
             LeaseRequest::Elect(election) => {
                 let transaction = election_transaction(election, &self.member);
                 HttpCall::transaction(&transaction, timeout_ms)
@@ -122,7 +122,7 @@
 
     /// Prepares the term that a won election begins.
     pub(super) fn prepare_term(&mut self, election: WonElection, now: Timestamp) {
-        self.pending_term = Some(Term {
+        self.pending_term = Some(LeaderTerm {
             member: self.member.clone(),
             epoch: election.epoch,
             key: election.fence.leader_key(),
@@ -137,7 +137,7 @@
     }
 
     /// Takes the pending term if the watch cache, complete up to `revision`, holds its election.
-    pub(super) fn take_ready_term(&mut self, revision: u64) -> Option<Term> {
+    pub(super) fn take_ready_term(&mut self, revision: u64) -> Option<LeaderTerm> {
         self.pending_term
             .take_if(|term| term.key_version <= revision)
     }
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -7,7 +7,7 @@
 //! | --- | --- |
 //! | `clock` | the time of the current event |
 //! | `outbox` | calls in flight and actions to perform |
-//! | `store_client`, `store_sync` | rate limits and writes; the reads for the watch cache |
+//! | `store_client`, `cache_reads` | rate limits and writes; the reads for the watch cache |
 //! | `leadership` | the leader lease and a pending term |
 //! | `provider_client` | the provider's rate limit, machine types and list of machines |
 //! | `peer_table`, `acknowledged_cancellations` | state exchanged with the other controllers |
@@ -22,6 +22,7 @@
 
 mod acknowledged_cancellations;
 mod agent_gateway;
+mod cache_reads;
 mod cache_updates;
 mod calls;
 mod clock;
@@ -46,8 +47,7 @@
 mod responses;
 mod stats;
 mod store_client;
-mod store_sync;
-mod terms;
+mod term_changes;
 mod user_replies;
 mod user_request_parser;
 mod user_request_table;
@@ -66,6 +66,7 @@
 
 use acknowledged_cancellations::AcknowledgedCancellations;
 use agent_gateway::AgentGateway;
+use cache_reads::CacheReads;
 use clock::EventClock;
 use dependencies::DependencyLookups;
 use duties::DutyState;
@@ -77,8 +78,7 @@
 use provider_client::ProviderClient;
 use stats::ControllerStats;
 use store_client::{StoreClient, StoreRole};
-use store_sync::StoreSync;
-use terms::StepDownReason;
+use term_changes::StepDownReason;
 use user_request_table::UserRequestTable;
 
 /// Interval at which timers are checked.
@@ -92,7 +92,7 @@
     outbox: Outbox,
     /// The local watch cache of the store.
     pub watch_cache: WatchCache,
-    store_sync: StoreSync,
+    cache_reads: CacheReads,
     store: StoreClient,
     leadership: Leadership,
     /// The scheduling state, if this controller leads.
@@ -102,7 +102,7 @@
     dependency_lookups: DependencyLookups,
     acknowledged_cancellations: AcknowledgedCancellations,
     provider: ProviderClient,
-    users: UserRequestTable,
+    user_requests: UserRequestTable,
     peers: PeerTable,
     agents: AgentGateway,
     plan_timer: PlanTimer,
@@ -122,7 +122,7 @@
             clock: EventClock::new(),
             outbox: Outbox::new(settings.endpoints.clone()),
             watch_cache: WatchCache::default(),
-            store_sync: StoreSync::new(cluster, settings.peers.len() + 1),
+            cache_reads: CacheReads::new(cluster, settings.peers.len() + 1),
             store: StoreClient::new(state, settings.peers.len()),
             leadership: Leadership::new(&settings.member, ttl_ms, writes_max, seed),
             scheduler: None,
@@ -131,7 +131,7 @@
             dependency_lookups: DependencyLookups::default(),
             acknowledged_cancellations: AcknowledgedCancellations::default(),
             provider: ProviderClient::new(cluster),
-            users: UserRequestTable::new(cluster.limits.fd_limit),
+            user_requests: UserRequestTable::new(cluster.limits.fd_limit),
             peers: PeerTable::new(&settings.peers),
             agents: AgentGateway::default(),
             plan_timer: PlanTimer::default(),
@@ -160,9 +160,10 @@
     }
 
     /// Applies a role's share of the present store limits.
-    fn set_store_share(&mut self, role: StoreRole) {
+    fn apply_store_role(&mut self, role: StoreRole) {
         let limits = self.store_limits();
-        self.store.set_share(role, &limits, self.clock.steady_ms());
+        self.store
+            .apply_role_limits(role, &limits, self.clock.steady_ms());
     }
 
     /// Whether the store responded recently enough to count as reachable.
@@ -207,28 +208,28 @@
             self.stats.record_late_tick(now.steady - self.next_tick_at);
         }
         self.next_tick_at = now.steady + TICK_MS;
-        self.load_tick();
-        self.lease_tick();
-        self.format_tick();
-        self.lookup_tick();
-        self.machine_types_tick();
-        self.peers_tick();
-        self.scheduler_tick();
-        self.duties_tick();
-        self.machine_list_tick();
-        self.user_requests_tick();
+        self.tick_cache_load();
+        self.tick_leader_lease();
+        self.tick_stored_format();
+        self.tick_dependency_lookups();
+        self.tick_machine_types();
+        self.tick_peers();
+        self.tick_scheduler();
+        self.tick_duties();
+        self.tick_machine_list();
+        self.tick_user_requests();
         self.flush();
-        self.stats_tick();
+        self.tick_stats();
     }
 
-    fn scheduler_tick(&mut self) {
+    fn tick_scheduler(&mut self) {
         let now = self.clock.steady_ms();
         let redirected = self.peers.redirected_elsewhere(now);
         if let Some(scheduler) = &mut self.scheduler {
-            let spare_writes = self.store.spare_writes(now);
+            let deferrable_write_budget = self.store.deferrable_write_budget(now);
             let agents = redirected.majority_alive.then_some(redirected.agents);
             scheduler.set_redirected_elsewhere(agents);
-            scheduler.tick(now, self.watch_cache.revision, spare_writes);
+            scheduler.tick(now, self.watch_cache.revision, deferrable_write_budget);
         }
     }
 
@@ -243,7 +244,7 @@
         if let Some(scheduler) = &mut self.scheduler {
             scheduler.flush(now, self.watch_cache.revision, 0);
         }
-        self.answer_deferred_heartbeats();
+        self.respond_to_deferred_heartbeats();
         let permission = self.start_permission();
         if let Some(scheduler) = &mut self.scheduler {
             scheduler.send_direct_starts(permission, now);
@@ -251,8 +252,8 @@
                 self.execute_effect(effect);
             }
         }
-        self.duties_flush();
-        self.watch_tick();
+        self.send_due_duty_requests();
+        self.tick_watch();
         self.store.send_writes(&mut self.outbox, now);
     }
 }
--- a/src/controller/peers.rs
+++ b/src/controller/peers.rs
@@ -39,7 +39,7 @@
             redirected_agents: redirected as u32,
             process_age_ms: self.clock.process_age_ms(),
             acknowledged_cancellations: vec![],
-            known_format: self.known_format(),
+            supported_format: self.supported_format(),
         }
     }
 
@@ -108,7 +108,7 @@
     /// the reports of all others, provided none of them has restarted since that read. One that
     /// restarted may have acknowledged cancellations that no controller remembers.
     pub(super) fn cancellations_known_as_of(&self) -> Option<u64> {
-        let read_at = self.store_sync.complete_as_of()?.at;
+        let read_at = self.cache_reads.up_to_date_as_of()?.at;
         let synced_at = self.peers.cancellations_synced_at(read_at);
         // Without other controllers, this one has acknowledged all of them itself.
         Some(synced_at.unwrap_or(self.clock.steady_ms()).max(read_at))
@@ -145,7 +145,7 @@
         self.peers.redirected_elsewhere(now).agents > 0 && !is_reached
     }
 
-    pub(super) fn peers_tick(&mut self) {
+    pub(super) fn tick_peers(&mut self) {
         let now = self.clock.steady_ms();
         if !self.peers.begin_exchange_if_due(now) {
             return;
--- a/src/controller/planning.rs
+++ b/src/controller/planning.rs
@@ -55,7 +55,7 @@
     /// Takes a snapshot to plan on, if a plan is due.
     pub fn take_due_snapshot(&mut self, now: Timestamp) -> Option<Snapshot> {
         self.clock.set(now);
-        if !self.plan_timer.is_due(now.steady) || !self.leadership.is_certain(now.steady) {
+        if !self.plan_timer.is_due(now.steady) || !self.leadership.holds_valid_lease(now.steady) {
             return None;
         }
         // While writes wait for the store's rate limit, another plan would only add small ones;
--- a/src/controller/provider_client.rs
+++ b/src/controller/provider_client.rs
@@ -103,7 +103,7 @@
     }
 
     /// Sets this controller's share of the rate limit to that of a role.
-    pub(super) fn set_share(&mut self, role: ProviderRole, now: u64) {
+    pub(super) fn apply_role_limits(&mut self, role: ProviderRole, now: u64) {
         let share = match role {
             ProviderRole::LeaderAndHolder => USED_LIMIT_RATIO,
             ProviderRole::Holder => HOLDER_LIMIT_RATIO,
--- a/src/controller/provider_events.rs
+++ b/src/controller/provider_events.rs
@@ -12,7 +12,7 @@
 use crate::scheduler::{ProvisioningOutcome, TerminationOutcome};
 
 impl Controller {
-    pub(super) fn machine_types_tick(&mut self) {
+    pub(super) fn tick_machine_types(&mut self) {
         let now = self.clock.steady_ms();
         self.provider
             .read_machine_types_if_due(&mut self.outbox, now);
@@ -28,7 +28,7 @@
         }
     }
 
-    pub(super) fn machine_list_tick(&mut self) {
+    pub(super) fn tick_machine_list(&mut self) {
         let now = self.clock.steady_ms();
         if let Some(scheduler) = &self.scheduler {
             let epoch = scheduler.epoch();
@@ -110,7 +110,7 @@
     /// partition could delay the request until it affects the machines of a successor.
     fn acquire_provider_call(&mut self) -> bool {
         let now = self.clock.steady_ms();
-        self.leadership.is_certain(now) && self.provider.try_acquire_call(now)
+        self.leadership.holds_valid_lease(now) && self.provider.try_acquire_call(now)
     }
 
     pub(super) fn on_provisioning_outcome(
--- a/src/controller/stats.rs
+++ b/src/controller/stats.rs
@@ -79,11 +79,11 @@
 }
 
 impl Controller {
-    pub(super) fn stats_tick(&mut self) {
+    pub(super) fn tick_stats(&mut self) {
         if !self.stats.begin_log_if_due(self.clock.steady_ms()) {
             return;
         }
-        self.log_users();
+        self.log_user_requests();
         self.log_writes();
         self.log_traffic();
         if let Some(scheduler) = &self.scheduler {
@@ -100,15 +100,15 @@
         self.warn_of_near_limits();
     }
 
-    fn log_users(&mut self) {
-        let Some(times) = self.users.take_response_times() else {
+    fn log_user_requests(&mut self) {
+        let Some(times) = self.user_requests.take_response_times() else {
             return;
         };
         info!(
             count = times.count,
             median_ms = times.median_ms,
             p99_ms = times.p99_ms,
-            limit = self.users.limit(),
+            limit = self.user_requests.limit(),
             "user requests"
         );
     }
--- a/src/controller/store_client.rs
+++ b/src/controller/store_client.rs
@@ -48,7 +48,7 @@
     request_limit: TokenBucket,
     writes: WriteQueue<WriteOwner>,
     /// When the store last responded with neither a rate-limit refusal nor a server error.
-    answered_at: Option<u64>,
+    last_response_at: Option<u64>,
 }
 
 impl StoreClient {
@@ -61,12 +61,12 @@
             peer_count,
             request_limit: TokenBucket::new(follower_request_rate(limits, peer_count)),
             writes,
-            answered_at: None,
+            last_response_at: None,
         }
     }
 
     /// Switches to the share of `limits` that belongs to a role.
-    pub(super) fn set_share(&mut self, role: StoreRole, limits: &StoreLimits, now: u64) {
+    pub(super) fn apply_role_limits(&mut self, role: StoreRole, limits: &StoreLimits, now: u64) {
         let follower_rate = follower_request_rate(limits, self.peer_count);
         let (request_rate, write_share) = match role {
             StoreRole::Leader => {
@@ -94,7 +94,7 @@
 
     /// Whether the store has responded within the reachability timeout.
     pub(super) fn is_reachable(&self, now: u64) -> bool {
-        self.answered_at
+        self.last_response_at
             .is_some_and(|at| now < at + REACHABLE_TIMEOUT_MS)
     }
 
@@ -106,7 +106,7 @@
                 ..
             } => self.request_limit.drain(),
             Outcome::Response { status, .. } if *status < SERVER_ERROR_STATUS_MIN => {
-                self.answered_at = Some(now);
+                self.last_response_at = Some(now);
             }
             _ => {}
         }
@@ -151,8 +151,8 @@
     }
 
     /// How many low-priority writes, for which nobody waits, may be queued now.
-    pub(super) fn spare_writes(&mut self, now: u64) -> usize {
-        self.writes.spare_writes(now)
+    pub(super) fn deferrable_write_budget(&mut self, now: u64) -> usize {
+        self.writes.deferrable_write_budget(now)
     }
 
     /// The number of writes that wait for the rate limit.
--- a/src/controller/terms.rs
+++ b/src/controller/term_changes.rs
@@ -35,7 +35,7 @@
 }
 
 impl Controller {
-    pub(super) fn lease_tick(&mut self) {
+    pub(super) fn tick_leader_lease(&mut self) {
         if self.is_outdated() {
             return;
         }
@@ -62,7 +62,7 @@
             LeadershipChange::Lost => self.step_down(StepDownReason::GrantExpired),
             LeadershipChange::Unchanged => {}
         }
-        self.lease_tick();
+        self.tick_leader_lease();
     }
 
     fn on_elected(&mut self, election: WonElection) {
@@ -105,8 +105,8 @@
         if let Some(scheduler) = self.scheduler.take() {
             warn!(epoch = scheduler.epoch().get(), %reason, "stepped down as leader");
         }
-        self.store.cancel_writes(WriteOwner::is_of_leader);
-        self.set_store_share(StoreRole::Follower);
+        self.store.cancel_writes(WriteOwner::requires_leadership);
+        self.apply_store_role(StoreRole::Follower);
         self.plan_timer.reset();
     }
 
--- a/src/controller/user_replies.rs
+++ b/src/controller/user_replies.rs
@@ -10,13 +10,19 @@
 
 impl Controller {
     pub(super) fn finish_request(&mut self, request_id: u64, response: HttpResponse) {
-        if let Some(pending) = self.users.finish(request_id, self.clock.steady_ms()) {
+        if let Some(pending) = self
+            .user_requests
+            .finish(request_id, self.clock.steady_ms())
+        {
             self.respond_to_caller(pending.caller, response);
         }
     }
 
     pub(super) fn finish_with_status(&mut self, request_id: u64, status: u16, job: JobStatus) {
-        if let Some(pending) = self.users.finish(request_id, self.clock.steady_ms()) {
+        if let Some(pending) = self
+            .user_requests
+            .finish(request_id, self.clock.steady_ms())
+        {
             self.respond_with_status(pending.caller, &pending.job, status, job);
         }
     }
--- a/src/controller/user_request_table.rs
+++ b/src/controller/user_request_table.rs
@@ -19,7 +19,7 @@
 pub(super) struct CacheFreshness {
     /// The cache holds all that was in the store at the event with this sequence number; 0 if
     /// it was never complete.
-    pub complete_as_of: u64,
+    pub up_to_date_as_of: u64,
     /// The store's revision that the cache has reached.
     pub revision: u64,
 }
@@ -28,7 +28,7 @@
     /// Whether the cache was read after an event and has reached a revision, as a request in
     /// [`RequestStage::AwaitCache`] needs.
     fn satisfies(&self, after_event: u64, revision: u64) -> bool {
-        after_event <= self.complete_as_of && revision <= self.revision
+        after_event <= self.up_to_date_as_of && revision <= self.revision
     }
 }
 
--- a/src/controller/user_requests.rs
+++ b/src/controller/user_requests.rs
@@ -56,13 +56,13 @@
             let job_status = JobStatus::new(state.status());
             return self.respond_with_status(caller, &job, status::OK, job_status);
         }
-        if !self.users.admits() {
+        if !self.user_requests.admits() {
             let response = HttpResponse::error(status::TOO_MANY_REQUESTS, "too much at once");
             return self.respond_to_caller(caller, response.with_retry_after());
         }
         let (after_event, now) = (self.clock.sequence(), self.clock.steady_ms());
         let request_id = self
-            .users
+            .user_requests
             .insert(caller, job, request, body, after_event, now);
         if !self.watch_cache.loaded || !self.is_store_reachable() || self.is_outdated() {
             return self.forward_request(request_id);
@@ -83,26 +83,28 @@
             writes: vec![Write::set(job_key(job_id), record.to_value(self.format()))],
             class: WriteClass::User,
         };
-        self.users.set_stage(request_id, RequestStage::Commit);
+        self.user_requests
+            .set_stage(request_id, RequestStage::Commit);
         self.store.push_write(request);
     }
 
     /// Forwards a request to a peer for which the store is reachable. If there is none, or the
     /// request was forwarded already, responds that the user should retry.
     pub(super) fn forward_request(&mut self, request_id: u64) {
-        let Some(pending) = self.users.get(request_id) else {
+        let Some(pending) = self.user_requests.get(request_id) else {
             return;
         };
         let caller = pending.caller;
         let address = self.peers.peer_with_reachable_store(self.clock.steady_ms());
         let Some(address) = address.filter(|_| caller.origin == RequestOrigin::User) else {
-            self.users.remove(request_id);
+            self.user_requests.remove(request_id);
             let reason = "the state service does not answer";
             let response = HttpResponse::error(status::UNAVAILABLE, reason);
             return self.respond_to_caller(caller, response.with_retry_after());
         };
         let body = forwarded_request(pending).encode_to_vec();
-        self.users.set_stage(request_id, RequestStage::Forwarded);
+        self.user_requests
+            .set_stage(request_id, RequestStage::Forwarded);
         let call = HttpCall::post(FORWARD_PATH, body, FORWARD_TIMEOUT_MS);
         self.outbox
             .call(PendingCall::Forward { request_id }, address, call);
@@ -110,16 +112,16 @@
 
     /// Forwards the requests that wait for a read of the store, after it has failed.
     pub(super) fn forward_waiting_requests(&mut self) {
-        for request_id in self.users.waiting_for_cache() {
+        for request_id in self.user_requests.waiting_for_cache() {
             self.forward_request(request_id);
         }
     }
 
     /// How far the watch cache has caught up with the store.
     pub(super) fn cache_freshness(&self) -> CacheFreshness {
-        let complete = self.store_sync.complete_as_of();
+        let complete = self.cache_reads.up_to_date_as_of();
         CacheFreshness {
-            complete_as_of: complete.map_or(0, |complete| complete.sequence),
+            up_to_date_as_of: complete.map_or(0, |complete| complete.sequence),
             revision: self.watch_cache.revision,
         }
     }
@@ -130,14 +132,14 @@
             // The cache is being reloaded and lacks the pages that were not read yet.
             return;
         }
-        for request_id in self.users.decidable(self.cache_freshness()) {
+        for request_id in self.user_requests.decidable(self.cache_freshness()) {
             self.resolve_request(request_id);
         }
     }
 
     /// Decides a request with a watch cache that is newer than the request.
     fn resolve_request(&mut self, request_id: u64) {
-        let Some(pending) = self.users.get(request_id) else {
+        let Some(pending) = self.user_requests.get(request_id) else {
             return;
         };
         let job = pending.job.clone();
@@ -170,7 +172,7 @@
                 after_event,
                 revision: 0,
             };
-            return self.users.set_stage(request_id, stage);
+            return self.user_requests.set_stage(request_id, stage);
         }
         if let Some(live) = self.watch_cache.jobs.get(&job) {
             let job_status = JobStatus::of_live(&live.record);
@@ -179,20 +181,20 @@
     }
 
     fn read_final_state(&mut self, request_id: u64, job_id: &str) {
-        self.users.set_stage(request_id, RequestStage::Read);
+        self.user_requests.set_stage(request_id, RequestStage::Read);
         let call = HttpCall::get_key(&final_state_key(job_id));
         self.outbox
             .call_store(PendingCall::ReadFinalState { request_id }, call);
     }
 
-    pub(super) fn on_final_read(&mut self, request_id: u64, outcome: &Outcome) {
-        let Some(pending) = self.users.get(request_id) else {
+    pub(super) fn on_final_state(&mut self, request_id: u64, outcome: &Outcome) {
+        let Some(pending) = self.user_requests.get(request_id) else {
             return;
         };
         match responses::key_read(outcome) {
             KeyRead::Found(body) => {
                 let job_id = pending.job.clone();
-                match self.record_final_reply(&job_id, body) {
+                match self.record_final_state_reply(&job_id, body) {
                     Some(state) => {
                         self.finish_with_status(
                             request_id,
@@ -209,7 +211,7 @@
     }
 
     pub(super) fn on_user_commit(&mut self, request_id: u64, result: &CommitResult) {
-        let Some(pending) = self.users.get(request_id) else {
+        let Some(pending) = self.user_requests.get(request_id) else {
             return;
         };
         let stage = match result {
@@ -238,14 +240,14 @@
                 until: self.clock.steady_ms() + RETRY_DELAY_MS,
             },
         };
-        self.users.set_stage(request_id, stage);
+        self.user_requests.set_stage(request_id, stage);
     }
 
     /// Ends requests that exceeded their timeout, and retries those whose delay is over.
-    pub(super) fn user_requests_tick(&mut self) {
+    pub(super) fn tick_user_requests(&mut self) {
         let now = self.clock.steady_ms();
-        let overdue = self.users.overdue(now);
-        let paused = self.users.resumable(now);
+        let overdue = self.user_requests.overdue(now);
+        let paused = self.user_requests.resumable(now);
         for request_id in overdue {
             // A write in flight may still be committed; the user's retry finds out.
             self.store.cancel_writes(
@@ -262,7 +264,7 @@
         if !self.is_store_reachable() {
             return self.forward_request(request_id);
         }
-        let Some(pending) = self.users.get(request_id) else {
+        let Some(pending) = self.user_requests.get(request_id) else {
             return;
         };
         match pending.request {
@@ -275,7 +277,7 @@
                     after_event,
                     revision: 0,
                 };
-                self.users.set_stage(request_id, stage);
+                self.user_requests.set_stage(request_id, stage);
             }
         }
     }
@@ -287,7 +289,7 @@
         };
         if wire::is_cancelled_reply(&reply.body) {
             if let Some(job) = self
-                .users
+                .user_requests
                 .get(request_id)
                 .map(|pending| pending.job.clone())
             {
--- a/src/controller/user_submissions.rs
+++ b/src/controller/user_submissions.rs
@@ -16,7 +16,7 @@
     /// Starts to create a job that is new and can run. Any other request, also one to be
     /// rejected, waits for a newer watch cache, since the job may have been accepted earlier.
     pub(super) fn accept_new_job(&mut self, request_id: u64) {
-        let Some(pending) = self.users.get(request_id) else {
+        let Some(pending) = self.user_requests.get(request_id) else {
             return;
         };
         let UserRequest::Submit(spec) = &pending.request else {
@@ -43,7 +43,7 @@
 
     /// Queues the write of a new job's record, which fails if the job exists already.
     pub(super) fn create_job(&mut self, request_id: u64) {
-        let Some(pending) = self.users.get(request_id) else {
+        let Some(pending) = self.user_requests.get(request_id) else {
             return;
         };
         let UserRequest::Submit(spec) = &pending.request else {
@@ -60,14 +60,15 @@
             writes: vec![Write::set(job_key(job), record.to_value(self.format()))],
             class: WriteClass::User,
         };
-        self.users.set_stage(request_id, RequestStage::Commit);
+        self.user_requests
+            .set_stage(request_id, RequestStage::Commit);
         self.store.push_write(write);
     }
 
     /// Handles a request for a job that was never accepted: decides a submission, and responds
     /// to any other request that there is no such job.
     pub(super) fn on_unknown_job(&mut self, request_id: u64) {
-        let Some(pending) = self.users.get(request_id) else {
+        let Some(pending) = self.user_requests.get(request_id) else {
             return;
         };
         let UserRequest::Submit(spec) = &pending.request else {
--- a/src/duties/records/mod.rs
+++ b/src/duties/records/mod.rs
@@ -110,7 +110,7 @@
 impl DutyRecords {
     /// Discards all records before they are reloaded. Keeps the keys that can't be decoded,
     /// so that they are not logged again.
-    pub fn restart(&mut self) {
+    pub fn clear_for_reload(&mut self) {
         *self = DutyRecords {
             unreadable: std::mem::take(&mut self.unreadable),
             generation: self.generation + 1,
--- a/src/leader_lease.rs
+++ b/src/leader_lease.rs
@@ -35,7 +35,7 @@
 const RETRIES_PER_TTL: u64 = 20;
 /// Tenths of the time to live for which the grant is certain to be valid, counted from when the
 /// last renewal was sent. The rest allows for clock drift.
-const TTL_CERTAIN_TENTHS: u64 = 9;
+const VALID_TTL_TENTHS: u64 = 9;
 /// Shortest backoff after an election that another controller has won, relative to the time to
 /// live.
 const LOST_ELECTION_BACKOFF_RATIO: f64 = 0.1;
@@ -179,7 +179,7 @@
     /// Returns whether this controller leads and its grant is certain to be valid, even if clocks
     /// drift.
     pub fn holds_valid_lease(&self, now: u64) -> bool {
-        self.is_leading() && now < self.renewed_at + self.ttl_ms * TTL_CERTAIN_TENTHS / 10
+        self.is_leading() && now < self.renewed_at + self.ttl_ms * VALID_TTL_TENTHS / 10
     }
 
     fn is_leading(&self) -> bool {
--- a/src/net/event_loop.rs
+++ b/src/net/event_loop.rs
@@ -128,8 +128,8 @@
 
     /// The longest time that a connection has waited to be read since the last call, in
     /// milliseconds: a measure of overload.
-    pub fn take_longest_wait_ms(&mut self) -> u64 {
-        self.read_queue.take_longest_wait_ms()
+    pub fn take_longest_read_delay_ms(&mut self) -> u64 {
+        self.read_queue.take_longest_read_delay_ms()
     }
 
     fn has_pending_work(&self) -> bool {
--- a/src/net/limits.rs
+++ b/src/net/limits.rs
@@ -41,12 +41,12 @@
 }
 
 /// The share of all sockets for server connections.
-const SERVER_SOCKET_SHARE: Fraction = Fraction {
+const SERVER_SOCKET_RATIO: Fraction = Fraction {
     numerator: 12,
     denominator: 16,
 };
 /// The share of all sockets for calls to agents.
-const CLIENT_SOCKET_SHARE: Fraction = Fraction {
+const CLIENT_SOCKET_RATIO: Fraction = Fraction {
     numerator: 3,
     denominator: 16,
 };
@@ -62,14 +62,14 @@
 impl ConnectionLimits {
     /// Maximum number of server connections.
     pub(super) fn server_connections_max(&self) -> usize {
-        SERVER_SOCKET_SHARE
+        SERVER_SOCKET_RATIO
             .of(self.fd_limit)
             .max(SERVER_CONNECTIONS_MIN)
     }
 
     /// Maximum number of connections that this process opens to agents.
     pub(super) fn client_connections_max(&self) -> usize {
-        CLIENT_SOCKET_SHARE
+        CLIENT_SOCKET_RATIO
             .of(self.fd_limit)
             .max(CLIENT_CONNECTIONS_MIN)
     }
--- a/src/net/read_queue.rs
+++ b/src/net/read_queue.rs
@@ -59,7 +59,7 @@
 pub(super) struct ReadQueue {
     served: VecDeque<QueuedRead>,
     new_connections: VecDeque<QueuedRead>,
-    /// The longest wait since the last [`ReadQueue::take_longest_wait_ms`], in milliseconds.
+    /// The longest wait since the last [`ReadQueue::take_longest_read_delay_ms`], in milliseconds.
     longest_wait_ms: u64,
 }
 
@@ -112,7 +112,7 @@
     }
 
     /// Returns the longest wait since the last call, in milliseconds, and resets it.
-    pub(super) fn take_longest_wait_ms(&mut self) -> u64 {
+    pub(super) fn take_longest_read_delay_ms(&mut self) -> u64 {
         std::mem::take(&mut self.longest_wait_ms)
     }
 }
--- a/src/peer_protocol.rs
+++ b/src/peer_protocol.rs
@@ -34,7 +34,7 @@
     pub acknowledged_cancellations: Vec<String>,
     /// The latest format that the sender supports; 0 for versions before format 1.
     #[prost(uint64, tag = "7")]
-    pub known_format: u64,
+    pub supported_format: u64,
 }
 
 /// A user's request that the sender forwards, as it can't process the request itself.
--- a/src/plan/cycle/state.rs
+++ b/src/plan/cycle/state.rs
@@ -73,7 +73,7 @@
         let demand = Resources::of(&job.spec);
         let mut changed = BTreeSet::new();
         for assigned in &assignment.tasks {
-            self.fleet.take_capacity(assigned.machine, demand);
+            self.fleet.reserve_capacity(assigned.machine, demand);
             changed.insert(assigned.machine);
         }
         self.charge_team(job, assignment.tasks.len());
--- a/src/plan/fleet/mod.rs
+++ b/src/plan/fleet/mod.rs
@@ -107,7 +107,7 @@
     }
 
     /// Subtracts a task's demand from the free capacity of a machine.
-    pub(super) fn take_capacity(&mut self, machine: usize, demand: Resources) {
+    pub(super) fn reserve_capacity(&mut self, machine: usize, demand: Resources) {
         self.free[machine].sub(demand);
     }
 
--- a/src/scheduler/dirty_jobs.rs
+++ b/src/scheduler/dirty_jobs.rs
@@ -48,13 +48,13 @@
         };
     }
 
-    /// The jobs to write now: all urgent ones, and up to `spare_writes` of those
+    /// The jobs to write now: all urgent ones, and up to `deferrable_write_budget` of those
     /// that have been deferred for `max_wait_ms`, longest first. `may_write` tells whether a job's record may
     /// be written now.
     pub(super) fn due(
         &mut self,
         may_write: impl Fn(&str) -> bool,
-        spare_writes: usize,
+        deferrable_write_budget: usize,
         max_wait_ms: u64,
         now: u64,
     ) -> Vec<Arc<str>> {
@@ -68,7 +68,7 @@
         let deferred = self.deferred.iter();
         let expired = deferred.take_while(|(since, _)| now >= since + max_wait_ms);
         let expired = expired.map(|(_, id)| id).filter(&mut may_write);
-        due.extend(expired.take(spare_writes).cloned());
+        due.extend(expired.take(deferrable_write_budget).cloned());
         self.considered += considered;
         due
     }
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -111,7 +111,7 @@
 
 /// The leader's term in which a [`Scheduler`] acts.
 #[derive(Debug, Clone)]
-pub struct Term {
+pub struct LeaderTerm {
     /// The leader's member id.
     pub member: String,
     /// The term's fencing token.
@@ -160,7 +160,7 @@
     reason = "independent facts about the term, of which any combination occurs"
 )]
 pub struct Scheduler {
-    term: Term,
+    term: LeaderTerm,
     /// When the term began.
     began_at: u64,
     cluster: ClusterSettings,
@@ -202,7 +202,7 @@
     /// The state at the start of a term, by the records in the watch cache; the cache already
     /// contains this term's leader key.
     pub fn new(
-        term: Term,
+        term: LeaderTerm,
         cluster: &ClusterSettings,
         operator: &OperatorSettings,
         machine_types: Arc<Vec<MachineType>>,
--- a/src/scheduler/reconcile.rs
+++ b/src/scheduler/reconcile.rs
@@ -12,9 +12,9 @@
 const INTERRUPTION_MARGIN_MS: u64 = 500;
 
 impl Scheduler {
-    /// Performs the periodic work that is due. At most `spare_writes` deferrable
+    /// Performs the periodic work that is due. At most `deferrable_write_budget` deferrable
     /// record changes are written.
-    pub fn tick(&mut self, now: u64, revision: u64, spare_writes: usize) {
+    pub fn tick(&mut self, now: u64, revision: u64, deferrable_write_budget: usize) {
         if now >= self.next_reconcile_at {
             let interval_ms = to_ms(self.cluster.workers.gang_peer_s * RECONCILE_INTERVAL_RATIO);
             self.next_reconcile_at = now + interval_ms;
@@ -24,13 +24,13 @@
             self.probe_machines(now);
         }
         self.send_provisioning_requests(now);
-        self.flush(now, revision, spare_writes);
+        self.flush(now, revision, deferrable_write_budget);
     }
 
     /// Writes record changes and sends direct commands; also called between ticks, to send
     /// urgent ones without delay.
-    pub fn flush(&mut self, now: u64, revision: u64, spare_writes: usize) {
-        self.write_changes(now, revision, spare_writes);
+    pub fn flush(&mut self, now: u64, revision: u64, deferrable_write_budget: usize) {
+        self.write_changes(now, revision, deferrable_write_budget);
         self.send_direct_commands();
     }
 
--- a/src/scheduler/records.rs
+++ b/src/scheduler/records.rs
@@ -154,9 +154,14 @@
         }
     }
 
-    /// Writes changes: all urgent ones, and up to `spare_writes` deferred ones,
+    /// Writes changes: all urgent ones, and up to `deferrable_write_budget` deferred ones,
     /// longest deferred first.
-    pub(super) fn write_changes(&mut self, now: u64, revision: u64, spare_writes: usize) {
+    pub(super) fn write_changes(
+        &mut self,
+        now: u64,
+        revision: u64,
+        deferrable_write_budget: usize,
+    ) {
         let jobs = &self.jobs;
         let may_write = |id: &str| {
             jobs.get(id)
@@ -165,7 +170,7 @@
         let max_wait_ms = to_ms(self.cluster.workers.gang_peer_s * DEFERRED_WRITE_RATIO);
         let due = self
             .dirty_jobs
-            .due(may_write, spare_writes, max_wait_ms, now);
+            .due(may_write, deferrable_write_budget, max_wait_ms, now);
         for id in due {
             self.write_record(&id);
         }
--- a/src/scheduler/termination_review.rs
+++ b/src/scheduler/termination_review.rs
@@ -11,7 +11,7 @@
 
 /// Consecutive heartbeats showing that the responses had no effect, after which a machine counts
 /// as unreachable.
-const INEFFECTIVE_ANSWERS_MAX: u32 = 2;
+const INEFFECTIVE_RESPONSES_MAX: u32 = 2;
 /// Agent leases after which a silent machine is terminated even during a network partition.
 const SILENT_LEASE_MULTIPLIER: f64 = 2.0;
 /// Heartbeat intervals of silence after which a machine that is no longer listed is terminated.
@@ -61,7 +61,7 @@
             return machine.termination_reason;
         }
         if machine.has_booted() {
-            return self.find_reason_while_up(machine, silent_ms);
+            return self.termination_reason_after_boot(machine, silent_ms);
         }
         if machine.cloud_status == CloudStatus::NotYetListed && machine.machine_type.is_empty() {
             // Only a job record names the machine; it has not been seen in this term.
@@ -81,7 +81,11 @@
         })
     }
 
-    fn find_reason_while_up(&self, machine: &Machine, silent_ms: u64) -> Option<TerminationReason> {
+    fn termination_reason_after_boot(
+        &self,
+        machine: &Machine,
+        silent_ms: u64,
+    ) -> Option<TerminationReason> {
         // After `expired_ms` the agent's lease has ended and its tasks have stopped, whichever
         // side is cut off. An empty machine can be terminated without losing work even if this
         // controller is the one that is cut off.
@@ -90,7 +94,7 @@
         if silent_ms > self.lost_after_ms && (!self.is_partitioned || has_no_running_task) {
             return Some(TerminationReason::Silent);
         }
-        let is_unreachable = machine.ineffective_responses >= INEFFECTIVE_ANSWERS_MAX
+        let is_unreachable = machine.ineffective_responses >= INEFFECTIVE_RESPONSES_MAX
             || self.has_unconfirmed_start(machine);
         if is_unreachable && !self.is_partitioned {
             return Some(TerminationReason::Unreachable);
--- a/src/serve.rs
+++ b/src/serve.rs
@@ -126,7 +126,7 @@
     let mut wait_ms = 1;
     loop {
         let events = event_loop.turn(Duration::from_millis(wait_ms))?;
-        let read_delay_ms = event_loop.take_longest_wait_ms();
+        let read_delay_ms = event_loop.take_longest_read_delay_ms();
         let turn = handle_events(&shared, events, read_delay_ms);
         for action in turn.actions {
             execute_action(&mut event_loop, action);
--- a/src/watch_cache/keys.rs
+++ b/src/watch_cache/keys.rs
@@ -30,7 +30,7 @@
 
 /// A key that names the leader.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum ClaimKey {
+pub(super) enum LeaderKeyName {
     /// [`LEADER_KEY`]
     Leader,
     /// [`LEASE_KEY`]
@@ -53,7 +53,7 @@
     /// A record of duties, which [`crate::duties::DutyRecords`] reads.
     Duties,
     /// The id and epoch of the leader.
-    Claim(ClaimKey),
+    LeaderKey(LeaderKeyName),
     /// The announcement of a controller that runs this version.
     Member {
         /// The controller's name.
@@ -86,8 +86,8 @@
     /// Classifies a key that is not matched by prefix.
     fn of_exact(key: &str) -> KeyKind<'static> {
         match key {
-            LEADER_KEY => KeyKind::Claim(ClaimKey::Leader),
-            LEASE_KEY => KeyKind::Claim(ClaimKey::Lease),
+            LEADER_KEY => KeyKind::LeaderKey(LeaderKeyName::Leader),
+            LEASE_KEY => KeyKind::LeaderKey(LeaderKeyName::Lease),
             FORMAT_KEY => KeyKind::Format,
             EPOCH_KEY => KeyKind::Epoch,
             _ => KeyKind::Other,
--- a/src/watch_cache/mod.rs
+++ b/src/watch_cache/mod.rs
@@ -29,7 +29,7 @@
 use crate::leadership_keys::{decode_u64, LeaderKey, VersionFence, SUPERSEDED_LEADER};
 use crate::wire::{KeyChange, Page};
 use final_states::FinalStates;
-use keys::{ClaimKey, KeyKind};
+use keys::{KeyKind, LeaderKeyName};
 
 pub use keys::{final_state_key, job_key, member_key, JOBS_PREFIX, ROOT_PREFIX};
 
@@ -73,7 +73,7 @@
 #[derive(Debug, Default)]
 pub struct WatchCache {
     /// Whether all keys have been read since the start, or since the last
-    /// [`WatchCache::restart`].
+    /// [`WatchCache::clear_for_reload`].
     pub loaded: bool,
     /// The revision up to which all changes have been applied.
     pub revision: u64,
@@ -104,7 +104,7 @@
 impl WatchCache {
     /// Clears the cache before all keys are read again. Values that never become invalid are
     /// kept: final states, the format, and the announced members.
-    pub fn restart(&mut self) {
+    pub fn clear_for_reload(&mut self) {
         self.loaded = false;
         self.revision = 0;
         self.jobs.clear();
@@ -112,7 +112,7 @@
         self.lease_key = None;
         self.epoch = Epoch::NONE;
         self.epoch_version = 0;
-        self.duties.restart();
+        self.duties.clear_for_reload();
         self.dependencies = DependencyGraph::default();
         self.dependency_events.clear();
     }
@@ -213,7 +213,7 @@
         match KeyKind::of(key) {
             KeyKind::Job { id } => return self.apply_job(id, value, version),
             KeyKind::FinalState { id } => return self.apply_final_state(id, value),
-            KeyKind::Claim(key) => return self.apply_claim(key, value, version),
+            KeyKind::LeaderKey(key) => return self.apply_leader_key(key, value, version),
             KeyKind::Duties => self.duties.apply_set(key, value, version),
             KeyKind::Member { member } => {
                 self.members.insert(member.to_string());
@@ -274,10 +274,15 @@
         Some(CacheEvent::JobRemoved(id.to_string()))
     }
 
-    fn apply_claim(&mut self, key: ClaimKey, value: &Value, version: u64) -> Option<CacheEvent> {
-        let claim = self.claim_older_than(key, version)?;
+    fn apply_leader_key(
+        &mut self,
+        key: LeaderKeyName,
+        value: &Value,
+        version: u64,
+    ) -> Option<CacheEvent> {
+        let cached = self.leader_key_older_than(key, version)?;
         let key = value.deserialized::<LeaderKey>().ok()?;
-        *claim = Some(VersionedLeaderKey { key, version });
+        *cached = Some(VersionedLeaderKey { key, version });
         Some(CacheEvent::LeaderChanged)
     }
 
@@ -308,7 +313,7 @@
                 self.duties.apply_delete(key, version);
                 None
             }
-            KeyKind::Claim(key) => self.delete_claim(key, version),
+            KeyKind::LeaderKey(key) => self.delete_leader_key(key, version),
             KeyKind::FinalState { .. }
             | KeyKind::Member { .. }
             | KeyKind::Format
@@ -317,24 +322,24 @@
         }
     }
 
-    fn delete_claim(&mut self, key: ClaimKey, version: u64) -> Option<CacheEvent> {
-        let claim = self.claim_older_than(key, version)?;
-        claim.take().map(|_| CacheEvent::LeaderChanged)
+    fn delete_leader_key(&mut self, key: LeaderKeyName, version: u64) -> Option<CacheEvent> {
+        let cached = self.leader_key_older_than(key, version)?;
+        cached.take().map(|_| CacheEvent::LeaderChanged)
     }
 
     /// Returns the cached value of a leader key, unless it has this version or a later one: an own
     /// election may be applied before the watch reports the deletion of the preceding leader's key.
-    fn claim_older_than(
+    fn leader_key_older_than(
         &mut self,
-        key: ClaimKey,
+        key: LeaderKeyName,
         version: u64,
     ) -> Option<&mut Option<VersionedLeaderKey>> {
-        let claim = match key {
-            ClaimKey::Leader => &mut self.leader_key,
-            ClaimKey::Lease => &mut self.lease_key,
+        let cached = match key {
+            LeaderKeyName::Leader => &mut self.leader_key,
+            LeaderKeyName::Lease => &mut self.lease_key,
         };
-        let is_older = claim.as_ref().is_none_or(|known| known.version < version);
-        is_older.then_some(claim)
+        let is_older = cached.as_ref().is_none_or(|known| known.version < version);
+        is_older.then_some(cached)
     }
 
     /// Caches the final state of a job once it is committed, and updates the dependency graph.
--- a/src/write_queue/mod.rs
+++ b/src/write_queue/mod.rs
@@ -101,7 +101,7 @@
 
     /// Returns how many deferrable writes may be queued now. Zero while requests are waiting; a
     /// reserve is kept for future requests.
-    pub fn spare_writes(&mut self, now: u64) -> usize {
+    pub fn deferrable_write_budget(&mut self, now: u64) -> usize {
         if self.waiting_count() > 0 {
             return 0;
         }
--- a/tests/common/previous_version.rs
+++ b/tests/common/previous_version.rs
@@ -81,7 +81,7 @@
             let (Action::Response { body, .. } | Action::Call { body, .. }) = &mut action;
             if let Some(status) = own_status(controller, body) {
                 let previous = PeerStatus {
-                    known_format: 0,
+                    supported_format: 0,
                     ..status
                 };
                 *body = previous.encode_to_vec();
--- a/tests/duties/assignment.rs
+++ b/tests/duties/assignment.rs
@@ -180,7 +180,7 @@
         member: "c1".into(),
         store_reachable: true,
         process_age_ms: 60_000,
-        known_format: 2,
+        supported_format: 2,
         ..PeerStatus::default()
     };
     let mut longest_free_ms = 0;
--- a/tests/job_dependencies/scheduling.rs
+++ b/tests/job_dependencies/scheduling.rs
@@ -5,7 +5,7 @@
 use gaugesill::epoch::Epoch;
 use gaugesill::job::{JobRecord, JobSpec, Priority, TaskRun};
 use gaugesill::leadership_keys::LEADER_KEY;
-use gaugesill::scheduler::{Effect, Scheduler, StatusOrigin, Term};
+use gaugesill::scheduler::{Effect, LeaderTerm, Scheduler, StatusOrigin};
 use gaugesill::settings::OperatorSettings;
 use gaugesill::watch_cache::{LiveJob, WatchCache};
 use gaugesill::wire::Incarnation;
@@ -21,7 +21,7 @@
         "cloud":{"rps":9.0,"list_lag_s":1.0},
         "limits":{"cpu_share":0.1,"ram_mb":200.0,"fd_limit":1000}}"#;
     Scheduler::new(
-        Term {
+        LeaderTerm {
             member: "c0".into(),
             epoch: Epoch::new(2),
             key: LEADER_KEY,
--- a/tests/unit/support.rs
+++ b/tests/unit/support.rs
@@ -7,7 +7,7 @@
 use gaugesill::plan::{
     self, JobView, MachineView, Reservation, Resources, Snapshot, TaskView, TeamView,
 };
-use gaugesill::scheduler::{Scheduler, StatusOrigin, Term};
+use gaugesill::scheduler::{LeaderTerm, Scheduler, StatusOrigin};
 use gaugesill::settings::{ClusterSettings, OperatorSettings};
 use gaugesill::watch_cache::{LiveJob, WatchCache};
 use gaugesill::wire::Incarnation;
@@ -176,7 +176,7 @@
     watch_cache: &WatchCache,
     now: u64,
 ) -> Scheduler {
-    let term = Term {
+    let term = LeaderTerm {
         member: "c0".into(),
         epoch: Epoch::new(epoch),
         key: gaugesill::leadership_keys::LEADER_KEY,
--- a/tests/version_upgrade/production_format.rs
+++ b/tests/version_upgrade/production_format.rs
@@ -67,7 +67,7 @@
     );
     assert_eq!(in_old_names, readable);
     // The field that was added later has its default value, which is not encoded.
-    assert_eq!(status.known_format, 0);
+    assert_eq!(status.supported_format, 0);
     assert_eq!(status.encode_to_vec(), bytes);
     let Fixture { readable, bytes } = fixture("hand");
     let request =
--- a/tests/version_upgrade/record_limit.rs
+++ b/tests/version_upgrade/record_limit.rs
@@ -6,7 +6,7 @@
 use gaugesill::job::json_length;
 use gaugesill::leadership_keys::LEADER_KEY;
 use gaugesill::plan::{Decision, PlannedPlacement, TaskBinding};
-use gaugesill::scheduler::{Effect, Scheduler, StatusOrigin, Term};
+use gaugesill::scheduler::{Effect, LeaderTerm, Scheduler, StatusOrigin};
 use gaugesill::settings::{ClusterSettings, OperatorSettings};
 use gaugesill::watch_cache::{LiveJob, WatchCache};
 use gaugesill::wire::Incarnation;
@@ -58,7 +58,7 @@
 
 /// The scheduler of a leader that writes records in the given format.
 fn new_scheduler(cluster: &ClusterSettings, format: u64) -> Scheduler {
-    let term = Term {
+    let term = LeaderTerm {
         member: "c0".into(),
         epoch: Epoch::new(2),
         key: LEADER_KEY,
