--- a/crates/duty-lease/src/assignment.rs
+++ b/crates/duty-lease/src/assignment.rs
@@ -14,7 +14,7 @@
 /// A live controller.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct LiveMember {
-    /// Its name.
+    /// Its id in the cluster, as in the lease keys that it holds.
     pub name: String,
     /// Time for which it has been live without interruption, in milliseconds.
     pub live_for_ms: u64,
--- a/crates/duty-lease/src/lease/protocol.rs
+++ b/crates/duty-lease/src/lease/protocol.rs
@@ -70,7 +70,7 @@
 pub struct OutgoingLeaseRequest {
     /// The number, unique within one [`super::DutyLease`].
     pub id: u64,
-    /// The request.
+    /// The request to send to the store; a retry gets a new `id`.
     pub request: LeaseRequest,
 }
 
--- a/crates/duty-lease/src/order_book/protocol.rs
+++ b/crates/duty-lease/src/order_book/protocol.rs
@@ -17,30 +17,30 @@
     /// Record the intent and remove the scaling request in one transaction, on condition that
     /// the intent does not exist and the request's key is unchanged.
     Record {
-        /// The intent.
+        /// The new intent; its `version` is 0 until it is recorded.
         intent: Intent,
         /// The scaling request that it satisfies.
         request: ScalingRequest,
-        /// The condition.
+        /// A further condition: the lease is still the writer's.
         guard: WriteGuard,
     },
     /// Send the order to the provider.
     Send {
-        /// The order's name.
+        /// The order's name, the same in each retry.
         id: OrderId,
-        /// The order.
+        /// The machines to rent or delete, the same in each retry.
         order: Order,
-        /// The sender's token.
+        /// The token of the sender's lease, which may be later than the one in `id`.
         token: Token,
     },
     /// Remove the intent and record its result in one transaction, on condition that the
     /// intent's key is unchanged.
     Complete {
-        /// The intent.
+        /// The recorded intent, with the `version` that its key must still have.
         intent: Intent,
         /// The order's result.
         result: OrderResult,
-        /// The condition.
+        /// A further condition: the lease is still the writer's.
         guard: WriteGuard,
     },
 }
--- a/crates/duty-lease/src/timing.rs
+++ b/crates/duty-lease/src/timing.rs
@@ -46,7 +46,7 @@
     Share {
         /// The name of the field.
         field: &'static str,
-        /// Its value.
+        /// The rejected share, possibly NaN.
         value: f64,
     },
 }
--- a/src/controller/clock.rs
+++ b/src/controller/clock.rs
@@ -6,7 +6,7 @@
 pub struct Timestamp {
     /// The monotonic clock, since the process started.
     pub steady: u64,
-    /// The wall clock.
+    /// The wall clock, since the Unix epoch; 0 if it is set to an earlier time.
     pub wall: u64,
 }
 
--- a/src/duties/query.rs
+++ b/src/duties/query.rs
@@ -44,7 +44,7 @@
     Refused {
         /// The store's address.
         address: SocketAddr,
-        /// The HTTP status.
+        /// The HTTP status of its response, other than 200.
         status: u16,
     },
     /// The store's response is malformed or too large, or a page repeats earlier keys.
--- a/src/duties/records/values.rs
+++ b/src/duties/records/values.rs
@@ -22,7 +22,7 @@
     pub member: String,
     /// The token that the provider refused.
     pub token: Token,
-    /// The order's name.
+    /// The refused order's name, as [`OrderId`] displays it.
     pub order: String,
     /// When the refusal was received, by that controller's wall clock in milliseconds.
     pub at_ms: u64,
--- a/src/duties/report.rs
+++ b/src/duties/report.rs
@@ -57,7 +57,7 @@
     pub phase: &'static str,
     /// The name under which it may have been sent; present in the phase `recorded` only.
     pub order: Option<String>,
-    /// Description of the order.
+    /// The order in words, such as `rent 4 spot TYPE in ZONE`.
     pub what: String,
     /// Time since it was requested, in seconds: the difference between the wall clocks of the
     /// leader and of the reader.
--- a/src/job/spec.rs
+++ b/src/job/spec.rs
@@ -22,7 +22,7 @@
     /// Runs only on capacity that no other job needs.
     #[serde(rename = "l")]
     Low,
-    /// The default priority.
+    /// Placed before low-priority jobs.
     #[serde(rename = "n")]
     Normal,
     /// Placed before normal jobs.
@@ -46,10 +46,10 @@
     /// How its tasks depend on one another.
     #[serde(rename = "s")]
     pub shape: Shape,
-    /// Its priority.
+    /// The submitted priority; the leader's copy is raised to that of the most urgent dependent.
     #[serde(rename = "u")]
     pub priority: Priority,
-    /// The number of tasks.
+    /// The number of tasks, at least 1. Tasks are numbered from 0.
     #[serde(rename = "n")]
     pub tasks: u32,
     /// CPU cores of each task.
--- a/src/machine/tasks.rs
+++ b/src/machine/tasks.rs
@@ -24,7 +24,7 @@
 /// Why a task exited, or was not started.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ExitCause {
-    /// The task completed.
+    /// The task completed its work; in a gang, so have all other tasks.
     Done,
     /// The task was stopped by a command.
     Stopped {
@@ -35,7 +35,7 @@
     GangMemberLost,
     /// The other tasks of its gang were not ready in time.
     GangTimeout,
-    /// The task failed.
+    /// The task failed, or the agent reported no cause or an unknown one.
     Error,
     /// The agent refused to start the task: not enough free resources.
     InsufficientCapacity,
--- a/src/net/listeners.rs
+++ b/src/net/listeners.rs
@@ -38,7 +38,7 @@
     pub peers: Token,
 }
 
-/// The listening sockets.
+/// The listening sockets; they are polled edge-triggered, so pending connections are tracked here.
 pub(super) struct Listeners {
     front: ListeningSocket,
     peers: ListeningSocket,
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -50,11 +50,11 @@
 /// A received request.
 #[derive(Debug)]
 pub struct Request {
-    /// The HTTP method.
+    /// The HTTP method as received, not checked against the known ones.
     pub method: String,
     /// The path with its query.
     pub path: String,
-    /// The body.
+    /// The body, of at most [`BODY_MAX_BYTES`]; empty if the request has none.
     pub body: Vec<u8>,
 }
 
@@ -63,9 +63,9 @@
 pub enum Outcome {
     /// The callee sent a complete response.
     Response {
-        /// The HTTP status.
+        /// The HTTP status; an error status is a response, too.
         status: u16,
-        /// The body.
+        /// The body; empty if the response has none.
         body: Vec<u8>,
     },
     /// The response exceeds [`ConnectionLimits::reply_max_bytes`] and was discarded.
@@ -85,14 +85,14 @@
         connection: usize,
         /// The listener that has accepted the connection.
         listener: Listener,
-        /// The request.
+        /// The request, received completely.
         request: Request,
     },
     /// An outgoing call has ended, with or without a response.
     CallFinished {
         /// The tag that the call was made with.
         tag: u64,
-        /// The outcome.
+        /// The response, or why there is none.
         outcome: Outcome,
     },
 }
@@ -104,11 +104,11 @@
     Response {
         /// The connection on which the request was received.
         connection: usize,
-        /// The HTTP status.
+        /// The HTTP status; for a forwarded request, the one that the peer returned.
         status: u16,
         /// Value of the `Retry-After` header, in seconds; `None` to omit the header.
         retry_after_s: Option<u32>,
-        /// The body.
+        /// The encoded body; empty to send none.
         body: Vec<u8>,
     },
     /// Send a request.
@@ -117,11 +117,11 @@
         tag: u64,
         /// The address to call.
         address: SocketAddr,
-        /// The HTTP method.
+        /// The HTTP method: `GET`, `POST` or `DELETE`.
         method: &'static str,
         /// The path with its query.
         path: String,
-        /// The body.
+        /// The encoded body; empty to send none.
         body: Vec<u8>,
         /// Time until the call fails without a response, in milliseconds.
         timeout_ms: u64,
--- a/src/peer_protocol.rs
+++ b/src/peer_protocol.rs
@@ -40,10 +40,10 @@
 /// A user's request that the sender forwards, as it can't process the request itself.
 #[derive(Clone, PartialEq, Message)]
 pub struct ForwardedRequest {
-    /// The HTTP method.
+    /// The HTTP method for the user API, `GET` or `POST`.
     #[prost(string, tag = "1")]
     pub method: String,
-    /// The HTTP path.
+    /// The path in the user API: that of all jobs, of one job or of its cancellation.
     #[prost(string, tag = "2")]
     pub path: String,
     /// The body as received from the user.
@@ -54,7 +54,7 @@
 /// The response to a forwarded request.
 #[derive(Clone, PartialEq, Message)]
 pub struct ForwardedReply {
-    /// The HTTP status.
+    /// The HTTP status for the user; the message itself is sent with status 200.
     #[prost(uint32, tag = "1")]
     pub status: u32,
     /// The value of the `Retry-After` header for the user, in seconds; `None` for no header.
--- a/src/plan/decision.rs
+++ b/src/plan/decision.rs
@@ -8,7 +8,7 @@
 /// A binding of a task to a machine.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct TaskBinding {
-    /// The task's number.
+    /// The task's number within its job, from 0.
     pub task: u32,
     /// The machine's name.
     pub machine: Arc<str>,
--- a/src/plan/search/request.rs
+++ b/src/plan/search/request.rs
@@ -18,7 +18,7 @@
 
 /// A task and the machine that it is assigned to.
 pub(in crate::plan) struct TaskAssignment {
-    /// The task's number.
+    /// The task's number within its job, from 0.
     pub task: u32,
     /// The machine's index in the snapshot.
     pub machine: usize,
--- a/src/plan/snapshot.rs
+++ b/src/plan/snapshot.rs
@@ -36,7 +36,7 @@
 pub struct Reservation {
     /// The preemptor's job id.
     pub job: Arc<str>,
-    /// The reserved capacity.
+    /// The reserved capacity; jobs of a higher priority may still use it.
     pub resources: Resources,
     /// The preemptor's priority.
     pub priority: Priority,
--- a/src/scheduler/effects.rs
+++ b/src/scheduler/effects.rs
@@ -13,7 +13,7 @@
 pub struct DirectStart {
     /// The id of the task's job.
     pub job: Arc<str>,
-    /// The task's number.
+    /// The task's number within its job, from 0.
     pub task: u32,
     /// The task's attempt.
     pub attempt: u64,
@@ -43,7 +43,7 @@
         address: SocketAddr,
         /// The incarnation that the commands are for.
         incarnation: Incarnation,
-        /// The commands.
+        /// The commands; empty in a probe that only raises the agent's epoch.
         commands: Vec<Command>,
         /// The starts among the commands.
         starts: Vec<DirectStart>,
@@ -59,9 +59,9 @@
     Provision {
         /// Identifies the request, so that a retry provisions no further machines.
         idempotency_key: String,
-        /// The kind of machine.
+        /// Machine type and zone, and whether spot machines are requested.
         kind: MachineKind,
-        /// The number of machines.
+        /// Maximum number of machines; the cloud may provision fewer.
         count: u64,
     },
     /// Terminate machines.
--- a/src/scheduler/job.rs
+++ b/src/scheduler/job.rs
@@ -17,7 +17,7 @@
     /// The submitted specification, with the priority raised to that of the most urgent job that
     /// depends on this one.
     pub spec: Arc<JobSpec>,
-    /// The submitted priority.
+    /// The priority that the job's record keeps; that of `spec` may be higher.
     pub(super) submitted_priority: Priority,
     /// Wall-clock time of the submission, in milliseconds.
     pub submitted_at: u64,
--- a/src/scheduler/placement.rs
+++ b/src/scheduler/placement.rs
@@ -60,7 +60,7 @@
 /// A task that is bound to a machine: it may be on that machine, or may be started there.
 #[derive(Debug, Clone)]
 pub struct Placement {
-    /// The task's number.
+    /// The task's number within its job, from 0.
     pub task: u32,
     /// The task's attempt.
     pub attempt: u64,
--- a/src/settings/error.rs
+++ b/src/settings/error.rs
@@ -12,7 +12,7 @@
     Read {
         /// Path of the file.
         file: String,
-        /// The cause.
+        /// The I/O error; [`std::io::ErrorKind::InvalidData`] if the file is not UTF-8.
         source: std::io::Error,
     },
     /// The platform settings cannot be parsed.
@@ -20,7 +20,7 @@
     Json {
         /// Path of the file.
         file: String,
-        /// The cause.
+        /// A syntax error, or a field that is missing or has the wrong type.
         source: serde_json::Error,
     },
     /// The operator settings cannot be parsed.
@@ -31,7 +31,7 @@
         /// Number and text of the faulty line, formatted as a prefix of the message; empty if
         /// the parser does not report a position.
         line: String,
-        /// The cause.
+        /// A syntax error, an unknown field or a value of the wrong type.
         source: Box<toml::de::Error>,
     },
     /// A field has an invalid value.
--- a/src/settings/platform.rs
+++ b/src/settings/platform.rs
@@ -20,7 +20,7 @@
     pub front: SocketAddr,
     /// Address that other controllers connect to.
     pub mesh_addr: SocketAddr,
-    /// The other controllers.
+    /// The other controllers of the cluster; empty if this is the only one.
     #[serde(rename = "known", default)]
     pub peers: Vec<Peer>,
     /// Addresses of the services that a controller calls.
@@ -34,7 +34,7 @@
 pub struct Peer {
     /// Its id in the cluster.
     pub member: String,
-    /// Its zone.
+    /// The zone it runs in; empty if not given.
     #[serde(default)]
     pub zone: String,
     /// Its address for the peer protocol.
@@ -46,17 +46,17 @@
 pub struct Endpoints {
     /// The cloud, which rents machines.
     pub cloud: SocketAddr,
-    /// The store.
+    /// The store, which holds the state that the controllers share.
     pub state: SocketAddr,
 }
 
 /// Settings that are the same for all controllers.
 #[derive(Debug, Clone, Deserialize)]
 pub struct ClusterSettings {
-    /// The zones.
+    /// Names of all zones; the zones that offer machines are taken from the machine types.
     #[serde(default)]
     pub zones: Vec<String>,
-    /// The teams.
+    /// Quotas of teams; a team that is not listed has no quota limit.
     #[serde(default)]
     pub teams: Vec<Team>,
     /// Service-level objectives on starting and finishing.
--- a/src/watch_cache/mod.rs
+++ b/src/watch_cache/mod.rs
@@ -56,7 +56,7 @@
 /// The value of a key that names the leader, and the version of that key.
 #[derive(Debug, Clone, PartialEq)]
 pub struct VersionedLeaderKey {
-    /// The value.
+    /// Names the leader and its epoch, or [`SUPERSEDED_LEADER`] in place of a leader.
     pub key: LeaderKey,
     /// The version of the key in the store.
     pub version: u64,
--- a/src/wire/agents.rs
+++ b/src/wire/agents.rs
@@ -83,7 +83,7 @@
 /// A command to an agent.
 #[derive(Debug, Clone, Serialize, Deserialize, PartialEq)]
 pub struct Command {
-    /// The requested operation.
+    /// What the agent does with the task.
     pub verb: CommandVerb,
     /// The task's name.
     #[serde(rename = "piece")]
--- a/src/wire/cloud.rs
+++ b/src/wire/cloud.rs
@@ -128,7 +128,7 @@
     /// The name of its type.
     #[serde(rename = "flavor")]
     pub machine_type: String,
-    /// Its zone.
+    /// The zone that the machine was provisioned in.
     #[serde(rename = "hall")]
     pub zone: String,
     /// Whether it is a spot machine.
--- a/src/wire/protocol_enums.rs
+++ b/src/wire/protocol_enums.rs
@@ -85,7 +85,7 @@
 protocol_enum! {
     /// Why a task exited or was refused. An unknown reason counts as a failure.
     ExitReason {
-        /// The task completed.
+        /// The task completed its work; in a gang, so have all other tasks.
         Done = "done",
         /// The task was stopped by a command.
         Stopped = "stopped",
@@ -100,7 +100,7 @@
         /// Refused: the agent does not know the task.
         UnknownTask = "no_such",
         _ =>
-        /// The task failed.
+        /// The task failed; also stands for reasons that this version does not know.
         Error = "error",
     }
 }
--- a/src/wire/store.rs
+++ b/src/wire/store.rs
@@ -11,7 +11,7 @@
 /// A key with its value.
 #[derive(Debug, Deserialize)]
 pub struct KeyValue {
-    /// The key.
+    /// The complete key, including the prefix that a page was requested for.
     pub key: String,
     /// The value of the key.
     #[serde(rename = "data")]
@@ -37,7 +37,7 @@
 /// A condition of a transaction.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Condition {
-    /// The key.
+    /// The key whose version is compared.
     pub key: String,
     /// The version that the key must have; 0 if it must not exist.
     #[serde(rename = "stamp")]
