--- a/tests/common/addresses.rs
+++ b/tests/common/addresses.rs
@@ -4,7 +4,7 @@
 
 pub(super) const STORE_IP: IpAddr = IpAddr::V4(Ipv4Addr::new(10, 2, 0, 1));
 pub(super) const CLOUD_IP: IpAddr = IpAddr::V4(Ipv4Addr::new(10, 2, 0, 2));
-/// All agents share an address and differ in their ports.
+/// All agents share an IP address and differ in their ports.
 pub(super) const AGENTS_IP: IpAddr = IpAddr::V4(Ipv4Addr::new(10, 1, 0, 1));
 /// Port of the agent on machine 0.
 const FIRST_AGENT_PORT: u16 = 1000;
--- a/tests/common/cloud.rs
+++ b/tests/common/cloud.rs
@@ -10,7 +10,7 @@
 use super::store::query;
 use super::values::{field, number};
 
-/// Page size of the machine list unless the request names one.
+/// Default page size of the machine list.
 const PAGE_SIZE: usize = 500;
 
 /// A rented machine.
@@ -21,36 +21,36 @@
     pub zone: String,
 }
 
-/// The machines that are rented, and the state of the cloud's interface.
+/// The rented machines and the state of the cloud's API.
 #[derive(Default)]
 pub(crate) struct Cloud {
     pub machines: BTreeMap<String, Rented>,
-    /// The machines that each idempotency key has brought.
+    /// The machines that were rented under each idempotency key.
     pub idempotency_keys: HashMap<String, Vec<String>>,
     /// How many machines were ever rented.
     pub rented_total: u64,
-    /// How long a machine boots.
+    /// How long a machine takes to boot.
     pub boot_ms: u64,
     /// How many machines can be rented at the same time.
     pub capacity: usize,
-    /// Pages of the list that were requested.
+    /// How many pages of the machine list were requested.
     pub pages_read: u64,
-    /// What is wrong with pages behind the first.
+    /// The fault that is injected into pages of the machine list.
     pub list_fault: Option<ListFault>,
-    /// Whether it refuses an order with a lower token than it has seen for the same duty.
+    /// Whether an order is refused if its token is lower than the highest one for the same duty.
     pub checks_tokens: bool,
-    /// The highest token that it has seen for each duty.
+    /// The highest token received for each duty.
     pub highest_tokens: HashMap<String, u64>,
 }
 
-/// What can be wrong with a list of several pages.
+/// A fault of a machine list with several pages.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ListFault {
     /// The first page is returned whatever is requested.
     Repeats,
-    /// A page is empty although the list goes on.
+    /// Pages after the first are empty, but marked as truncated.
     Empty,
-    /// The list never ends: names are invented.
+    /// The list never ends: pages after the first consist of machines that do not exist.
     Endless,
     /// Every other page is refused.
     RefusesHalf,
@@ -61,7 +61,7 @@
 pub(crate) struct TokenCheck {
     pub duty: &'static str,
     pub token: Option<u64>,
-    /// Whether a higher token was seen.
+    /// Whether the order is refused because a higher token was received before.
     pub refused: bool,
 }
 
@@ -80,7 +80,7 @@
         number(field(field(&order, "fencing")?, "token")?)
     }
 
-    /// Compares an order's token with the highest one, and remembers it.
+    /// Compares an order's token with the highest one, and updates the highest one.
     pub(crate) fn check_token(&mut self, path: &str, body: &[u8]) -> TokenCheck {
         let duty = duty_of(path);
         let token = Cloud::token_of(body);
@@ -129,7 +129,7 @@
         )
     }
 
-    /// The answer that a fault of the list gives in place of the right one.
+    /// The page that the injected fault returns in place of the correct one, if any.
     fn faulty_page(&mut self, from: &mut String, size: usize) -> Option<(u16, Vec<u8>)> {
         let fault = self.list_fault?;
         let is_first = from.is_empty();
@@ -147,7 +147,7 @@
         }
     }
 
-    /// Repeating an idempotency key gives the same answer and rents nothing.
+    /// A repeated idempotency key returns the same answer and rents nothing.
     fn rent(&mut self, body: &[u8], now: u64) -> (u16, Vec<u8>) {
         let order: Value = ciborium::from_reader(body).expect("a provisioning request");
         let text = |name| field(&order, name).and_then(Value::as_text).unwrap_or("");
--- a/tests/common/controller_processes.rs
+++ b/tests/common/controller_processes.rs
@@ -8,19 +8,19 @@
 
 use super::cloud_orders::is_cloud_order;
 
-/// How many controllers there are.
+/// Number of controllers.
 pub(super) const CONTROLLERS: usize = 3;
-/// The time of day at the start of a run.
+/// Wall-clock time at the start of a run.
 const WALL_START_MS: u64 = 1_000_000;
 
-/// Which generation of each controller runs, and when those that are down start again.
+/// The generation of each controller's process, and when a stopped controller restarts.
 pub(super) struct Lifecycles {
     generations: [u64; CONTROLLERS],
     restart_at: [Option<u64>; CONTROLLERS],
 }
 
 impl Lifecycles {
-    /// All start at once.
+    /// All controllers start at `now`.
     pub(super) fn starting_at(now: u64) -> Lifecycles {
         Lifecycles {
             generations: [0; CONTROLLERS],
@@ -37,7 +37,7 @@
         self.restart_at[controller] = Some(restart_at);
     }
 
-    /// Whether a controller is to be started now; once for each start.
+    /// Whether a controller's start is due; true only once for each start.
     pub(super) fn take_due_start(&mut self, controller: usize, now: u64) -> bool {
         let is_due = self.restart_at[controller].is_some_and(|at| now >= at);
         if is_due {
@@ -57,9 +57,9 @@
 pub(crate) struct Clocks {
     /// Parts in ten thousand by which a controller's steady clock runs fast.
     pub drift_per_10_000: HashMap<usize, u64>,
-    /// By how much a controller's steady clock has leapt, in milliseconds.
+    /// By how much a controller's steady clock has jumped.
     pub leap_ms: HashMap<usize, i64>,
-    /// The reading at which a controller's steady clock has stopped.
+    /// The reading at which a controller's steady clock is stopped.
     pub stopped_at: HashMap<usize, u64>,
 }
 
@@ -76,14 +76,14 @@
     }
 }
 
-/// What a paused process holds back.
+/// An action or event that is held back while a process is paused.
 struct HeldBack<T> {
     controller: usize,
     generation: u64,
     item: T,
 }
 
-/// Removes what a controller holds back; what an earlier generation did is dropped.
+/// Takes a controller's held items, and drops those of earlier generations.
 fn take_held<T>(held: &mut Vec<HeldBack<T>>, controller: usize, generation: u64) -> Vec<T> {
     let (own, others) = std::mem::take(held)
         .into_iter()
@@ -96,13 +96,13 @@
         .collect()
 }
 
-/// Controllers that are paused or will be, and what they hold back meanwhile.
+/// Current and scheduled pauses of controllers, and the items held back during them.
 #[derive(Default)]
 pub(crate) struct Pauses {
-    /// Controllers that pause, for how many ms, as soon as they have decided on anything.
+    /// How many ms a controller pauses when it has decided on its next action.
     pub on_next_action: HashMap<usize, u64>,
-    /// Controllers that pause, for how many ms, as soon as they have decided on an order to
-    /// the cloud, which goes out afterwards.
+    /// How many ms a controller pauses when it has decided on its next order to the cloud, which
+    /// is sent after the pause.
     pub on_cloud_order: HashMap<usize, u64>,
     resume_at: BTreeMap<usize, u64>,
     actions: Vec<HeldBack<Action>>,
@@ -118,7 +118,7 @@
         !self.resume_at.is_empty()
     }
 
-    /// For how long a controller that has decided on these actions pauses now, if it does.
+    /// How many ms a controller that has decided on these actions pauses, if a pause is scheduled.
     pub(super) fn take_due_pause(&mut self, controller: usize, actions: &[Action]) -> Option<u64> {
         let has_order = actions.iter().any(is_cloud_order);
         let on_order = has_order
@@ -131,12 +131,11 @@
         self.resume_at.insert(controller, resume_at);
     }
 
-    /// Ends a pause.
     pub(super) fn end(&mut self, controller: usize) {
         self.resume_at.remove(&controller);
     }
 
-    /// Controllers whose pause is over.
+    /// Controllers whose pause has ended.
     pub(super) fn due(&self, now: u64) -> Vec<usize> {
         let due = self.resume_at.iter().filter(|(_, at)| now >= **at);
         due.map(|(controller, _)| *controller).collect()
@@ -159,12 +158,12 @@
         });
     }
 
-    /// What a controller had decided on before it paused.
+    /// The actions that a controller decided on before its pause.
     pub(super) fn take_actions(&mut self, controller: usize, generation: u64) -> Vec<Action> {
         take_held(&mut self.actions, controller, generation)
     }
 
-    /// What reached a controller while it was paused.
+    /// The events that arrived at a controller during its pause.
     pub(super) fn take_events(&mut self, controller: usize, generation: u64) -> Vec<Event> {
         take_held(&mut self.events, controller, generation)
     }
--- a/tests/common/deployment.rs
+++ b/tests/common/deployment.rs
@@ -8,18 +8,18 @@
 
 /// Settings and versions of controllers that start from now on.
 pub(crate) struct Deployment {
-    /// The teams of the settings, as JSON.
+    /// The settings' list of teams, as JSON.
     teams: String,
-    /// The team's limit that the simulation checks; 0 if there is none.
+    /// The team's CPU limit that the simulation checks; 0 for none.
     pub(super) team_cores: f64,
     pub limits: PlatformLimits,
-    /// Limits of the store to come, as the settings have them behind the present ones.
+    /// Announced future limits of the store: JSON that is appended to the current limits.
     pub announced_limits: String,
-    /// The operators' settings.
+    /// The operator settings.
     pub operator: OperatorSettings,
-    /// Controllers that start without the operators' settings.
+    /// Controllers that start without the operator settings.
     pub without_duties: HashSet<usize>,
-    /// Controllers that run the version before this one.
+    /// Controllers that run the previous version.
     pub previous_version: HashSet<usize>,
 }
 
--- a/tests/common/digest.rs
+++ b/tests/common/digest.rs
@@ -1,4 +1,4 @@
-//! A digest of everything that controllers send and of every change of the key-value store.
+//! A digest of all messages that controllers send and of all changes of the key-value store.
 
 use gaugesill::net::Action;
 use gaugesill::wire;
@@ -6,7 +6,7 @@
 
 use super::sim::Sim;
 
-/// Digest of the messages of a run so far, byte by byte and in order.
+/// Digest of the messages that were sent so far in a run, in order.
 #[derive(Default)]
 pub(super) struct MessageDigest(Sha256);
 
@@ -27,7 +27,7 @@
                 self.add_number(retry_after.map_or(u64::MAX, u64::from));
                 self.add_bytes(body);
             }
-            // The call's number never leaves the process.
+            // The tag is internal to the process and not sent.
             Action::Call {
                 tag: _,
                 address,
@@ -50,7 +50,7 @@
         self.0.update(number.to_be_bytes());
     }
 
-    /// With its length, so that no two sequences of parts have the same bytes.
+    /// Adds the length as well, so that different sequences of parts never yield the same bytes.
     fn add_bytes(&mut self, bytes: &[u8]) {
         self.add_number(bytes.len() as u64);
         self.0.update(bytes);
--- a/tests/common/network.rs
+++ b/tests/common/network.rs
@@ -1,11 +1,11 @@
-//! The network: messages in transit, calls that wait for their outcome, and connections on
-//! which an answer is due.
+//! The network: messages in transit, calls in flight, and connections that wait for an answer.
 
 use std::collections::{BTreeMap, HashMap};
 
 use super::messages::{Origin, SimMessage, Ticket};
 
-/// When something is due; what is due at the same time comes in the order of its sending.
+/// Due time of a message or deadline; entries with the same time are ordered by when they were
+/// added.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct DueTime {
     at_ms: u64,
@@ -24,7 +24,7 @@
     in_transit: BTreeMap<DueTime, SimMessage>,
     call_deadlines: BTreeMap<DueTime, Ticket>,
     last_sequence: u64,
-    /// The generation of the process that made the call.
+    /// The generation of the process that made each call.
     open_calls: HashMap<CallId, u64>,
     origins: HashMap<usize, Origin>,
     last_connection: usize,
@@ -60,7 +60,7 @@
         self.call_deadlines.insert(due, ticket);
     }
 
-    /// Ends a call; false if its process does not wait for it any more.
+    /// Closes a call; false if it is not open or belongs to another process.
     pub(super) fn close_call(&mut self, ticket: Ticket) -> bool {
         let id = CallId {
             controller: ticket.controller,
@@ -69,13 +69,13 @@
         self.open_calls.remove(&id) == Some(ticket.generation)
     }
 
-    /// The next call whose deadline has passed, answered or not.
+    /// The next call whose deadline has passed, whether it was answered or not.
     pub(super) fn next_expired_call(&mut self, now: u64) -> Option<Ticket> {
         let entry = self.call_deadlines.first_entry()?;
         (entry.key().at_ms <= now).then(|| entry.remove())
     }
 
-    /// A connection whose answer goes nowhere.
+    /// A connection whose answer is dropped.
     pub(super) fn new_connection(&mut self) -> usize {
         self.last_connection += 1;
         self.last_connection
@@ -88,7 +88,7 @@
         connection
     }
 
-    /// Where the answer on a connection goes, once.
+    /// Removes and returns the recipient of the answer on a connection.
     pub(super) fn take_origin(&mut self, connection: usize) -> Option<Origin> {
         self.origins.remove(&connection)
     }
--- a/tests/common/run_log.rs
+++ b/tests/common/run_log.rs
@@ -1,11 +1,11 @@
-//! The record of a run: a readable trace of what happened, and broken rules.
+//! The log of a run: a readable trace of its events, and the violations.
 
-/// A readable trace of a run and the rules that were broken in it.
+/// A readable trace of a run and the violations of the protocol in it.
 #[derive(Default)]
 pub(crate) struct RunLog {
-    /// One line for each event, which begins with its time in seconds.
+    /// One line for each event, starting with the time in seconds.
     pub trace: Vec<String>,
-    /// The rules that were broken.
+    /// Descriptions of the rules that were broken.
     pub violations: Vec<String>,
 }
 
--- a/tests/common/settings.rs
+++ b/tests/common/settings.rs
@@ -48,8 +48,7 @@
     settings_with(member, teams, "", &PlatformLimits::default())
 }
 
-/// `announced`: limits of the store to come, as the settings have them behind the present
-/// ones.
+/// `announced`: announced future limits of the store, JSON that is appended to the current limits.
 pub(crate) fn settings_with(
     member: usize,
     teams: &str,
@@ -87,8 +86,7 @@
     settings
 }
 
-/// A submission in the form that users send. `shape`: `sweep` for an array, `group` for a
-/// gang.
+/// A submission in the wire format. `shape`: `sweep` for an array, `group` for a gang.
 pub(crate) fn submission(id: &str, shape: &str, tasks: u32, cpus: f64, priority: &str) -> Value {
     cbor!({
         "nameId" => id, "jobclass" => "c", "owner" => "t", "shape" => shape,
--- a/tests/common/store.rs
+++ b/tests/common/store.rs
@@ -1,11 +1,11 @@
-//! A simulated key-value store: keys with versions, grants, transactions and watches.
+//! A simulated key-value store with versioned keys, grants, transactions and watches.
 
 use ciborium::{cbor, Value};
 use gaugesill::job::{json_length, JobRecord};
 use gaugesill::wire::{self, Grant, GrantRequest, KeyChange, Transaction, WatchReply, Write};
 use std::collections::{BTreeMap, HashMap};
 
-/// Page size of a list of keys unless the request names one.
+/// Default page size of a list of keys.
 const PAGE_SIZE: usize = 200;
 
 /// A key's value.
@@ -22,18 +22,18 @@
     ttl_ms: u64,
 }
 
-/// Limits below those of the settings, and what they have left of their rate.
+/// Limits that the store enforces although the controllers' settings allow more.
 #[derive(Clone, Copy)]
 pub(crate) struct ReducedLimits {
-    /// Longest value, in bytes of its JSON form.
+    /// Maximum length of a value's JSON form.
     pub value_bytes: usize,
-    /// Most writes of a transaction.
+    /// Maximum number of writes in a transaction.
     pub transaction_writes: usize,
-    /// Most writes in a second.
+    /// Maximum rate of writes, which is also the burst size.
     pub writes_per_s: f64,
 }
 
-/// Writes that may still be made, as of a time.
+/// The number of writes that the rate limit allowed at a time.
 #[derive(Default)]
 struct WriteBudget {
     writes: f64,
@@ -56,24 +56,24 @@
     last_grant: u64,
     /// How many requests were received.
     pub requests: u64,
-    /// Writes since they were last taken, in readable form.
+    /// Writes in the form of the trace, since they were last taken.
     pub commits: Vec<String>,
-    /// Whether writes of the format are among them.
+    /// Whether `commits` includes writes of the format.
     pub logs_format: bool,
-    /// The limits that hold now, if they are reduced.
+    /// The reduced limits; `None` if nothing is limited.
     pub reduced_limits: Option<ReducedLimits>,
     budget: WriteBudget,
-    /// How many transactions were refused because of their size.
+    /// How many transactions were refused for their size.
     pub refused_by_size: u64,
-    /// How many transactions were refused because of the rate.
+    /// How many transactions were refused by the rate limit.
     pub refused_by_rate: u64,
 }
 
-/// The store's reaction to a request.
+/// The result of a request to the store.
 pub(crate) enum Served {
     /// Status and body of the answer.
     Now(u16, Vec<u8>),
-    /// A watch that is answered on a change, or at a time.
+    /// A watch that is answered on the next change, or at `until`.
     Wait {
         prefix: String,
         from_revision: u64,
@@ -82,7 +82,7 @@
 }
 
 impl Store {
-    /// Ends grants that were not renewed in time.
+    /// Ends expired grants, and deletes the keys attached to them.
     pub(crate) fn expire(&mut self, now: u64) {
         let expired = self.grants.iter().filter(|(_, grant)| now > grant.ends_at);
         let expired: Vec<u64> = expired.map(|(id, _)| *id).collect();
@@ -91,7 +91,7 @@
         }
     }
 
-    /// After an outage every grant has its full time again.
+    /// Renews every grant for its full time to live, as after an outage.
     pub(crate) fn refresh(&mut self, now: u64) {
         for grant in self.grants.values_mut() {
             grant.ends_at = now + grant.ttl_ms;
@@ -111,7 +111,7 @@
         }
     }
 
-    /// A write that none of the controllers made.
+    /// Writes a key without a transaction.
     pub(crate) fn put(&mut self, key: &str, value: Value) {
         self.revision += 1;
         self.set_key(key.to_string(), value, None);
@@ -142,7 +142,7 @@
         });
     }
 
-    /// The writes of keys with a prefix after a revision.
+    /// The changes of keys with a prefix after a revision.
     pub(crate) fn changes(&self, prefix: &str, from_revision: u64) -> WatchReply {
         let first = self
             .log
@@ -273,7 +273,7 @@
         Served::Now(200, wire::encode(&reply))
     }
 
-    /// Counts a transaction against the reduced limits, if there are any.
+    /// Checks a transaction against the reduced limits and counts its writes.
     fn check_limits(&mut self, transaction: &Transaction, now: u64) -> Result<(), LimitExceeded> {
         let Some(limits) = self.reduced_limits else {
             return Ok(());
@@ -298,7 +298,7 @@
         Ok(())
     }
 
-    /// The keys that do not have the version that a condition demands.
+    /// The keys whose version differs from the one that a condition requires.
     fn failed_conditions(&self, transaction: &Transaction) -> Vec<String> {
         let version_of = |key: &String| self.keys.get(key).map_or(0, |stored| stored.version);
         let conditions = transaction.conditions.iter();
@@ -308,7 +308,7 @@
 
     fn apply(&mut self, write: Write) {
         if let (Some(key), Some(value)) = (write.set, write.value) {
-            // What versions tell one another is of no interest to most traces.
+            // Most traces omit the keys through which versions negotiate the format.
             let is_version =
                 key.starts_with("g/l/m/") || (key == "g/l/format" && !self.logs_format);
             let is_fence = key == "g/l/leader" && write.grant.is_none();
@@ -326,13 +326,13 @@
     cbor!({"key" => key, "data" => stored.value, "stamp" => stored.version}).expect("value")
 }
 
-/// The grant that a path names, or 0.
+/// The ID of the grant in a path; 0 if the path contains none.
 fn grant_in(path: &str) -> u64 {
     let id = path.split('/').nth(2).and_then(|id| id.parse().ok());
     id.unwrap_or(0)
 }
 
-/// A parameter of a path's query.
+/// A parameter of a path's query string.
 pub(super) fn query<'a>(path: &'a str, name: &str) -> Option<&'a str> {
     let (_, parameters) = path.split_once('?')?;
     parameters
@@ -344,7 +344,7 @@
     query(path, name)?.parse().ok()
 }
 
-/// A write in the form that a trace has it.
+/// A write in the form of the trace.
 fn describe(key: &str, value: &Value) -> String {
     if let Some(id) = key.strip_prefix("g/j/") {
         describe_record(id, value)
--- a/tests/common/values.rs
+++ b/tests/common/values.rs
@@ -16,7 +16,7 @@
     u64::try_from(i128::from(value.as_integer()?)).ok()
 }
 
-/// The texts in a list; none if it is no list.
+/// The texts in a list; empty if the value is not a list.
 pub(super) fn texts(value: Option<&Value>) -> Vec<String> {
     let items = value.and_then(Value::as_array).into_iter().flatten();
     items
