--- a/examples/processor_time.rs
+++ b/examples/processor_time.rs
@@ -1,6 +1,6 @@
-//! Measures what controllers use processor time for, by kind of work: whole controllers without
-//! sockets, in a simulation of a fleet with steady load. Counts are reproducible; times depend on
-//! the machine that runs it.
+//! Measures the processor time of controllers by kind of work: complete controllers without
+//! sockets, in a simulated fleet under steady load. Counts are reproducible; times depend on the
+//! machine that runs the example.
 //!
 //! `cargo run --release --example processor_time [MACHINES [SECONDS [steady or failover]]]`: with
 //! `failover` the leader crashes first, and its successor is measured.
@@ -12,7 +12,8 @@
 
 /// How long the fleet runs before the measurement.
 const WARM_UP_MS: u64 = 180_000;
-/// How long a job takes, about: for a steady load a whole queue is submitted in that time.
+/// Approximate duration of a job. For a steady load, a full queue of jobs is submitted during that
+/// time.
 const JOB_MS: u64 = 150_000;
 
 fn argument(position: usize, default: u64) -> u64 {
